--- a/libs/daemon/src/OwnerLoop.cpp
+++ b/libs/daemon/src/OwnerLoop.cpp
@@ -222,7 +222,7 @@
         const TargetClaim *claim = findClaim(state, target);
         if (claim != nullptr)
             token = claim->token;
-        return mayOrder(state, target, BootClock::now());
+        return mayCommand(state, target, BootClock::now());
     });
     if (!allowed || entry == nullptr || !info || info->leaving) {
         reportLoadResult(node, order.permit(), order, LoadOutcome::Declined);
--- a/libs/gateway/include/gateway/GatewaySettings.h
+++ b/libs/gateway/include/gateway/GatewaySettings.h
@@ -11,7 +11,7 @@
 #include "gateway/PlacementSettings.h"
 #include "quota/WorkspaceLimit.h"
 #include "serving/EngineBoard.h"
-#include "serving/HolderLease.h"
+#include "serving/PartitionLease.h"
 #include "serving/ServiceRetryBudget.h"
 
 namespace monsoonbay {
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -14,9 +14,9 @@
 
 #include "gateway/GatewaySettings.h"
 #include "quota/SpendNote.h"
-#include "serving/CallFacts.h"
-#include "serving/HolderLease.h"
+#include "serving/CallMetadata.h"
 #include "serving/OrderDesk.h"
+#include "serving/PartitionLease.h"
 #include "serving/ServingConfig.h"
 #include "serving/TargetEntry.h"
 #include "transport/HttpClient.h"
@@ -146,9 +146,9 @@
     std::string_view name;
 
     // What callers and targets speak.
-    CallFacts (*readCall)(const RequestHead &);
-    void (*writeSend)(RequestHead &, const SendFacts &);
-    AnswerFacts (*readAnswer)(int status, const ResponseHead &);
+    CallMetadata (*readCall)(const RequestHead &);
+    void (*writeSend)(RequestHead &, const SendMetadata &);
+    AnswerMetadata (*readAnswer)(int status, const ResponseHead &);
 
     // Feeds; each runs until the context stops.
     asio::awaitable<void> (*follow)(HttpClient &, const GatewaySettings &, PlatformSink);
@@ -163,8 +163,8 @@
                                                         LeaseRenewal, Duration);
     asio::awaitable<void> (*leave)(HttpClient &, const GatewaySettings &, LeaseRenewal, Duration);
     /** Reads who noted last, by partition of the zone, that it orders the engines there. */
-    asio::awaitable<std::optional<OrdererNotes>> (*readOrderers)(HttpClient &,
-                                                                 const GatewaySettings &);
+    asio::awaitable<std::optional<HolderRecords>> (*readOrderers)(HttpClient &,
+                                                                  const GatewaySettings &);
     /** Notes that this VM does; only if no note was added since that read. True if it was added. */
     asio::awaitable<bool> (*noteOrderer)(HttpClient &, const GatewaySettings &, OrdererClaims);
 
--- a/libs/gateway/src/CallAnswer.cpp
+++ b/libs/gateway/src/CallAnswer.cpp
@@ -72,7 +72,7 @@
 
 } // namespace
 
-std::shared_ptr<HttpRequest> requestFor(const CallRun &run, const SendFacts &facts)
+std::shared_ptr<HttpRequest> requestFor(const CallRun &run, const SendMetadata &facts)
 {
     auto request = std::make_shared<HttpRequest>();
     request->version(11);
@@ -87,9 +87,9 @@
     return request;
 }
 
-SendFacts sendFactsOf(const CallRun &run, const CallAnswer &answer)
+SendMetadata sendFactsOf(const CallRun &run, const CallAnswer &answer)
 {
-    SendFacts facts;
+    SendMetadata facts;
     facts.workspace = run.workspace;
     if (run.facts.timeLeft)
         facts.timeLeft = std::max(timeLeft(run) - timeMargin, Duration::zero());
--- a/libs/gateway/src/CallAnswer.h
+++ b/libs/gateway/src/CallAnswer.h
@@ -29,10 +29,10 @@
 };
 
 /** The request as it goes to a target, or to another VM. */
-std::shared_ptr<HttpRequest> requestFor(const CallRun &run, const SendFacts &facts);
+std::shared_ptr<HttpRequest> requestFor(const CallRun &run, const SendMetadata &facts);
 
 /** What a target is told beside the request, but for its id. */
-SendFacts sendFactsOf(const CallRun &run, const CallAnswer &answer);
+SendMetadata sendFactsOf(const CallRun &run, const CallAnswer &answer);
 
 /** The call is sent now, to a target or another VM. */
 void noteSend(CallRun &run);
--- a/libs/gateway/src/CallRun.h
+++ b/libs/gateway/src/CallRun.h
@@ -9,7 +9,7 @@
 #include "AnswerEnd.h"
 #include "ForwardedCall.h"
 #include "GatewayNode.h"
-#include "serving/CallFacts.h"
+#include "serving/CallMetadata.h"
 #include "serving/PromptPrefixes.h"
 #include "serving/ServingConfig.h"
 #include "transport/HttpServer.h"
@@ -39,7 +39,7 @@
     std::shared_ptr<HttpRequest> request; ///< shared with a write that may outlive an attempt
     std::string host;
     std::string path;
-    CallFacts facts;
+    CallMetadata facts;
     std::shared_ptr<const RouteTable> routes;
     const Route *route = nullptr;
     std::string service;
--- a/libs/gateway/src/Forwarding.cpp
+++ b/libs/gateway/src/Forwarding.cpp
@@ -169,7 +169,7 @@
             co_return false;
         OwnAnswer last = ownAnswer(
             503, std::to_string(harmful->ends) + " targets ended while they ran this call",
-            std::max<Duration>(forgottenAt(*harmful) - BootClock::now(), comeBackSoon));
+            std::max<Duration>(blockedUntil(*harmful) - BootClock::now(), comeBackSoon));
         co_await giveUp(this->run, this->answer, std::move(last));
         co_return true;
     }
@@ -257,7 +257,7 @@
             this->answer.refusal = std::move(*keyRefusal);
             co_return SendEnd::Refused;
         }
-        SendFacts facts = sendFactsOf(this->run, this->answer);
+        SendMetadata facts = sendFactsOf(this->run, this->answer);
         facts.targetId = target.id;
         noteSend(this->run);
         const bool mayHaveRunBefore = this->run.mayHaveRun;
@@ -325,7 +325,7 @@
         const bool whole = co_await readWhole(exchange, body);
         if (!whole)
             exchange.abandon();
-        const AnswerFacts &facts = exchange.facts();
+        const AnswerMetadata &facts = exchange.facts();
         const bool otherTarget = !facts.answeredBy.empty() && facts.answeredBy != target.id;
         if (facts.misdirected && otherTarget) {
             // The address belongs to another target now; the list will say so soon.
--- a/libs/gateway/src/GatewayNode.cpp
+++ b/libs/gateway/src/GatewayNode.cpp
@@ -81,12 +81,12 @@
     TargetRuntime &runtime = runtimeOf(node, target);
     for (const auto &[adapter, version] : resident) {
         if (runtime.resident.count(adapter) == 0)
-            noteTouched(runtime.copies, adapter);
+            recordTouch(runtime.copies, adapter);
     }
     for (const auto &[adapter, version] : runtime.resident) {
         const auto kept = resident.find(adapter);
         if (kept == resident.end())
-            noteTouched(runtime.copies, adapter);
+            recordTouch(runtime.copies, adapter);
         if (kept == resident.end() || kept->second != version)
             forgetPrefixesOf(node, target, adapter);
     }
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -34,12 +34,12 @@
 #include "serving/EngineLog.h"
 #include "serving/EngineRecord.h"
 #include "serving/HarmfulCalls.h"
-#include "serving/HolderLease.h"
 #include "serving/IncomingLoads.h"
 #include "serving/LoadDecline.h"
 #include "serving/LoadQueue.h"
 #include "serving/NamedLimit.h"
 #include "serving/OrderDesk.h"
+#include "serving/PartitionLease.h"
 #include "serving/PrefillPace.h"
 #include "serving/PrefillQueue.h"
 #include "serving/PrefixBook.h"
@@ -101,7 +101,7 @@
 {
     Instant triedAt{}; ///< when it was asked last
     Instant askedAt{}; ///< when it was asked for its last answer; zero: it never answered
-    MateWord word;
+    PeerLeaseState word;
 
     auto operator<=>(const PeerWord &) const = default;
 };
@@ -352,7 +352,7 @@
     Instant vmsCountedAt{};
     GatewayPeers links;
 
-    HolderLease lease;
+    PartitionLease lease;
     Instant bootedAt;
     bool mayHold = false; ///< joins those that order engines of the zone
     Instant joinedAt{}; ///< when it first did; zero: not yet
@@ -360,7 +360,7 @@
     bool renewed = false; ///< the last renewal was granted
     bool renewalFailing = false;
     bool orderedBefore = false; ///< a boot before this one noted that it orders engines
-    std::vector<Release> releasesHeard; ///< of other VMs of the zone, told on
+    std::vector<PartitionRelease> releasesHeard; ///< of other VMs of the zone, told on
     bool notingOrders = false; ///< notes in the store are being read or added
     Instant noteRetryAt{}; ///< no further attempt before this
     std::unordered_map<std::string, std::unique_ptr<HeldDesk>> desks;
--- a/libs/gateway/src/HarmfulWatch.cpp
+++ b/libs/gateway/src/HarmfulWatch.cpp
@@ -79,7 +79,7 @@
              {{"identity", identityText(identity)},
               {"callers", call.caller ? "this one" : "all"},
               {"targetsEnded", std::to_string(call.ends)},
-              {"firstEndAgoMs", std::to_string(toMillis(BootClock::now() - call.firstEndAt))}});
+              {"firstEndAgoMs", std::to_string(toMillis(BootClock::now() - call.firstCrashAt))}});
 }
 
 } // namespace
@@ -112,7 +112,7 @@
     std::vector<const CallEvidence *> evidence;
     for (const auto &[id, entry] : node.facts.evidence.all())
         evidence.push_back(&entry.value.evidence);
-    const HarmfulCalls before = std::exchange(node.harmful, judgeCalls(evidence));
+    const HarmfulCalls before = std::exchange(node.harmful, findHarmfulCalls(evidence));
     for (const HarmfulCall &call : node.harmful.calls) {
         const CallIdentity identity{call.content, call.caller.value_or(0)};
         if (findHarmful(before, identity) == nullptr)
@@ -124,7 +124,7 @@
 {
     std::vector<std::uint64_t> old;
     for (const auto &[id, entry] : node.facts.evidence.all()) {
-        if (now - entry.value.evidence.at > evidenceHolds)
+        if (now - entry.value.evidence.at > evidenceTtl)
             old.push_back(id);
     }
     for (const std::uint64_t id : old)
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -79,24 +79,24 @@
     if (mayBeUnknownToHolder(node, BootClock::now()))
         return false;
     const int partition = partitionOf(stableHash(target), node.settings.partitions);
-    return mayOrder(node.lease, partition, BootClock::now());
+    return mayCommand(node.lease, partition, BootClock::now());
 }
 
 namespace {
 
 /** Time until every partition held may be ordered. */
-long waitMs(const HolderLease &lease, Instant now)
+long waitMs(const PartitionLease &lease, Instant now)
 {
     Instant last = now;
-    for (const auto &[partition, from] : lease.orderFrom)
+    for (const auto &[partition, from] : lease.activeFrom)
         last = std::max(last, from);
     return std::chrono::duration_cast<std::chrono::milliseconds>(last - now).count();
 }
 
 /** Those of the zone that could be dealt what this VM holds. */
-std::vector<MateWord> wordsOfMates(const GatewayNode &node)
+std::vector<PeerLeaseState> wordsOfMates(const GatewayNode &node)
 {
-    std::vector<MateWord> words;
+    std::vector<PeerLeaseState> words;
     for (const auto &[endpoint, peer] : node.peers) {
         const bool mate =
             peer.zone == node.settings.zone && peer.heardAt != Instant{} && !peer.leaseLeft;
@@ -116,22 +116,22 @@
     return renewal;
 }
 
-bool isNotedBy(const OrdererNotes &notes, const std::string &vm)
+bool isNotedBy(const HolderRecords &notes, const std::string &vm)
 {
     return std::any_of(notes.last.begin(), notes.last.end(),
                        [&vm](const auto &note) { return note.second.vm == vm; });
 }
 
-/** Notes in the store what this VM is about to order; see claimsToNote(). */
+/** Notes in the store what this VM is about to order; see claimsToRecord(). */
 asio::awaitable<void> noteOrders(GatewayNode &node)
 {
     node.notingOrders = true;
     const auto notes = co_await node.platform->readOrderers(node.http, node.settings);
-    std::vector<OrderClaim> claims;
+    std::vector<HolderClaim> claims;
     if (notes) {
         node.orderedBefore = node.orderedBefore || isNotedBy(*notes, node.settings.vm);
-        claims = claimsToNote(node.lease, *notes, node.settings.vm, node.settings.lease,
-                              BootClock::now());
+        claims = claimsToRecord(node.lease, *notes, node.settings.vm, node.settings.lease,
+                                BootClock::now());
     }
     node.noteRetryAt = BootClock::now() + afterFailedNote;
     if (claims.empty()) {
@@ -141,17 +141,17 @@
     OrdererClaims told;
     told.generation = node.lease.generation;
     told.end = notes->end;
-    for (const OrderClaim &claim : claims)
+    for (const HolderClaim &claim : claims)
         told.partitions.push_back(claim.partition);
     const bool added = co_await node.platform->noteOrderer(node.http, node.settings, told);
     node.notingOrders = false;
     const Instant now = BootClock::now();
     if (added) {
-        takeNoted(node.lease, claims, now);
+        confirmClaims(node.lease, claims, now);
         node.noteRetryAt = Instant{};
     }
     const auto again = std::count_if(claims.begin(), claims.end(),
-                                     [](const OrderClaim &claim) { return claim.again; });
+                                     [](const HolderClaim &claim) { return claim.again; });
     logEvent(EventId::OrdersNoted,
              {{"generation", std::to_string(told.generation)},
               {"partitions", std::to_string(claims.size())},
@@ -165,10 +165,10 @@
 asio::awaitable<void> extendLoop(GatewayNode &node)
 {
     while (!node.stopped) {
-        const std::size_t before = node.lease.orderFrom.size();
+        const std::size_t before = node.lease.activeFrom.size();
         if (node.renewalFailing)
             extendLease(node.lease, wordsOfMates(node), node.settings.lease, BootClock::now());
-        if (before > 0 && node.lease.orderFrom.empty())
+        if (before > 0 && node.lease.activeFrom.empty())
             logEvent(EventId::LeaseChanged,
                      {{"generation", std::to_string(node.lease.generation)},
                       {"partitions", "0"},
@@ -204,7 +204,7 @@
     logEvent(EventId::LeaseChanged,
              {{"generation", std::to_string(node.lease.generation)},
               {"partitions", "0"},
-              {"before", std::to_string(node.lease.orderFrom.size())},
+              {"before", std::to_string(node.lease.activeFrom.size())},
               {"why", "the links to engines are lost, and a VM of the zone reaches them"}});
     node.ordersYielded = true;
     node.renewed = false;
@@ -243,9 +243,9 @@
         if (grant)
             noteStoreAnswer(node, true, BootClock::now());
         if (grant && !node.leaseLeft) {
-            const std::size_t before = node.lease.orderFrom.size();
+            const std::size_t before = node.lease.activeFrom.size();
             renewLease(node.lease, *grant, node.settings.lease, sentAt, BootClock::now());
-            if (before != node.lease.orderFrom.size())
+            if (before != node.lease.activeFrom.size())
                 logEvent(EventId::LeaseChanged,
                          {{"generation", std::to_string(grant->generation)},
                           {"partitions", std::to_string(grant->partitions.size())},
--- a/libs/gateway/src/NewsCodec.cpp
+++ b/libs/gateway/src/NewsCodec.cpp
@@ -112,7 +112,7 @@
     state.set_digest(change.digest);
     for (const std::string &adapter : change.gone)
         state.add_gone(adapter);
-    if (!change.sameHead)
+    if (!change.sameHeader)
         return;
     state.set_same_head(true);
     state.clear_holder_address();
@@ -126,7 +126,7 @@
     EngineChange change;
     change.record = decodeEngine(state);
     change.whole = !state.changes_only();
-    change.sameHead = state.same_head();
+    change.sameHeader = state.same_head();
     change.gone = std::vector<std::string>(state.gone().begin(), state.gone().end());
     change.digest = state.digest();
     return change;
@@ -171,7 +171,7 @@
     told.set_busy_slots(use.busySlots);
     told.set_faults(static_cast<std::uint32_t>(std::max(use.faults, 0)));
     told.set_goods(static_cast<std::uint32_t>(std::max(use.goods, 0)));
-    told.set_quick_runs(use.quickRuns);
+    told.set_quick_runs(use.shortObjectiveRuns);
 }
 
 void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &use,
@@ -229,7 +229,7 @@
     use.busySlots = told.busy_slots();
     use.faults = static_cast<int>(told.faults());
     use.goods = static_cast<int>(told.goods());
-    use.quickRuns = told.quick_runs();
+    use.shortObjectiveRuns = told.quick_runs();
     return use;
 }
 
@@ -277,7 +277,7 @@
     return fact;
 }
 
-void encodeRelease(const Release &release, Instant now, v1::Released &told)
+void encodeRelease(const PartitionRelease &release, Instant now, v1::Released &told)
 {
     told.set_partition(release.partition);
     told.set_generation(release.generation);
@@ -286,9 +286,9 @@
 
 // A message that was long under way makes a release look younger than it is, which only lengthens
 // the wait for it.
-Release decodeRelease(const v1::Released &told, Instant now)
+PartitionRelease decodeRelease(const v1::Released &told, Instant now)
 {
-    Release release;
+    PartitionRelease release;
     release.partition = told.partition();
     release.generation = told.generation();
     release.at = now - std::chrono::milliseconds(told.ago_ms());
@@ -300,7 +300,7 @@
 {
     told.set_id(id);
     told.set_target(evidence.target);
-    told.set_next_born(evidence.nextBorn);
+    told.set_next_born(evidence.nextStartTime);
     told.set_ago_ms(
         static_cast<std::uint64_t>(std::max<std::int64_t>(toMillis(now - evidence.at), 0)));
     for (const CallIdentity &call : evidence.calls) {
@@ -314,7 +314,7 @@
 {
     CallEvidence evidence;
     evidence.target = told.target();
-    evidence.nextBorn = told.next_born();
+    evidence.nextStartTime = told.next_born();
     evidence.at = now - std::chrono::milliseconds(told.ago_ms());
     for (const v1::CallId &named : told.calls())
         evidence.calls.push_back({named.content(), named.caller()});
--- a/libs/gateway/src/NewsCodec.h
+++ b/libs/gateway/src/NewsCodec.h
@@ -48,8 +48,8 @@
 void encodeTarget(const std::string &target, const TargetFact &fact, gateway::v1::Target &told);
 TargetFact decodeTarget(const gateway::v1::Target &told);
 
-void encodeRelease(const Release &release, Instant now, gateway::v1::Released &told);
-Release decodeRelease(const gateway::v1::Released &told, Instant now);
+void encodeRelease(const PartitionRelease &release, Instant now, gateway::v1::Released &told);
+PartitionRelease decodeRelease(const gateway::v1::Released &told, Instant now);
 
 void encodeEvidence(std::uint64_t id, const CallEvidence &evidence, Instant now,
                     gateway::v1::CallEvidence &told);
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -33,7 +33,7 @@
 constexpr int mostRetryDoublings = 4;
 /** VMs of a zone that order engines; each of them calls the store twice a second for its lease. */
 constexpr std::size_t holdersPerZone = 4;
-/** Longest time for which releases are told on; see HolderLease. */
+/** Longest time for which releases are told on; see PartitionLease. */
 constexpr Duration releaseTold = std::chrono::seconds(8);
 
 std::string reporterOf(const GatewayNode &node, const v1::Vm &vm)
@@ -88,9 +88,9 @@
 void fillReleases(const GatewayNode &node, Instant now,
                   google::protobuf::RepeatedPtrField<v1::Released> &told)
 {
-    for (const Release &release : node.lease.releases)
+    for (const PartitionRelease &release : node.lease.releases)
         encodeRelease(release, now, *told.Add());
-    for (const Release &release : node.releasesHeard)
+    for (const PartitionRelease &release : node.releasesHeard)
         encodeRelease(release, now, *told.Add());
 }
 
@@ -98,11 +98,11 @@
 {
     const Instant now = BootClock::now();
     std::erase_if(node.releasesHeard,
-                  [now](const Release &old) { return now - old.at > releaseTold; });
+                  [now](const PartitionRelease &old) { return now - old.at > releaseTold; });
     for (const v1::Released &message : told) {
-        const Release release = decodeRelease(message, now);
-        noteRelease(node.lease, release, node.settings.lease);
-        const auto same = [&release](const Release &known) {
+        const PartitionRelease release = decodeRelease(message, now);
+        applyRelease(node.lease, release, node.settings.lease);
+        const auto same = [&release](const PartitionRelease &known) {
             return known.partition == release.partition && known.generation == release.generation;
         };
         const bool known = std::any_of(node.releasesHeard.begin(), node.releasesHeard.end(), same)
--- a/libs/gateway/src/Placing.cpp
+++ b/libs/gateway/src/Placing.cpp
@@ -57,11 +57,11 @@
 }
 
 /** Shortest objective of the routes to the service; nothing: all are alike, or no forecasts. */
-std::optional<Duration> quickestObjective(const CallRun &run)
+std::optional<Duration> shortestObjective(const CallRun &run)
 {
     if (!run.node.settings.placement.forecast)
         return std::nullopt;
-    return run.routes->quickestObjective(run.service);
+    return run.routes->shortestObjective(run.service);
 }
 
 /** True if a load for the call may be asked for there. */
@@ -122,7 +122,7 @@
 /** Age of what this VM knows of the load of engines, for the choice. */
 Duration loadAge(const CallRun &run, Instant now)
 {
-    return quickestObjective(run) ? knownLoadAge(run.node, now) : loadNewsAge(run.node);
+    return shortestObjective(run) ? knownLoadAge(run.node, now) : loadNewsAge(run.node);
 }
 
 /** The weights of the choice, by the pace that own calls have shown. */
@@ -130,7 +130,7 @@
 {
     EngineWeights weights = run.node.settings.weights;
     const auto pace = run.node.prefillPaces.find(run.service);
-    if (pace != run.node.prefillPaces.end() && quickestObjective(run))
+    if (pace != run.node.prefillPaces.end() && shortestObjective(run))
         weights.promptTokensPerMs = prefillPace(pace->second, weights.promptTokensPerMs);
     return weights;
 }
@@ -160,19 +160,19 @@
         view.waitingTokens = counted.value_or(use.waitingTokens);
         view.heldTokens = use.heldTokens;
         view.runs = use.runs;
-        view.quickRuns = use.quickRuns;
+        view.shortObjectiveRuns = use.shortObjectiveRuns;
         view.cachedTokens = cachedInEngine(run, entry, use, spec.engine->kvTokens);
         view.usable = isUsable(node, entry.id, use, now);
         view.hasModel = runtime.models.count(run.facts.model) > 0;
         const EngineRecord *record = node.facts.engines.find(entry.id);
         view.warm = record != nullptr
-            && hasHostCopy(runtime.copies, run.facts.adapter, HostMemory{record->copiesKept});
+            && hasHostCopy(runtime.copies, run.facts.adapter, HostRetention{record->copiesKept});
         view.loadMs = record == nullptr ? 0 : view.warm ? record->copyMs : record->fetchMs;
         view.fetchMs = record == nullptr ? 0 : record->fetchMs;
         view.incomingMs = incomingMs(run, entry.id, view.loadMs);
         view.idleSlots = idleSlotsAt(node, entry, use, capacity);
         view.hasHolder = mayAskLoadFor(run, entry.id);
-        view.doubtMs = counted ? 0 : doubt(node.random);
+        view.jitterMs = counted ? 0 : doubt(node.random);
         views.push_back(std::move(view));
     }
     keepSomeUsable(views);
@@ -212,8 +212,8 @@
     need.outputTokens = run.facts.maxOutputTokens;
     need.objectives.firstEventMs = 1000 * toSeconds(run.route->latencyObjective);
     need.objectives.pauseMs = 1000 * toSeconds(run.route->gapObjective);
-    if (const auto quickest = quickestObjective(run))
-        need.quickestMs = 1000 * toSeconds(*quickest);
+    if (const auto quickest = shortestObjective(run))
+        need.shortestObjectiveMs = 1000 * toSeconds(*quickest);
     beginPlacing(run);
     Placement placement;
     while (!run.cancelled()) {
@@ -343,7 +343,7 @@
     , prompt(run, target, BootClock::now())
     , waiting(run.facts.promptTokens - run.cachedTokens)
     , held(run.facts.promptTokens + run.facts.maxOutputTokens)
-    , quick(quickestObjective(run) == run.route->latencyObjective ? 1 : 0)
+    , quick(shortestObjective(run) == run.route->latencyObjective ? 1 : 0)
     , waitingBefore(run.node.settings.placement.forecast ? totalLoad(run.node, target).waitingTokens
                                                          : 0)
     , sentAt(BootClock::now())
@@ -351,7 +351,7 @@
     this->runtime.own.runs += 1;
     this->runtime.own.waitingTokens += this->waiting;
     this->runtime.own.heldTokens += this->held;
-    this->runtime.own.quickRuns += this->quick;
+    this->runtime.own.shortObjectiveRuns += this->quick;
     if (this->adapter.empty())
         return;
     if (++this->runtime.ownAdapterRuns[this->adapter] == 1)
@@ -363,7 +363,7 @@
     this->runtime.own.waitingTokens -= this->waiting;
     this->runtime.own.runs -= 1;
     this->runtime.own.heldTokens -= this->held;
-    this->runtime.own.quickRuns -= this->quick;
+    this->runtime.own.shortObjectiveRuns -= this->quick;
     if (this->adapter.empty())
         return;
     const auto runs = this->runtime.ownAdapterRuns.find(this->adapter);
--- a/libs/gateway/src/PrefillReserving.cpp
+++ b/libs/gateway/src/PrefillReserving.cpp
@@ -41,7 +41,7 @@
     const double loadMs = step == PrefillStep::Load ? engine.loadMs : 0;
     PrefillBound bound;
     bound.untilLateMs =
-        1000 * (weights.calmShare * toSeconds(run.route->latencyObjective) - toSeconds(elapsed));
+        1000 * (weights.onTimeShare * toSeconds(run.route->latencyObjective) - toSeconds(elapsed));
     bound.ownTokens = tokensToRead(run, engine);
     bound.otherMs = weights.runMs * engine.runs + loadMs;
     bound.tokensPerMs = weights.promptTokensPerMs;
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -56,7 +56,7 @@
     runtime.models = record.models;
     noteResident(node, target, record.resident);
     const auto expected = [&](const std::string &adapter) {
-        const bool copy = hasHostCopy(runtime.copies, adapter, HostMemory{record.copiesKept});
+        const bool copy = hasHostCopy(runtime.copies, adapter, HostRetention{record.copiesKept});
         return fromSeconds((copy ? record.copyMs : record.fetchMs) / 1000);
     };
     noteIncoming(runtime.incoming, record.incoming, expected, BootClock::now());
@@ -70,7 +70,7 @@
     const EngineRecord *known = node.facts.engines.find(target);
     if (!change.whole && known != nullptr) {
         EngineRecord offered = change.record;
-        if (change.sameHead)
+        if (change.sameHeader)
             offered.born = known->born;
         if (mayOrderNow(node, target) || !mayReplaceRecord(*known, offered))
             return;
--- a/libs/gateway/src/TargetEnds.cpp
+++ b/libs/gateway/src/TargetEnds.cpp
@@ -37,13 +37,14 @@
     return text;
 }
 
-/** The target ended under what was lost since `from`. `nextBorn`: its new start; 0: not known. */
-void noteEnd(GatewayNode &node, const std::string &target, Instant from, std::int64_t nextBorn,
+/** The target ended under what was lost since `from`. `nextStartTime`: its new start; 0: not known.
+ */
+void noteEnd(GatewayNode &node, const std::string &target, Instant from, std::int64_t nextStartTime,
              std::string_view seenBy)
 {
     CallEvidence evidence;
     evidence.target = target;
-    evidence.nextBorn = nextBorn;
+    evidence.nextStartTime = nextStartTime;
     const auto found = node.targets.find(target);
     if (found == node.targets.end())
         return;
@@ -133,12 +134,12 @@
     spawn(node, "look at a target", lookAt(node, target, entry->endpoint));
 }
 
-void noteEndByList(GatewayNode &node, const std::string &target, std::int64_t nextBorn)
+void noteEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime)
 {
     const auto found = node.targets.find(target);
     if (found == node.targets.end() || found->second->leaves)
         return;
-    noteEnd(node, target, BootClock::now() - listPatience, nextBorn, "list");
+    noteEnd(node, target, BootClock::now() - listPatience, nextStartTime, "list");
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -132,7 +132,7 @@
     return this->parser->get();
 }
 
-const AnswerFacts &TargetExchange::facts() const noexcept
+const AnswerMetadata &TargetExchange::facts() const noexcept
 {
     return this->answerFacts;
 }
--- a/libs/gateway/src/TargetExchange.h
+++ b/libs/gateway/src/TargetExchange.h
@@ -72,7 +72,7 @@
 
     int status() const;
     const ResponseHead &head() const;
-    const AnswerFacts &facts() const noexcept;
+    const AnswerMetadata &facts() const noexcept;
     TargetConnectionPtr connection() const noexcept;
 
     /** The answer is not read to its end; the connection will not be reused. */
@@ -97,7 +97,7 @@
     std::shared_ptr<HttpRequest> offered;
     std::optional<Serializer> rest; ///< of the request that is offered
     std::optional<Parser> parser;
-    AnswerFacts answerFacts;
+    AnswerMetadata answerFacts;
     std::array<char, 8192> space{};
     bool whole = false;
     bool unusable = false;
--- a/libs/gateway/src/TargetWords.cpp
+++ b/libs/gateway/src/TargetWords.cpp
@@ -32,7 +32,7 @@
 namespace {
 
 // A refusal need not repeat the limit, so only a whole answer without it lifts it.
-void takeLimit(GatewayNode &node, const std::string &target, const AnswerFacts &answer)
+void takeLimit(GatewayNode &node, const std::string &target, const AnswerMetadata &answer)
 {
     if (!answer.callsPerSecond && !answer.authentic)
         return;
@@ -64,20 +64,20 @@
 
 // The list may be away for as long as a target needs to leave; its answers still come, and what is
 // sent to it after them is cut when it ends.
-void takeTargetWords(GatewayNode &node, const std::string &target, const AnswerFacts &answer)
+void takeTargetWords(GatewayNode &node, const std::string &target, const AnswerMetadata &answer)
 {
     if (!answer.answeredBy.empty() && answer.answeredBy != target)
         return;
     if (answer.leaving)
         noteLeaving(node, target, "answer");
     takeLimit(node, target, answer);
-    if (answer.wantsNothingFor == Duration::zero())
+    if (answer.backoffTime == Duration::zero())
         return;
     TargetRuntime &runtime = runtimeOf(node, target);
-    const Instant until = BootClock::now() + answer.wantsNothingFor;
+    const Instant until = BootClock::now() + answer.backoffTime;
     runtime.wantsNothingUntil = std::max(runtime.wantsNothingUntil, until);
     logEvent(EventId::TargetHeldBack,
-             {{"target", target}, {"forMs", std::to_string(toMillis(answer.wantsNothingFor))}});
+             {{"target", target}, {"forMs", std::to_string(toMillis(answer.backoffTime))}});
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/TargetWords.h
+++ b/libs/gateway/src/TargetWords.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "GatewayNode.h"
-#include "serving/CallFacts.h"
+#include "serving/CallMetadata.h"
 
 namespace monsoonbay {
 
@@ -10,7 +10,7 @@
  * for how long it wants nothing of this one, and how many calls it takes from all VMs. An answer of
  * another target says nothing of it.
  */
-void takeTargetWords(GatewayNode &node, const std::string &target, const AnswerFacts &answer);
+void takeTargetWords(GatewayNode &node, const std::string &target, const AnswerMetadata &answer);
 
 /** True if the target takes calls of this VM now, by its own words. */
 bool takesCalls(GatewayNode &node, const std::string &target, Instant now);
--- a/libs/gateway/tests/HarmfulWatches.cpp
+++ b/libs/gateway/tests/HarmfulWatches.cpp
@@ -107,7 +107,7 @@
             vms[zone].push_back(std::make_unique<GatewayNode>(settingsOf(
                 "vm-" + std::to_string(zone * vmsOfZone + vm), "zone-" + std::to_string(zone))));
     }
-    for (int zone = 0; zone < endsThatCondemn; ++zone)
+    for (int zone = 0; zone < crashesToBlock; ++zone)
         endUnder(*vms[zone].back(), "t" + std::to_string(zone), harmful);
     std::uint64_t sequence = 0;
     const auto tellRelays = [&] {
@@ -134,7 +134,7 @@
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
     CallEvidence evidence{"a", 0, {harmful}, BootClock::now()};
-    for (int again = 0; again < endsThatCondemn; ++again) {
+    for (int again = 0; again < crashesToBlock; ++again) {
         takeEvidence(node, 1, evidence);
         evidence.at += 1s;
     }
@@ -150,9 +150,9 @@
         endUnder(node, target, harmful);
     cr_assert(refuses(node, harmful));
     const Instant now = BootClock::now();
-    forgetEvidence(node, now + evidenceHolds - 1s);
+    forgetEvidence(node, now + evidenceTtl - 1s);
     cr_assert(refuses(node, harmful));
-    forgetEvidence(node, now + evidenceHolds + 1s);
+    forgetEvidence(node, now + evidenceTtl + 1s);
     cr_assert_not(refuses(node, harmful));
     cr_assert(node.facts.evidence.all().empty());
     cr_assert_eq(node.evidenceCalls, 0);
@@ -181,19 +181,19 @@
 Test(harmful_watch, a_new_start_in_the_list_is_an_end_of_the_former_one)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
-    for (std::int64_t born = 1; born <= endsThatCondemn; ++born) {
+    for (std::int64_t born = 1; born <= crashesToBlock; ++born) {
         takeTargetsByPeer(node, {startOf("a", born, false)});
         loseCall(node, "a");
     }
     cr_assert_not(refuses(node, harmful));
-    takeTargetsByPeer(node, {startOf("a", endsThatCondemn + 1, false)});
+    takeTargetsByPeer(node, {startOf("a", crashesToBlock + 1, false)});
     cr_assert(refuses(node, harmful));
 }
 
 Test(harmful_watch, a_target_that_left_did_not_end_under_its_calls)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
-    for (std::int64_t born = 1; born <= 2 * endsThatCondemn; ++born) {
+    for (std::int64_t born = 1; born <= 2 * crashesToBlock; ++born) {
         takeTargetsByPeer(node, {startOf("a", born, true)});
         loseCall(node, "a");
         dropTargetByPeer(node, "a", true);
--- a/libs/gateway/tests/PrefillReservations.cpp
+++ b/libs/gateway/tests/PrefillReservations.cpp
@@ -32,7 +32,7 @@
     node.orderedBefore = true;
     node.lease.until = now + std::chrono::hours(1);
     for (int partition = 0; partition < node.settings.partitions; ++partition) {
-        node.lease.orderFrom[partition] = now - std::chrono::seconds(1);
+        node.lease.activeFrom[partition] = now - std::chrono::seconds(1);
         node.lease.noted.insert(partition);
     }
 }
--- a/libs/ownership/include/ownership/Ownership.h
+++ b/libs/ownership/include/ownership/Ownership.h
@@ -151,7 +151,7 @@
 bool mayDispatch(const OwnershipState &state, TargetId target, Instant now);
 
 /** True if this VM may order loads and evictions on the target now. Check before every order. */
-bool mayOrder(const OwnershipState &state, TargetId target, Instant now);
+bool mayCommand(const OwnershipState &state, TargetId target, Instant now);
 
 /** The VM to send requests for a target to; value 0 if none is known. */
 VmId ownerOf(const OwnershipState &state, TargetId target);
--- a/libs/ownership/src/Ownership.cpp
+++ b/libs/ownership/src/Ownership.cpp
@@ -310,7 +310,7 @@
     return claim->target.checksTokens || now >= claim->orderAfter;
 }
 
-bool mayOrder(const OwnershipState &state, TargetId target, Instant now)
+bool mayCommand(const OwnershipState &state, TargetId target, Instant now)
 {
     const TargetClaim *claim = findClaim(state, target);
     return claim != nullptr && mayDispatch(state, target, now) && now >= claim->orderAfter;
--- a/libs/ownership/tests/OwnershipSchedules.cpp
+++ b/libs/ownership/tests/OwnershipSchedules.cpp
@@ -243,7 +243,7 @@
 {
     for (std::size_t orderer = 0; orderer < vmCount; ++orderer) {
         const Vm &vm = world.vms[orderer];
-        if (vm.paused || !vm.reachesEngine || !mayOrder(vm.state, target, world.now))
+        if (vm.paused || !vm.reachesEngine || !mayCommand(vm.state, target, world.now))
             continue;
         const bool obeyed =
             !world.fenced || findClaim(vm.state, target)->token >= world.engineToken;
@@ -322,7 +322,7 @@
     World world = runSchedule(true, std::vector<Move>(12));
     std::size_t owner = vmCount;
     for (std::size_t index = 0; index < vmCount; ++index) {
-        if (mayOrder(world.vms[index].state, target, world.now))
+        if (mayCommand(world.vms[index].state, target, world.now))
             owner = index;
     }
     cr_assert(owner < vmCount);
@@ -367,11 +367,11 @@
 {
     World world = runSchedule(false, std::vector<Move>(12));
     for (Vm &vm : world.vms) {
-        if (!mayOrder(vm.state, target, world.now))
+        if (!mayCommand(vm.state, target, world.now))
             continue;
         const Instant wakes = world.now + std::chrono::seconds(60);
         cr_assert_not(mayDispatch(vm.state, target, wakes));
-        cr_assert_not(mayOrder(vm.state, target, wakes));
+        cr_assert_not(mayCommand(vm.state, target, wakes));
         return;
     }
     cr_assert_fail("nobody owned the target");
--- a/libs/quota/tests/Classes.cpp
+++ b/libs/quota/tests/Classes.cpp
@@ -43,7 +43,7 @@
 
 FleetOutcome playBounded(const FleetDay &day)
 {
-    FleetOutcome outcome = playDay(day, Division::BySum);
+    FleetOutcome outcome = simulateDay(day, Division::BySum);
     for (const double served : outcome.servedByClass)
         cr_expect_geq(served, 0.25 * outcome.servedCalls, "%d VMs, rate %g: %g of %g", day.vms,
                       day.limit.ratePerSecond, served, outcome.servedCalls);
@@ -145,7 +145,7 @@
         for (const FleetDay &other : withFaults(day))
             playBounded(other);
         day.oneClass = true;
-        const double blind = playDay(day, Division::BySum).mostOfBound;
+        const double blind = simulateDay(day, Division::BySum).mostOfBound;
         cr_expect_leq(outcome.mostOfBound, std::max(blind, 0.95), "no more than without classes");
     }
 }
--- a/libs/quota/tests/FleetModel.cpp
+++ b/libs/quota/tests/FleetModel.cpp
@@ -564,7 +564,7 @@
 
 } // namespace
 
-FleetOutcome playDay(const FleetDay &day, Division division)
+FleetOutcome simulateDay(const FleetDay &day, Division division)
 {
     FleetOutcome outcome = Fleet(day, division).play();
     if (std::getenv("PRINT_REFUSALS") != nullptr)
--- a/libs/quota/tests/FleetModel.h
+++ b/libs/quota/tests/FleetModel.h
@@ -86,6 +86,6 @@
  * were refused in each half of a second, at how many VMs, for which reason and with which
  * knowledge.
  */
-FleetOutcome playDay(const FleetDay &day, Division division);
+FleetOutcome simulateDay(const FleetDay &day, Division division);
 
 } // namespace monsoonbay
--- a/libs/quota/tests/Limits.cpp
+++ b/libs/quota/tests/Limits.cpp
@@ -49,7 +49,7 @@
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         FleetDay played = day;
         played.seed = seed;
-        const FleetOutcome outcome = playDay(played, Division::BySum);
+        const FleetOutcome outcome = simulateDay(played, Division::BySum);
         cr_expect_leq(outcome.mostOfBound, 1.0, "%d VMs, rate %g: %g of the bound", day.vms,
                       day.limit.ratePerSecond, outcome.mostOfBound);
     }
@@ -107,7 +107,7 @@
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
         for (const FleetDay &day : daysOf(rate))
-            cr_expect_geq(playDay(day, Division::BySum).served, 0.97);
+            cr_expect_geq(simulateDay(day, Division::BySum).served, 0.97);
     }
 }
 
@@ -119,7 +119,7 @@
         for (FleetDay day : daysOf(rate)) {
             day.hot = 7.5;
             mostStaysWithin(day);
-            cr_expect_geq(playDay(day, Division::BySum).served, 0.9);
+            cr_expect_geq(simulateDay(day, Division::BySum).served, 0.9);
             day.callersAt = std::max(2, day.vms / 10);
             mostStaysWithin(day);
         }
@@ -169,8 +169,8 @@
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
         for (FleetDay day : daysOf(rate)) {
             day.restarts = {16s};
-            cr_expect_geq(playDay(day, Division::BySum).served, 0.95, "%d VMs, rate %g", day.vms,
-                          day.limit.ratePerSecond);
+            cr_expect_geq(simulateDay(day, Division::BySum).served, 0.95, "%d VMs, rate %g",
+                          day.vms, day.limit.ratePerSecond);
         }
     }
 }
@@ -197,7 +197,7 @@
         day.callersAt = vms;
         day.newsAge = vms == 300 ? 1200ms : 2400ms;
         day.hot = 1;
-        cr_expect_geq(playDay(day, Division::BySum).served, 0.97, "%d VMs", vms);
+        cr_expect_geq(simulateDay(day, Division::BySum).served, 0.97, "%d VMs", vms);
         day.hot = 7.5;
         mostStaysWithin(day);
     }
@@ -209,7 +209,7 @@
     FleetDay day = daysOf(29000).front();
     day.hot = 6;
     day.seed = 34;
-    cr_expect_leq(playDay(day, Division::BySum).mostOfBound, 1.0);
+    cr_expect_leq(simulateDay(day, Division::BySum).mostOfBound, 1.0);
 }
 
 Test(limits, a_lowered_limit_binds_within_a_window)
--- a/libs/quota/tests/SpendNotes.cpp
+++ b/libs/quota/tests/SpendNotes.cpp
@@ -77,7 +77,7 @@
         day.hotFrom = 12;
         day.quietBefore = true;
         day.restarts = {16s};
-        const FleetOutcome outcome = playDay(day, Division::BySum);
+        const FleetOutcome outcome = simulateDay(day, Division::BySum);
         cr_expect_leq(outcome.mostOfBound, 1.0, "%d VMs: %g of the bound", vms,
                       outcome.mostOfBound);
     }
@@ -88,7 +88,7 @@
 Test(spend_notes, whatever_fails_the_bound_holds)
 {
     cr_assert(rc::check("bound", [] {
-        const FleetOutcome outcome = playDay(drawnDay(), Division::BySum);
+        const FleetOutcome outcome = simulateDay(drawnDay(), Division::BySum);
         RC_ASSERT(outcome.mostOfBound <= 1.0);
     }));
 }
@@ -100,10 +100,10 @@
     for (const int vms : {300, 840}) {
         FleetDay day = dayOf(vms);
         day.hot = 6;
-        const double without = playDay(day, Division::BySum).mostOfBound;
+        const double without = simulateDay(day, Division::BySum).mostOfBound;
         day.restarts = {16s};
         day.apart = 1s;
-        const double with = playDay(day, Division::BySum).mostOfBound;
+        const double with = simulateDay(day, Division::BySum).mostOfBound;
         cr_expect_leq(with, std::max(without, 1.0), "%d VMs: %g, without a restart %g", vms, with,
                       without);
     }
@@ -117,7 +117,7 @@
             FleetDay day = dayOf(vms);
             day.restarts = {16s};
             day.apart = apart;
-            cr_expect_geq(playDay(day, Division::BySum).servedAfter, 0.75, "%d VMs", vms);
+            cr_expect_geq(simulateDay(day, Division::BySum).servedAfter, 0.75, "%d VMs", vms);
         }
     }
 }
@@ -194,7 +194,7 @@
         FleetDay day = dayOf(vms);
         day.restarts = {14s, 19s};
         day.apart = 500ms;
-        cr_expect_geq(playDay(day, Division::BySum).servedAfter, 0.75, "%d VMs", vms);
+        cr_expect_geq(simulateDay(day, Division::BySum).servedAfter, 0.75, "%d VMs", vms);
     }
 }
 
--- a/libs/serving/benchmark/Choices.cpp
+++ b/libs/serving/benchmark/Choices.cpp
@@ -16,7 +16,7 @@
 constexpr int adapterSlots = 7;
 
 /** Calls for adapters of which most are at some engine; time of the slowest in a hundred, us. */
-void choose(benchmark::State &state, double quickestMs)
+void choose(benchmark::State &state, double shortestObjectiveMs)
 {
     std::mt19937 random(3);
     std::vector<ResidentVersions> resident(engineCount);
@@ -36,12 +36,12 @@
         view.fetchMs = 288;
         view.loadMs = view.fetchMs;
         view.idleSlots = 4;
-        view.doubtMs = static_cast<double>(random() % 300);
+        view.jitterMs = static_cast<double>(random() % 300);
     }
     EngineNeed need;
     need.promptTokens = 826;
     need.objectives.firstEventMs = 500;
-    need.quickestMs = quickestMs;
+    need.shortestObjectiveMs = shortestObjectiveMs;
     const EngineWeights weights;
     std::vector<double> times;
     for (auto _ : state) {
--- a/libs/serving/include/serving/CallEvidence.h
+++ b/libs/serving/include/serving/CallEvidence.h
@@ -14,7 +14,7 @@
 struct CallEvidence
 {
     std::string target; ///< that ended; empty: the calls were answered
-    std::int64_t nextBorn = 0; ///< its start after that end, ms by its own clock; 0: not known
+    std::int64_t nextStartTime = 0; ///< its start after that end, ms by its own clock; 0: not known
     std::vector<CallIdentity> calls;
     Instant at{};
 
--- a/libs/serving/include/serving/CallFacts.h
+++ b/libs/serving/include/serving/CallMetadata.h
@@ -19,7 +19,7 @@
 };
 
 /** What a caller's call says of itself, read once from its headers. */
-struct CallFacts
+struct CallMetadata
 {
     std::string attemptId; ///< the caller's id of this attempt
     std::optional<Duration> timeLeft; ///< how long the caller will wait
@@ -35,11 +35,11 @@
     std::optional<std::uint64_t> resumeAfter; ///< id of the last event the caller has
     std::string resumes; ///< attempt that brought the first event of the stream it takes up
 
-    auto operator<=>(const CallFacts &) const = default;
+    auto operator<=>(const CallMetadata &) const = default;
 };
 
 /** What the system adds to a call when it sends it to a target. */
-struct SendFacts
+struct SendMetadata
 {
     std::string targetId;
     std::optional<Duration> timeLeft;
@@ -48,22 +48,22 @@
     std::string workspace; ///< whose call it is; empty: nobody's
     std::optional<std::uint64_t> resumeAfter;
 
-    auto operator<=>(const SendFacts &) const = default;
+    auto operator<=>(const SendMetadata &) const = default;
 };
 
 /** What an answer's head says of itself. */
-struct AnswerFacts
+struct AnswerMetadata
 {
     std::string attemptId; ///< the attempt that it answers; empty if it does not say
     bool authentic = false; ///< it bears the target's seal, and its body is as the target made it
     bool notRun = false; ///< the target says it has not run the call
     bool misdirected = false; ///< another target has the address, or this one lacks the adapter
     bool leaving = false; ///< the target says that it will end soon
-    Duration wantsNothingFor{}; ///< with a refusal: it wants no calls of this VM for so long
+    Duration backoffTime{}; ///< with a refusal: it wants no calls of this VM for so long
     std::optional<double> callsPerSecond; ///< that the target takes from all VMs; empty: no limit
     std::string answeredBy; ///< id of the target that answered; empty if it does not say
 
-    auto operator<=>(const AnswerFacts &) const = default;
+    auto operator<=>(const AnswerMetadata &) const = default;
 };
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/EngineBoard.h
+++ b/libs/serving/include/serving/EngineBoard.h
@@ -25,7 +25,7 @@
     double waitingTokens = 0; ///< prompt tokens sent by all VMs that have no first event yet
     double heldTokens = 0; ///< tokens in memory for all running calls
     int runs = 0; ///< calls under way, of all VMs
-    int quickRuns = 0; ///< those of the route with the least objective among them
+    int shortObjectiveRuns = 0; ///< those of the route with the least objective among them
     double cachedTokens = 0; ///< of this call's prompt that the engine need not read again
     bool usable = true; ///< neither leaving nor ejected
     bool hasModel = true; ///< the base model is there; without it nothing runs
@@ -36,7 +36,7 @@
         -1; ///< until a load of the adapter there is done; below 0: none is waited for
     int idleSlots = 1; ///< adapter slots that no call uses now
     bool hasHolder = false; ///< some VM may order it now
-    double doubtMs = 0; ///< drawn for this call, up to the age of what is known of the load there
+    double jitterMs = 0; ///< drawn for this call, up to the age of what is known of the load there
 };
 
 /** What a route's callers are promised, as far as the choice of an engine depends on it. */
@@ -57,7 +57,7 @@
     double outputTokens = 0;
     EngineObjectives objectives;
     /** Least objective for the first event among the service's routes; 0: all have the same. */
-    double quickestMs = 0;
+    double shortestObjectiveMs = 0;
     double newsAgeMs = 0; ///< age of what is known of the engines' load
     bool mayCopyEarly = true; ///< false once an engine has declined a load for this call
 };
@@ -78,9 +78,9 @@
 };
 
 /** What long prompts leave to calls with a shorter objective; see ForecastChoice.h. */
-enum class LongPrompts : std::uint8_t {
+enum class LongPromptPolicy : std::uint8_t {
     Alone, ///< nothing: their own forecast decides
-    FewerQuick, ///< among engines that meet their objective, those where fewer such calls run
+    FewestShortRuns, ///< among engines that meet their objective, those where fewer such calls run
     Apart, ///< one engine in four, while others meet their objective
 };
 
@@ -98,7 +98,7 @@
      * Fetching weights anew is paid for, so an engine that held the adapter lately is taken if it
      * costs at most this many loads more.
      */
-    double warmLoads = 1.5;
+    double maxWarmExtraLoads = 1.5;
     /** What one more running call costs the others, ms: it lengthens each step a little. */
     double runMs = 4;
     /**
@@ -106,21 +106,21 @@
      * second copy of the adapter is weighed. With 0.6, a tenth more adapters came from the store,
      * which cost callers more than the late calls it saved.
      */
-    double calmShare = 0.85;
+    double onTimeShare = 0.85;
     /** A second copy displaces another adapter: it must save this many loads' time. */
-    double copyLoads = 0.6;
+    double copyExtraLoads = 0.6;
     /**
      * Prompt tokens that are read between two events of the running streams without a pause over
      * the objective take this share of it: each of the steps between also makes a token.
      */
     double pauseShare = 0.52;
     /** What it costs to pass that once over for each running stream, ms. */
-    double gapMs = 10;
+    double pausePenaltyMs = 10;
     /** A home is left for the next one if it is behind the least busy engine by so many loads. */
-    double spillLoads = 1.7;
+    double maxSpillLoads = 1.7;
     /** Part of the engine's memory that may be filled by running calls. */
     double memoryShare = 0.9;
-    LongPrompts longPrompts = LongPrompts::Alone;
+    LongPromptPolicy longPrompts = LongPromptPolicy::Alone;
 
     auto operator<=>(const EngineWeights &) const = default;
 };
@@ -140,8 +140,8 @@
                         const EngineWeights &weights, bool there) noexcept;
 
 /** True if the engine has a request slot and memory left for the call. */
-bool hasRoom(const EngineView &engine, const EngineNeed &need,
-             const EngineWeights &weights) noexcept;
+bool hasCapacity(const EngineView &engine, const EngineNeed &need,
+                 const EngineWeights &weights) noexcept;
 
 /** True if the engine has the adapter in the version that the call needs. */
 bool hasAdapter(const EngineView &engine, const EngineNeed &need);
--- a/libs/serving/include/serving/EngineLog.h
+++ b/libs/serving/include/serving/EngineLog.h
@@ -17,7 +17,7 @@
     EngineRecord
         record; ///< if it is not whole: of `resident`, what was added or has other versions
     bool whole = true;
-    bool sameHead = false; ///< holder, start and models are those that the reader knows
+    bool sameHeader = false; ///< holder, start and models are those that the reader knows
     std::vector<std::string> gone; ///< adapters that are no longer there
     std::uint64_t digest = 0; ///< of head and slots as they have to be then
 
@@ -88,8 +88,8 @@
         std::map<std::string, std::uint64_t> gone;
     };
 
-    static void noteSlots(Parts &parts, const EngineRecord &before, const EngineRecord &after,
-                          std::uint64_t number);
+    static void recordSlotChanges(Parts &parts, const EngineRecord &before,
+                                  const EngineRecord &after, std::uint64_t number);
 
     Records records;
     std::map<std::string, Parts> parts;
--- a/libs/serving/include/serving/EngineRecord.h
+++ b/libs/serving/include/serving/EngineRecord.h
@@ -37,7 +37,7 @@
     // What its holder has learnt of loads, in coarse steps, as each change is told to all.
     double fetchMs = 0; ///< expected time of a load from the weight store, ms
     double copyMs = 0; ///< of one from the engine's own memory, ms
-    double copiesKept = 0; ///< loads for which a copy stays there; see HostMemory
+    double copiesKept = 0; ///< loads for which a copy stays there; see HostRetention
 
     bool operator==(const EngineRecord &) const = default;
 };
--- a/libs/serving/include/serving/HarmfulCalls.h
+++ b/libs/serving/include/serving/HarmfulCalls.h
@@ -10,19 +10,19 @@
 namespace monsoonbay {
 
 /** A call is kept from targets once this many have ended under it. */
-constexpr int endsThatCondemn = 3;
+constexpr int crashesToBlock = 3;
 
 /** The same where several calls were under way at all of these ends: one of them is to blame. */
-constexpr int endsThatCondemnSeveral = 5;
+constexpr int crashesToBlockTied = 5;
 
 /**
  * A call that was answered ends no targets, and will not begin to soon: a call that many make is
  * under way wherever targets end, also where several end at nearly the same time.
  */
-constexpr Duration answerVouches = std::chrono::seconds(60);
+constexpr Duration answerClearsFor = std::chrono::seconds(60);
 
 /** Evidence counts this long. A call that still does harm costs that many targets again then. */
-constexpr Duration evidenceHolds = std::chrono::hours(1);
+constexpr Duration evidenceTtl = std::chrono::hours(1);
 
 /** A call that ends the targets that run it. */
 struct HarmfulCall
@@ -30,7 +30,7 @@
     std::uint64_t content = 0;
     std::optional<std::uint64_t> caller; ///< nothing: whoever sends it
     int ends = 0; ///< of targets that it explains
-    Instant firstEndAt{};
+    Instant firstCrashAt{};
 
     auto operator<=>(const HarmfulCall &) const = default;
 };
@@ -50,7 +50,7 @@
  * Finds the calls that explain the ends of targets, the one that explains most of them first. The
  * same evidence gives the same verdict at each VM, in whatever order it came.
  */
-HarmfulCalls judgeCalls(const std::vector<const CallEvidence *> &evidence);
+HarmfulCalls findHarmfulCalls(const std::vector<const CallEvidence *> &evidence);
 
 /** Null: the call may be sent to targets. */
 const HarmfulCall *findHarmful(const HarmfulCalls &harmful, const CallIdentity &call) noexcept;
@@ -59,6 +59,6 @@
 bool isSuspect(const HarmfulCalls &harmful, const CallIdentity &call) noexcept;
 
 /** When a harmful call may be tried again, if no further target ends under it. */
-Instant forgottenAt(const HarmfulCall &call) noexcept;
+Instant blockedUntil(const HarmfulCall &call) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/HostCopies.h
+++ b/libs/serving/include/serving/HostCopies.h
@@ -12,35 +12,36 @@
  * counted in loads there; the engines of a service are alike. Learnt from loads that turned out
  * fast or not.
  */
-struct HostMemory
+struct HostRetention
 {
     double loads = 128; ///< a first guess; left within some dozens of loads, both ways
 
-    auto operator<=>(const HostMemory &) const = default;
+    auto operator<=>(const HostRetention &) const = default;
 };
 
 /** Adapters that an engine held, and how long ago. */
 struct HostCopies
 {
-    std::unordered_map<std::string, std::uint64_t> touchedAs; ///< number of the touch, by adapter
+    std::unordered_map<std::string, std::uint64_t>
+        touchNumbers; ///< number of the touch, by adapter
     std::uint64_t touches = 0;
 
     bool operator==(const HostCopies &) const = default;
 };
 
 /** The adapter came into a slot of the engine, or left it. */
-void noteTouched(HostCopies &copies, const std::string &adapter);
+void recordTouch(HostCopies &copies, const std::string &adapter);
 
 /** Loads at the engine since the adapter was last touched; below 0: it never was. */
-double loadsSince(const HostCopies &copies, const std::string &adapter);
+double loadsSinceTouch(const HostCopies &copies, const std::string &adapter);
 
 /** True if the engine is believed to keep the adapter in its memory. */
-bool hasHostCopy(const HostCopies &copies, const std::string &adapter, const HostMemory &memory);
+bool hasHostCopy(const HostCopies &copies, const std::string &adapter, const HostRetention &memory);
 
 /** A copy was gone so many loads after it was touched, though it was believed to be there. */
-void noteCopyGone(HostMemory &memory, double loads) noexcept;
+void shortenRetention(HostRetention &memory, double loads) noexcept;
 
 /** A copy was there after so many loads. */
-void noteCopyFound(HostMemory &memory, double loads) noexcept;
+void lengthenRetention(HostRetention &memory, double loads) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/OrderDesk.h
+++ b/libs/serving/include/serving/OrderDesk.h
@@ -26,7 +26,7 @@
     Instant orderedAt{}; ///< when its load was accepted
     Instant triedAt{}; ///< a first call was let through to see whether it is there
     int underWay = 1; ///< loads from the weight store then, over all engines, this one counted
-    double loadsSince = -1; ///< at this engine, when it was last there; below 0: it never was
+    double loadsSinceTouch = -1; ///< at this engine, when it was last there; below 0: it never was
     std::int64_t sequence = 0; ///< the engine's count of orders with its load
     bool judged = true; ///< what became of its load has taught
     int earlyCalls = 0; ///< refused since it was ordered
@@ -93,7 +93,7 @@
 struct LoadBeliefs
 {
     LoadPace pace;
-    HostMemory memory;
+    HostRetention memory;
 
     auto operator<=>(const LoadBeliefs &) const = default;
 };
--- a/libs/serving/include/serving/HolderLease.h
+++ b/libs/serving/include/serving/PartitionLease.h
@@ -11,63 +11,63 @@
 namespace monsoonbay {
 
 /** A partition that a VM ordered until it gave it up. */
-struct Release
+struct PartitionRelease
 {
     int partition = 0;
     std::int64_t generation = 0; ///< the last in which that VM held it
     Instant at{}; ///< no order of that VM after this
 
-    auto operator<=>(const Release &) const = default;
+    auto operator<=>(const PartitionRelease &) const = default;
 };
 
 /** The last note in the store of who orders a partition. */
-struct OrdererNote
+struct HolderRecord
 {
     std::string vm;
     std::int64_t generation = 0; ///< in which that VM noted it
 
-    auto operator<=>(const OrdererNote &) const = default;
+    auto operator<=>(const HolderRecord &) const = default;
 };
 
 /** All such notes of a zone, as one read saw them. */
-struct OrdererNotes
+struct HolderRecords
 {
-    std::map<int, OrdererNote> last; ///< by partition
+    std::map<int, HolderRecord> last; ///< by partition
     std::uint64_t end = 0; ///< a note is added only if none was added since
 
-    auto operator<=>(const OrdererNotes &) const = default;
+    auto operator<=>(const HolderRecords &) const = default;
 };
 
 /** A note that a VM is about to add: it orders this partition. */
-struct OrderClaim
+struct HolderClaim
 {
     int partition = 0;
-    std::int64_t gainedIn = 0;
+    std::int64_t acquiredIn = 0;
     bool again = false; ///< nobody has ordered since this VM did
 
-    auto operator<=>(const OrderClaim &) const = default;
+    auto operator<=>(const HolderClaim &) const = default;
 };
 
 /**
  * The right of a VM to give orders to the engines of some partitions.
  *
  * A partition is dealt by the platform's store to one member of a group. Its holder orders from
- * `orderFrom` until the lease ends, by a clock that counts through a pause of the VM. While the
+ * `activeFrom` until the lease ends, by a clock that counts through a pause of the VM. While the
  * store is away the lease goes on as long as all VMs that could have been dealt its partitions say
  * that they cannot reach the store either.
  */
-struct HolderLease
+struct PartitionLease
 {
     std::int64_t generation = 0; ///< also the fencing token of orders
     Instant until{}; ///< the store deals anew after this
-    Instant goesOnUntil{}; ///< by the word of the other VMs; may be later than `until`
-    std::map<int, Instant> orderFrom; ///< by partition held
-    std::map<int, std::int64_t> gainedIn; ///< generation that brought each partition held
+    Instant extendedUntil{}; ///< by the word of the other VMs; may be later than `until`
+    std::map<int, Instant> activeFrom; ///< by partition held
+    std::map<int, std::int64_t> acquiredIn; ///< generation that brought each partition held
     std::set<int> looked; ///< partitions held whose notes were read since they were gained
     std::set<int> noted; ///< partitions held for which this VM has noted that it orders them
-    std::vector<Release> releases; ///< of this VM, to be told to the others
+    std::vector<PartitionRelease> releases; ///< of this VM, to be told to the others
 
-    bool operator==(const HolderLease &) const = default;
+    bool operator==(const PartitionLease &) const = default;
 };
 
 /** Times that keep two holders apart. */
@@ -77,7 +77,7 @@
     Duration margin = std::chrono::milliseconds(300); ///< an order is under way this long at most
     Duration apart = std::chrono::milliseconds(3000); ///< between the orders of two holders
     /** The word of another VM counts this long; news come five times as often. */
-    Duration wordHolds = std::chrono::milliseconds(1000);
+    Duration peerStateTtl = std::chrono::milliseconds(1000);
 
     auto operator<=>(const LeaseTiming &) const = default;
 };
@@ -92,44 +92,46 @@
 };
 
 /** What another VM that may be dealt the same partitions said last. */
-struct MateWord
+struct PeerLeaseState
 {
     Instant heardAt{};
     std::int64_t generation = 0; ///< newest that it knows
     bool storeAway = false; ///< its own last renewal failed
 
-    auto operator<=>(const MateWord &) const = default;
+    auto operator<=>(const PeerLeaseState &) const = default;
 };
 
 /** Takes an answer to a renewal that was sent at `sentAt` and arrived at `now`. */
-void renewLease(HolderLease &lease, const LeaseGrant &grant, const LeaseTiming &timing,
+void renewLease(PartitionLease &lease, const LeaseGrant &grant, const LeaseTiming &timing,
                 Instant sentAt, Instant now);
 
 /** The last renewal failed: lets the lease go on if all mates allow it, or drops it in time. */
-void extendLease(HolderLease &lease, const std::vector<MateWord> &mates, const LeaseTiming &timing,
-                 Instant now);
+void extendLease(PartitionLease &lease, const std::vector<PeerLeaseState> &mates,
+                 const LeaseTiming &timing, Instant now);
 
 /** Gives up all rights at once. */
-void dropLease(HolderLease &lease, Instant now);
+void dropLease(PartitionLease &lease, Instant now);
 
 /** Another VM has told that it gave up a partition: the wait for it may be shorter. */
-void noteRelease(HolderLease &lease, const Release &release, const LeaseTiming &timing);
+void applyRelease(PartitionLease &lease, const PartitionRelease &release,
+                  const LeaseTiming &timing);
 
 /** True if the notes in the store are to be read, and perhaps one to be added. */
-bool isNoteDue(const HolderLease &lease, Instant now) noexcept;
+bool isNoteDue(const PartitionLease &lease, Instant now) noexcept;
 
 /** What `vm` may note now; call with notes that were read after the lease was last renewed. */
-std::vector<OrderClaim> claimsToNote(HolderLease &lease, const OrdererNotes &notes,
-                                     const std::string &vm, const LeaseTiming &timing, Instant now);
+std::vector<HolderClaim> claimsToRecord(PartitionLease &lease, const HolderRecords &notes,
+                                        const std::string &vm, const LeaseTiming &timing,
+                                        Instant now);
 
 /** The store has added these notes, and no other since the read that they rest on. */
-void takeNoted(HolderLease &lease, const std::vector<OrderClaim> &claims, Instant now);
+void confirmClaims(PartitionLease &lease, const std::vector<HolderClaim> &claims, Instant now);
 
 /** True if no partition held has to be waited for any more. */
-bool ordersAll(const HolderLease &lease, Instant now) noexcept;
+bool isFullyActive(const PartitionLease &lease, Instant now) noexcept;
 
 /** Ask directly before each order. */
-bool mayOrder(const HolderLease &lease, int partition, Instant now) noexcept;
+bool mayCommand(const PartitionLease &lease, int partition, Instant now) noexcept;
 
 /** The partition that an engine belongs to. */
 int partitionOf(std::uint64_t targetHash, int partitions) noexcept;
--- a/libs/serving/include/serving/PromptPrefixes.h
+++ b/libs/serving/include/serving/PromptPrefixes.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "serving/CallFacts.h"
+#include "serving/CallMetadata.h"
 
 namespace monsoonbay {
 
--- a/libs/serving/include/serving/ServingConfig.h
+++ b/libs/serving/include/serving/ServingConfig.h
@@ -62,7 +62,7 @@
      * Least objective for the first event among the routes to a service that name one; nothing if
      * they all name the same.
      */
-    std::optional<Duration> quickestObjective(const std::string &service) const;
+    std::optional<Duration> shortestObjective(const std::string &service) const;
 
     /** Longest time that a caller waits for a stream of the service which it may take up again. */
     Duration longestStream(const std::string &service) const;
--- a/libs/serving/include/serving/TargetUse.h
+++ b/libs/serving/include/serving/TargetUse.h
@@ -13,7 +13,7 @@
     int busySlots = 0; ///< adapter slots in use by calls of all VMs; told by the engine's holder
     int faults = 0; ///< weight of the calls that failed there lately, in tenths; see TargetHealth
     int goods = 0; ///< calls that ended well there lately, in tenths
-    int quickRuns = 0; ///< runs of the routes with the least objective, if they differ
+    int shortObjectiveRuns = 0; ///< runs of the routes with the least objective, if they differ
 
     bool operator==(const TargetUse &) const = default;
 };
--- a/libs/serving/src/EngineBoard.cpp
+++ b/libs/serving/src/EngineBoard.cpp
@@ -31,7 +31,7 @@
     for (std::size_t index = 0; index < engines.size(); ++index) {
         if (!accepts(engines[index]))
             continue;
-        const double cost = expectedCostMs(engines[index], need, weights) + engines[index].doubtMs;
+        const double cost = expectedCostMs(engines[index], need, weights) + engines[index].jitterMs;
         if (cost >= bestCost)
             continue;
         best = index;
@@ -47,7 +47,7 @@
     const auto warm = leastCost(engines, need, weights, [&](const EngineView &engine) {
         return engine.warm && eligible[static_cast<std::size_t>(&engine - engines.data())];
     });
-    return firstHomeOf(
+    return choosePreferredEngine(
         engines, need, weights, warm, [&](std::size_t index) { return eligible[index]; },
         [&](std::size_t index) { return expectedCostMs(engines[index], need, weights); });
 }
@@ -66,7 +66,7 @@
     const double unnoticed =
         weights.promptTokensPerMs * weights.pauseShare * need.objectives.pauseMs;
     const double over = std::max(engine.waitingTokens + fresh - unnoticed, 0.0);
-    return weights.gapMs * engine.runs * over / unnoticed;
+    return weights.pausePenaltyMs * engine.runs * over / unnoticed;
 }
 
 double expectedCostMs(const EngineView &engine, const EngineNeed &need,
@@ -78,8 +78,8 @@
         + expectedPausesMs(engine, need, weights, there) + (there ? 0 : engine.loadMs);
 }
 
-bool hasRoom(const EngineView &engine, const EngineNeed &need,
-             const EngineWeights &weights) noexcept
+bool hasCapacity(const EngineView &engine, const EngineNeed &need,
+                 const EngineWeights &weights) noexcept
 {
     if (engine.runs >= engine.slots)
         return false;
@@ -104,13 +104,13 @@
 EngineChoice chooseEngine(const std::vector<EngineView> &engines, const EngineNeed &need,
                           const std::vector<std::string> &tried, const EngineWeights &weights)
 {
-    if (need.quickestMs > 0)
+    if (need.shortestObjectiveMs > 0)
         return chooseByForecast(engines, need, tried, weights);
     const auto usable = [&](const EngineView &engine) {
         return engine.usable && engine.hasModel && !isTried(tried, engine.id);
     };
     const auto ready = [&](const EngineView &engine) {
-        return usable(engine) && hasRoom(engine, need, weights) && hasAdapter(engine, need);
+        return usable(engine) && hasCapacity(engine, need, weights) && hasAdapter(engine, need);
     };
     const std::optional<std::size_t> resident = leastCost(engines, need, weights, ready);
     if (need.adapter.empty()) {
@@ -124,17 +124,18 @@
         const EngineView &engine = engines[index];
         anyUsable = anyUsable || usable(engine);
         loadable[index] = !need.adapter.empty() && usable(engine) && engine.hasHolder
-            && engine.idleSlots > 0 && hasRoom(engine, need, weights) && !hasAdapter(engine, need);
+            && engine.idleSlots > 0 && hasCapacity(engine, need, weights)
+            && !hasAdapter(engine, need);
         anyLoadable = anyLoadable || loadable[index];
     }
     const std::optional<std::size_t> home =
         anyLoadable ? firstHome(engines, need, weights, loadable) : std::nullopt;
     if (resident) {
         const double stay = expectedCostMs(engines[*resident], need, weights);
-        const bool copyPays = home && stay > weights.calmShare * need.objectives.firstEventMs
+        const bool copyPays = home && stay > weights.onTimeShare * need.objectives.firstEventMs
             && engines[*home].idleSlots >= idleSlotsForCopy
             && stay > expectedCostMs(engines[*home], need, weights)
-                    + weights.copyLoads * engines[*home].fetchMs;
+                    + weights.copyExtraLoads * engines[*home].fetchMs;
         return copyPays ? EngineChoice{EngineStep::Load, *home}
                         : EngineChoice{EngineStep::Send, *resident};
     }
--- a/libs/serving/src/EngineForecast.cpp
+++ b/libs/serving/src/EngineForecast.cpp
@@ -12,7 +12,7 @@
 
 bool meetsObjective(double forecast, const EngineNeed &need, const EngineWeights &weights) noexcept
 {
-    return forecast <= weights.calmShare * need.objectives.firstEventMs;
+    return forecast <= weights.onTimeShare * need.objectives.firstEventMs;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/EngineLog.cpp
+++ b/libs/serving/src/EngineLog.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 /** Adapters that left are remembered for readers that report seldom; some readers hear more. */
-constexpr std::size_t mostGone = 64;
+constexpr std::size_t maxRemoved = 64;
 
-bool hasSameHead(const EngineRecord &left, const EngineRecord &right)
+bool hasSameHeader(const EngineRecord &left, const EngineRecord &right)
 {
     return std::tie(left.holder, left.born, left.models)
         == std::tie(right.holder, right.born, right.models);
@@ -40,7 +40,7 @@
     if (known == nullptr)
         return std::nullopt;
     EngineRecord record = change.record;
-    if (change.sameHead) {
+    if (change.sameHeader) {
         record.holder = known->holder;
         record.born = known->born;
         record.models = known->models;
@@ -55,8 +55,8 @@
     return record;
 }
 
-void EngineLog::noteSlots(Parts &parts, const EngineRecord &before, const EngineRecord &after,
-                          std::uint64_t number)
+void EngineLog::recordSlotChanges(Parts &parts, const EngineRecord &before,
+                                  const EngineRecord &after, std::uint64_t number)
 {
     for (const auto &[adapter, version] : after.resident) {
         const auto known = before.resident.find(adapter);
@@ -71,7 +71,7 @@
         parts.there.erase(adapter);
         parts.gone[adapter] = number;
     }
-    while (parts.gone.size() > mostGone) {
+    while (parts.gone.size() > maxRemoved) {
         const auto oldest = std::min_element(
             parts.gone.begin(), parts.gone.end(),
             [](const auto &left, const auto &right) { return left.second < right.second; });
@@ -89,9 +89,9 @@
         changed = Parts();
         changed.wholeSince = number;
     } else {
-        if (!hasSameHead(*known, record))
+        if (!hasSameHeader(*known, record))
             changed.head = number;
-        noteSlots(changed, *known, record, number);
+        recordSlotChanges(changed, *known, record, number);
     }
     changed.digest = digestOf(record);
     return this->records.set(target, std::move(record), counter);
@@ -114,9 +114,9 @@
         return change;
     }
     change.whole = false;
-    change.sameHead = changed.head <= seen;
+    change.sameHeader = changed.head <= seen;
     change.digest = changed.digest;
-    if (!change.sameHead) {
+    if (!change.sameHeader) {
         change.record.holder = record.holder;
         change.record.born = record.born;
         change.record.models = record.models;
--- a/libs/serving/src/ForecastChoice.cpp
+++ b/libs/serving/src/ForecastChoice.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /** Engines up to which a decision allocates nothing. */
-constexpr std::size_t engineRoom = 256;
+constexpr std::size_t inlineEngines = 256;
 
 /** What an engine may do for the call. */
 enum class EngineUse : std::uint8_t {
@@ -30,7 +30,7 @@
     int yielding = 0; ///< of a long prompt to quick calls; engines with less go first
 };
 
-using Figures = boost::container::small_vector<EngineFigures, engineRoom>;
+using Figures = boost::container::small_vector<EngineFigures, inlineEngines>;
 
 bool isUsable(const EngineView &engine, const std::vector<std::string> &tried)
 {
@@ -45,16 +45,16 @@
 
 bool isLong(const EngineNeed &need, const EngineWeights &weights)
 {
-    return need.objectives.firstEventMs > need.quickestMs
-        && need.promptTokens / weights.promptTokensPerMs > longShare * need.quickestMs;
+    return need.objectives.firstEventMs > need.shortestObjectiveMs
+        && need.promptTokens / weights.promptTokensPerMs > longShare * need.shortestObjectiveMs;
 }
 
 int yieldingOf(const EngineView &engine, const EngineNeed &need, const EngineWeights &weights)
 {
-    if (weights.longPrompts == LongPrompts::Alone || !isLong(need, weights))
+    if (weights.longPrompts == LongPromptPolicy::Alone || !isLong(need, weights))
         return 0;
-    if (weights.longPrompts == LongPrompts::FewerQuick)
-        return engine.quickRuns;
+    if (weights.longPrompts == LongPromptPolicy::FewestShortRuns)
+        return engine.shortObjectiveRuns;
     return engine.hash % apartOneIn == 0 ? 1 : 0;
 }
 
@@ -96,7 +96,7 @@
                         const EngineWeights &weights, AdapterSearch &search)
 {
     EngineFigures figures;
-    if (!hasRoom(engine, need, weights))
+    if (!hasCapacity(engine, need, weights))
         return figures;
     const bool there = search.isAt(engine);
     if (!there && (!engine.hasHolder || engine.idleSlots <= 0))
@@ -134,7 +134,7 @@
     for (std::size_t index = 0; index < engines.size(); ++index) {
         if (figures[index].use != use || !accepts(engines[index]))
             continue;
-        const double cost = figures[index].cost + engines[index].doubtMs;
+        const double cost = figures[index].cost + engines[index].jitterMs;
         if (best && !goesBefore(figures[index], cost, figures[*best], bestCost))
             continue;
         best = index;
@@ -158,13 +158,13 @@
             anyOpen || (engine.use == EngineUse::Load && engine.meets && engine.yielding == 0);
     const auto isCandidate = [&](const EngineFigures &engine) {
         return engine.use == EngineUse::Load && (engine.meets || !anyMeets)
-            && (weights.longPrompts != LongPrompts::Apart || !anyOpen || engine.yielding == 0);
+            && (weights.longPrompts != LongPromptPolicy::Apart || !anyOpen || engine.yielding == 0);
     };
     auto warm = leastCost(engines, figures, EngineUse::Load,
                           [](const EngineView &engine) { return engine.warm; });
     if (warm && !isCandidate(figures[*warm]))
         warm.reset();
-    return firstHomeOf(
+    return choosePreferredEngine(
         engines, need, weights, warm,
         [&](std::size_t index) { return isCandidate(figures[index]); },
         [&](std::size_t index) { return figures[index].cost; });
@@ -191,7 +191,7 @@
  */
 bool isCostly(const EngineFigures &stay, const EngineNeed &need, const EngineWeights &weights)
 {
-    return stay.cost > weights.calmShare * need.objectives.firstEventMs;
+    return stay.cost > weights.onTimeShare * need.objectives.firstEventMs;
 }
 
 /** True if the adapter is to be loaded at `home` although `stay` has it. */
@@ -203,7 +203,7 @@
     if (home.meets && (!stay.meets || mayBeLate(stay, need)))
         return true;
     return isCostly(stay, need, weights)
-        && stay.cost > home.cost + weights.copyLoads * homeView.fetchMs;
+        && stay.cost > home.cost + weights.copyExtraLoads * homeView.fetchMs;
 }
 
 } // namespace
--- a/libs/serving/src/HarmfulCalls.cpp
+++ b/libs/serving/src/HarmfulCalls.cpp
@@ -19,7 +19,7 @@
 struct TargetEnd
 {
     Instant at{};
-    std::int64_t nextBorn = 0; ///< 0: not known
+    std::int64_t nextStartTime = 0; ///< 0: not known
     std::set<CallIdentity> calls;
     bool explained = false;
 };
@@ -51,9 +51,9 @@
 TargetEnd *findEnd(std::vector<TargetEnd *> &ofTarget, const CallEvidence &item)
 {
     for (TargetEnd *end : ofTarget) {
-        const bool sameStart = item.nextBorn != 0 && end->nextBorn == item.nextBorn;
-        const bool otherStart =
-            item.nextBorn != 0 && end->nextBorn != 0 && end->nextBorn != item.nextBorn;
+        const bool sameStart = item.nextStartTime != 0 && end->nextStartTime == item.nextStartTime;
+        const bool otherStart = item.nextStartTime != 0 && end->nextStartTime != 0
+            && end->nextStartTime != item.nextStartTime;
         const Duration apart = item.at > end->at ? item.at - end->at : end->at - item.at;
         if (sameStart || (!otherStart && apart < sameEnd))
             return end;
@@ -69,7 +69,8 @@
             ordered.push_back(item);
     }
     std::sort(ordered.begin(), ordered.end(), [](const CallEvidence *a, const CallEvidence *b) {
-        return std::tie(a->target, a->at, a->nextBorn) < std::tie(b->target, b->at, b->nextBorn);
+        return std::tie(a->target, a->at, a->nextStartTime)
+            < std::tie(b->target, b->at, b->nextStartTime);
     });
     std::vector<TargetEnd> ends;
     ends.reserve(ordered.size()); // the places of ends are kept below
@@ -85,7 +86,7 @@
             end->at = item->at;
             ofTarget.push_back(end);
         }
-        end->nextBorn = std::max(end->nextBorn, item->nextBorn);
+        end->nextStartTime = std::max(end->nextStartTime, item->nextStartTime);
         end->calls.insert(item->calls.begin(), item->calls.end());
     }
     return ends;
@@ -95,7 +96,7 @@
 bool isVouchedFor(const std::map<Key, Instant> &answers, const Key &key, Instant end)
 {
     const auto answered = answers.find(key);
-    return answered != answers.end() && answered->second + answerVouches >= end;
+    return answered != answers.end() && answered->second + answerClearsFor >= end;
 }
 
 /** Ends, by their places in the list of all, that a call could explain. */
@@ -146,7 +147,7 @@
 
 /** All calls that explain just these ends; one caller's calls rather than those of all callers. */
 std::vector<HarmfulCall> explaining(const Candidates &candidates, const Explained &ends,
-                                    Instant firstEndAt)
+                                    Instant firstCrashAt)
 {
     std::vector<HarmfulCall> found;
     std::set<std::uint64_t> contents;
@@ -154,12 +155,12 @@
     for (const auto &[call, explained] : candidates.byCall) {
         if (explained != ends)
             continue;
-        found.push_back({call.content, call.caller, count, firstEndAt});
+        found.push_back({call.content, call.caller, count, firstCrashAt});
         contents.insert(call.content);
     }
     for (const auto &[content, explained] : candidates.byContent) {
         if (explained == ends && contents.count(content) == 0)
-            found.push_back({content, std::nullopt, count, firstEndAt});
+            found.push_back({content, std::nullopt, count, firstCrashAt});
     }
     return found;
 }
@@ -182,7 +183,7 @@
 // Each end breaks off many calls, and only one of them is to blame. Counted each for itself, calls
 // that were under way beside a harmful one again and again would be turned away with it. Where two
 // calls explain the same ends, the next end or an answer tells them apart; so it is waited for.
-HarmfulCalls judgeCalls(const std::vector<const CallEvidence *> &evidence)
+HarmfulCalls findHarmfulCalls(const std::vector<const CallEvidence *> &evidence)
 {
     HarmfulCalls verdict;
     std::vector<TargetEnd> ends = endsOf(evidence);
@@ -193,7 +194,7 @@
     while (true) {
         const Explained most = mostExplained(candidates);
         const int count = static_cast<int>(most.size());
-        if (count < endsThatCondemn)
+        if (count < crashesToBlock)
             return verdict;
         Instant first = ends[most.front()].at;
         for (const std::size_t end : most) {
@@ -201,7 +202,7 @@
             first = std::min(first, ends[end].at);
         }
         const std::vector<HarmfulCall> found = explaining(candidates, most, first);
-        if (found.size() == 1 || count >= endsThatCondemnSeveral)
+        if (found.size() == 1 || count >= crashesToBlockTied)
             verdict.calls.insert(verdict.calls.end(), found.begin(), found.end());
         candidates = candidatesOf(ends, answers);
     }
@@ -222,9 +223,9 @@
         || std::binary_search(contents.begin(), contents.end(), call.content);
 }
 
-Instant forgottenAt(const HarmfulCall &call) noexcept
+Instant blockedUntil(const HarmfulCall &call) noexcept
 {
-    return call.firstEndAt + evidenceHolds;
+    return call.firstCrashAt + evidenceTtl;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/HomeOrder.h
+++ b/libs/serving/src/HomeOrder.h
@@ -18,17 +18,17 @@
  * the adapter lately goes first: loading it there is fast and fetches no weights.
  */
 template <typename Candidate, typename Cost>
-std::optional<std::size_t> firstHomeOf(const std::vector<EngineView> &engines,
-                                       const EngineNeed &need, const EngineWeights &weights,
-                                       std::optional<std::size_t> warm, Candidate isCandidate,
-                                       Cost costOf)
+std::optional<std::size_t>
+choosePreferredEngine(const std::vector<EngineView> &engines, const EngineNeed &need,
+                      const EngineWeights &weights, std::optional<std::size_t> warm,
+                      Candidate isCandidate, Cost costOf)
 {
     double least = std::numeric_limits<double>::infinity();
     for (std::size_t index = 0; index < engines.size(); ++index) {
         if (isCandidate(index))
             least = std::min(least, costOf(index));
     }
-    if (warm && costOf(*warm) <= least + weights.warmLoads * engines[*warm].fetchMs)
+    if (warm && costOf(*warm) <= least + weights.maxWarmExtraLoads * engines[*warm].fetchMs)
         return warm;
     const std::uint64_t key = stableHash(need.adapter);
     std::optional<std::size_t> best;
@@ -36,7 +36,7 @@
     for (std::size_t index = 0; index < engines.size(); ++index) {
         if (!isCandidate(index))
             continue;
-        if (costOf(index) > least + weights.spillLoads * engines[index].fetchMs)
+        if (costOf(index) > least + weights.maxSpillLoads * engines[index].fetchMs)
             continue;
         const std::uint64_t score = rendezvousScore(key, engines[index].hash);
         if (best && score <= bestScore)
--- a/libs/serving/src/HostCopies.cpp
+++ b/libs/serving/src/HostCopies.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /** Touches that are remembered; an engine that keeps more copies is only counted on for these. */
-constexpr std::uint64_t mostRemembered = 1024;
+constexpr std::uint64_t maxRemembered = 1024;
 
 /** Of what a surprise shows to be too long, this share is taken off at once. */
 constexpr double shortenShare = 0.5;
@@ -22,40 +22,40 @@
 
 } // namespace
 
-void noteTouched(HostCopies &copies, const std::string &adapter)
+void recordTouch(HostCopies &copies, const std::string &adapter)
 {
-    copies.touchedAs[adapter] = ++copies.touches;
-    if (copies.touchedAs.size() <= 2 * mostRemembered)
+    copies.touchNumbers[adapter] = ++copies.touches;
+    if (copies.touchNumbers.size() <= 2 * maxRemembered)
         return;
-    const std::uint64_t oldest = copies.touches - mostRemembered;
-    std::erase_if(copies.touchedAs, [oldest](const auto &copy) { return copy.second < oldest; });
+    const std::uint64_t oldest = copies.touches - maxRemembered;
+    std::erase_if(copies.touchNumbers, [oldest](const auto &copy) { return copy.second < oldest; });
 }
 
-double loadsSince(const HostCopies &copies, const std::string &adapter)
+double loadsSinceTouch(const HostCopies &copies, const std::string &adapter)
 {
-    const auto touched = copies.touchedAs.find(adapter);
-    if (touched == copies.touchedAs.end())
+    const auto touched = copies.touchNumbers.find(adapter);
+    if (touched == copies.touchNumbers.end())
         return -1;
     return static_cast<double>(copies.touches - touched->second) / touchesPerLoad;
 }
 
-bool hasHostCopy(const HostCopies &copies, const std::string &adapter, const HostMemory &memory)
+bool hasHostCopy(const HostCopies &copies, const std::string &adapter, const HostRetention &memory)
 {
-    const double since = loadsSince(copies, adapter);
+    const double since = loadsSinceTouch(copies, adapter);
     return since >= 0 && since <= memory.loads;
 }
 
-void noteCopyGone(HostMemory &memory, double loads) noexcept
+void shortenRetention(HostRetention &memory, double loads) noexcept
 {
     if (loads < memory.loads)
         memory.loads -= (memory.loads - loads) * shortenShare;
     memory.loads = std::max(memory.loads, leastLoads);
 }
 
-void noteCopyFound(HostMemory &memory, double loads) noexcept
+void lengthenRetention(HostRetention &memory, double loads) noexcept
 {
     if (loads > nearEnd * memory.loads)
-        memory.loads = std::min(memory.loads * longerBy, static_cast<double>(mostRemembered));
+        memory.loads = std::min(memory.loads * longerBy, static_cast<double>(maxRemembered));
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/IncomingLoads.cpp
+++ b/libs/serving/src/IncomingLoads.cpp
@@ -47,7 +47,7 @@
         if (engine.incomingMs < 0 || !engine.usable || !engine.hasModel || wasTried)
             continue;
         const double forecast = engine.incomingMs + expectedWaitMs(engine, weights);
-        if (forecast > bestMs || !hasRoom(engine, need, weights))
+        if (forecast > bestMs || !hasCapacity(engine, need, weights))
             continue;
         best = index;
         bestMs = forecast;
--- a/libs/serving/src/OrderDesk.cpp
+++ b/libs/serving/src/OrderDesk.cpp
@@ -106,7 +106,7 @@
         slot.loading = false;
         slots[adapter] = slot;
         if (known == desk.slots.end())
-            noteTouched(desk.copies, adapter);
+            recordTouch(desk.copies, adapter);
     }
     for (const auto &[adapter, version] : report.incoming) {
         SlotUse slot;
@@ -169,14 +169,14 @@
     slot.readyAt = now + estimate.time;
     slot.usedAt = slot.readyAt;
     slot.underWay = estimate.underWay;
-    slot.loadsSince = loadsSince(desk.copies, adapter);
+    slot.loadsSinceTouch = loadsSinceTouch(desk.copies, adapter);
     slot.judged = false;
-    noteTouched(desk.copies, adapter);
+    recordTouch(desk.copies, adapter);
 }
 
 void noteUnloaded(OrderDesk &desk, const std::string &adapter)
 {
-    noteTouched(desk.copies, adapter);
+    recordTouch(desk.copies, adapter);
     desk.slots.erase(adapter);
 }
 
@@ -287,7 +287,7 @@
     } else if (slot.fetched) {
         noteEarlyCall(beliefs.pace, slot.underWay, waited);
     } else {
-        noteCopyGone(beliefs.memory, slot.loadsSince);
+        shortenRetention(beliefs.memory, slot.loadsSinceTouch);
         slot.fetched = true;
         slot.readyAt =
             std::max(slot.readyAt, slot.orderedAt + fetchTime(beliefs.pace, slot.underWay));
@@ -349,7 +349,7 @@
         if (slot.fetched)
             noteLoadOnTime(beliefs.pace, slot.underWay, slot.readyAt - slot.orderedAt);
         else
-            noteCopyFound(beliefs.memory, slot.loadsSince);
+            lengthenRetention(beliefs.memory, slot.loadsSinceTouch);
     }
 }
 
--- a/libs/serving/src/HolderLease.cpp
+++ b/libs/serving/src/PartitionLease.cpp
@@ -1,4 +1,4 @@
-#include "serving/HolderLease.h"
+#include "serving/PartitionLease.h"
 
 #include <algorithm>
 
@@ -6,21 +6,21 @@
 
 namespace {
 
-Instant endOf(const HolderLease &lease)
+Instant endOf(const PartitionLease &lease)
 {
-    return std::max(lease.until, lease.goesOnUntil);
+    return std::max(lease.until, lease.extendedUntil);
 }
 
 /** Until when the mates' words let the lease go on; zero: they do not. */
-Instant endByWords(const HolderLease &lease, const std::vector<MateWord> &mates,
+Instant endByWords(const PartitionLease &lease, const std::vector<PeerLeaseState> &mates,
                    const LeaseTiming &timing, Instant now)
 {
-    Instant end = now + timing.wordHolds;
-    for (const MateWord &mate : mates) {
+    Instant end = now + timing.peerStateTtl;
+    for (const PeerLeaseState &mate : mates) {
         const bool mayHoldNow = !mate.storeAway || mate.generation > lease.generation;
         if (mayHoldNow)
             return Instant{};
-        end = std::min(end, mate.heardAt + timing.wordHolds);
+        end = std::min(end, mate.heardAt + timing.peerStateTtl);
     }
     return end;
 }
@@ -29,11 +29,12 @@
 constexpr Duration releaseTold = std::chrono::seconds(8);
 
 /** Notes what is given up, as far as this VM ordered it until now. */
-void release(HolderLease &lease, const std::map<int, Instant> &keeps, Instant now)
+void release(PartitionLease &lease, const std::map<int, Instant> &keeps, Instant now)
 {
-    std::erase_if(lease.releases, [now](const Release &old) { return now - old.at > releaseTold; });
+    std::erase_if(lease.releases,
+                  [now](const PartitionRelease &old) { return now - old.at > releaseTold; });
     const bool unbroken = now < endOf(lease);
-    for (const auto &[partition, from] : lease.orderFrom) {
+    for (const auto &[partition, from] : lease.activeFrom) {
         const bool ordered = unbroken && now >= from && lease.noted.count(partition) > 0;
         if (ordered && keeps.count(partition) == 0)
             lease.releases.push_back({partition, lease.generation, now});
@@ -43,7 +44,7 @@
 /** Until the former holder of a partition, whoever it was, orders no more and time has passed. */
 Duration waitAfterDeal(const LeaseTiming &timing)
 {
-    return timing.ttl + timing.wordHolds + timing.apart;
+    return timing.ttl + timing.peerStateTtl + timing.apart;
 }
 
 } // namespace
@@ -55,79 +56,80 @@
 //
 // Before its first order in a partition each VM adds a note of it to the store, on the condition
 // that no other note was added since it read them. So the last note names the last VM that can have
-// ordered, and a VM that finds its own name there need not wait: see claimsToNote().
-void renewLease(HolderLease &lease, const LeaseGrant &grant, const LeaseTiming &timing,
+// ordered, and a VM that finds its own name there need not wait: see claimsToRecord().
+void renewLease(PartitionLease &lease, const LeaseGrant &grant, const LeaseTiming &timing,
                 Instant sentAt, Instant now)
 {
     const bool unbroken = now < endOf(lease);
-    std::map<int, Instant> orderFrom;
-    std::map<int, std::int64_t> gainedIn;
+    std::map<int, Instant> activeFrom;
+    std::map<int, std::int64_t> acquiredIn;
     std::set<int> looked;
     std::set<int> noted;
     for (const int partition : grant.partitions) {
-        const auto held = lease.orderFrom.find(partition);
-        const bool goesOn = held != lease.orderFrom.end() && unbroken;
-        orderFrom[partition] = goesOn ? held->second : now + waitAfterDeal(timing);
-        gainedIn[partition] = goesOn ? lease.gainedIn[partition] : grant.generation;
+        const auto held = lease.activeFrom.find(partition);
+        const bool goesOn = held != lease.activeFrom.end() && unbroken;
+        activeFrom[partition] = goesOn ? held->second : now + waitAfterDeal(timing);
+        acquiredIn[partition] = goesOn ? lease.acquiredIn[partition] : grant.generation;
         if (goesOn && lease.looked.count(partition) > 0)
             looked.insert(partition);
         if (goesOn && lease.noted.count(partition) > 0)
             noted.insert(partition);
     }
-    release(lease, orderFrom, now);
-    lease.gainedIn = std::move(gainedIn);
-    lease.orderFrom = std::move(orderFrom);
+    release(lease, activeFrom, now);
+    lease.acquiredIn = std::move(acquiredIn);
+    lease.activeFrom = std::move(activeFrom);
     lease.looked = std::move(looked);
     lease.noted = std::move(noted);
     lease.generation = std::max(lease.generation, grant.generation);
     lease.until = std::max(lease.until, sentAt + timing.ttl - timing.margin);
-    lease.goesOnUntil = Instant{};
+    lease.extendedUntil = Instant{};
 }
 
 // The store deals a partition to another VM only when that VM renews, and a mate that says it
 // cannot reach the store has not. Should it reach the store right after its word, it waits `ttl`,
-// `wordHolds` and `apart` before it orders, while this VM stops at the latest `wordHolds` after the
-// word. A pause of this VM shows as old words, and the lease is dropped at the first look.
-void extendLease(HolderLease &lease, const std::vector<MateWord> &mates, const LeaseTiming &timing,
-                 Instant now)
+// `peerStateTtl` and `apart` before it orders, while this VM stops at the latest `peerStateTtl`
+// after the word. A pause of this VM shows as old words, and the lease is dropped at the first
+// look.
+void extendLease(PartitionLease &lease, const std::vector<PeerLeaseState> &mates,
+                 const LeaseTiming &timing, Instant now)
 {
     if (now >= endOf(lease)) {
         dropLease(lease, now);
         return;
     }
-    lease.goesOnUntil = endByWords(lease, mates, timing, now);
+    lease.extendedUntil = endByWords(lease, mates, timing, now);
 }
 
-void dropLease(HolderLease &lease, Instant now)
+void dropLease(PartitionLease &lease, Instant now)
 {
     release(lease, {}, now);
-    lease.gainedIn.clear();
-    lease.orderFrom.clear();
+    lease.acquiredIn.clear();
+    lease.activeFrom.clear();
     lease.looked.clear();
     lease.noted.clear();
     lease.until = Instant{};
-    lease.goesOnUntil = Instant{};
+    lease.extendedUntil = Instant{};
 }
 
 // The word of a former holder replaces the wait for the end of its lease, not the time that has to
 // pass between two holders. It only counts if that VM held the partition right before this one: a
 // holder in between would have a generation of its own.
-void noteRelease(HolderLease &lease, const Release &release, const LeaseTiming &timing)
+void applyRelease(PartitionLease &lease, const PartitionRelease &release, const LeaseTiming &timing)
 {
-    const auto held = lease.orderFrom.find(release.partition);
-    const auto gained = lease.gainedIn.find(release.partition);
-    if (held == lease.orderFrom.end() || gained == lease.gainedIn.end())
+    const auto held = lease.activeFrom.find(release.partition);
+    const auto gained = lease.acquiredIn.find(release.partition);
+    if (held == lease.activeFrom.end() || gained == lease.acquiredIn.end())
         return;
     if (gained->second != release.generation + 1)
         return;
     held->second = std::min(held->second, release.at + timing.apart + timing.margin);
 }
 
-bool isNoteDue(const HolderLease &lease, Instant now) noexcept
+bool isNoteDue(const PartitionLease &lease, Instant now) noexcept
 {
     if (now >= endOf(lease))
         return false;
-    return std::any_of(lease.orderFrom.begin(), lease.orderFrom.end(), [&](const auto &held) {
+    return std::any_of(lease.activeFrom.begin(), lease.activeFrom.end(), [&](const auto &held) {
         const bool isNew = lease.looked.count(held.first) == 0;
         return isNew || (lease.noted.count(held.first) == 0 && now >= held.second);
     });
@@ -139,62 +141,64 @@
 // no other was. Another VM's note of a later generation than the one that brought the partition
 // shows that it has moved on since: this VM learns so at its next renewal, or has been dealt it
 // once more without having noticed, and waits anew.
-std::vector<OrderClaim> claimsToNote(HolderLease &lease, const OrdererNotes &notes,
-                                     const std::string &vm, const LeaseTiming &timing, Instant now)
+std::vector<HolderClaim> claimsToRecord(PartitionLease &lease, const HolderRecords &notes,
+                                        const std::string &vm, const LeaseTiming &timing,
+                                        Instant now)
 {
-    std::vector<OrderClaim> claims;
-    for (auto &[partition, from] : lease.orderFrom) {
+    std::vector<HolderClaim> claims;
+    for (auto &[partition, from] : lease.activeFrom) {
         lease.looked.insert(partition);
         if (lease.noted.count(partition) > 0)
             continue;
-        std::int64_t &gainedIn = lease.gainedIn[partition];
+        std::int64_t &acquiredIn = lease.acquiredIn[partition];
         const auto note = notes.last.find(partition);
         const bool again = note != notes.last.end() && note->second.vm == vm;
         const bool movedOn =
-            !again && note != notes.last.end() && note->second.generation > gainedIn;
+            !again && note != notes.last.end() && note->second.generation > acquiredIn;
         if (movedOn && lease.generation > note->second.generation) {
-            gainedIn = lease.generation;
+            acquiredIn = lease.generation;
             from = now + waitAfterDeal(timing);
             continue;
         }
         if (movedOn || (!again && now < from))
             continue;
-        claims.push_back({partition, gainedIn, again});
+        claims.push_back({partition, acquiredIn, again});
     }
     return claims;
 }
 
-void takeNoted(HolderLease &lease, const std::vector<OrderClaim> &claims, Instant now)
+void confirmClaims(PartitionLease &lease, const std::vector<HolderClaim> &claims, Instant now)
 {
     if (now >= endOf(lease))
         return;
-    for (const OrderClaim &claim : claims) {
-        const auto gained = lease.gainedIn.find(claim.partition);
+    for (const HolderClaim &claim : claims) {
+        const auto gained = lease.acquiredIn.find(claim.partition);
         // The answer may come after the partition was lost and gained again.
-        if (gained == lease.gainedIn.end() || gained->second != claim.gainedIn)
+        if (gained == lease.acquiredIn.end() || gained->second != claim.acquiredIn)
             continue;
         lease.noted.insert(claim.partition);
-        Instant &from = lease.orderFrom[claim.partition];
+        Instant &from = lease.activeFrom[claim.partition];
         if (claim.again)
             from = std::min(from, now);
     }
 }
 
-bool ordersAll(const HolderLease &lease, Instant now) noexcept
+bool isFullyActive(const PartitionLease &lease, Instant now) noexcept
 {
-    if (lease.orderFrom.empty() || now >= endOf(lease))
+    if (lease.activeFrom.empty() || now >= endOf(lease))
         return false;
-    return std::all_of(lease.orderFrom.begin(), lease.orderFrom.end(), [&](const auto &held) {
+    return std::all_of(lease.activeFrom.begin(), lease.activeFrom.end(), [&](const auto &held) {
         return now >= held.second && lease.noted.count(held.first) > 0;
     });
 }
 
-bool mayOrder(const HolderLease &lease, int partition, Instant now) noexcept
+bool mayCommand(const PartitionLease &lease, int partition, Instant now) noexcept
 {
     if (now >= endOf(lease))
         return false;
-    const auto held = lease.orderFrom.find(partition);
-    return held != lease.orderFrom.end() && now >= held->second && lease.noted.count(partition) > 0;
+    const auto held = lease.activeFrom.find(partition);
+    return held != lease.activeFrom.end() && now >= held->second
+        && lease.noted.count(partition) > 0;
 }
 
 int partitionOf(std::uint64_t targetHash, int partitions) noexcept
--- a/libs/serving/src/ServingConfig.cpp
+++ b/libs/serving/src/ServingConfig.cpp
@@ -90,7 +90,7 @@
     return found == this->objectivesByService.end() ? Duration::zero() : found->second.least;
 }
 
-std::optional<Duration> RouteTable::quickestObjective(const std::string &service) const
+std::optional<Duration> RouteTable::shortestObjective(const std::string &service) const
 {
     const auto found = this->objectivesByService.find(service);
     if (found == this->objectivesByService.end() || found->second.least == found->second.most)
--- a/libs/serving/src/TargetUse.cpp
+++ b/libs/serving/src/TargetUse.cpp
@@ -15,7 +15,7 @@
     sum.busySlots += use.busySlots;
     sum.faults += use.faults;
     sum.goods += use.goods;
-    sum.quickRuns += use.quickRuns;
+    sum.shortObjectiveRuns += use.shortObjectiveRuns;
 }
 
 void subtractUse(TargetUse &sum, const TargetUse &use)
@@ -26,7 +26,7 @@
     sum.busySlots -= use.busySlots;
     sum.faults -= use.faults;
     sum.goods -= use.goods;
-    sum.quickRuns -= use.quickRuns;
+    sum.shortObjectiveRuns -= use.shortObjectiveRuns;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/tests/EngineLogs.cpp
+++ b/libs/serving/tests/EngineLogs.cpp
@@ -96,5 +96,5 @@
     const EngineChange change = log.changeSince("e", seen);
     cr_assert_eq(change.record.resident, (ResidentVersions{{"adapter11", 1}}));
     cr_assert_eq(change.gone, std::vector<std::string>{"adapter3"});
-    cr_assert(change.sameHead);
+    cr_assert(change.sameHeader);
 }
--- a/libs/serving/tests/EngineDay.cpp
+++ b/libs/serving/tests/EngineSimulation.cpp
@@ -1,4 +1,4 @@
-#include "EngineDay.h"
+#include "EngineSimulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -39,7 +39,7 @@
     double waiting = 0;
     double held = 0;
     int runs = 0;
-    int quickRuns = 0;
+    int shortObjectiveRuns = 0;
     std::map<std::string, int> inUse;
     std::map<std::string, double> loading; ///< when they are done
     std::map<std::string, double> usedAt; ///< of adapters that are there
@@ -52,7 +52,7 @@
     double waiting = 0;
     double held = 0;
     int runs = 0;
-    int quickRuns = 0;
+    int shortObjectiveRuns = 0;
     int idle = 0;
     std::shared_ptr<const ResidentVersions> resident;
 };
@@ -94,7 +94,7 @@
 class Play
 {
 public:
-    explicit Play(const EngineDay &day)
+    explicit Play(const EngineSimulation &day)
         : day(day)
         , random(day.seed)
         , engines(engineCount)
@@ -114,9 +114,9 @@
         }
     }
 
-    DayResult run()
+    SimulationResult run()
     {
-        for (std::size_t kind = 0; kind < dayKinds; ++kind)
+        for (std::size_t kind = 0; kind < callKinds; ++kind)
             this->arriveNext(kind, 0);
         double told = 0;
         while (!this->events.empty()) {
@@ -127,9 +127,9 @@
             this->now = event.at;
             this->take(event);
         }
-        for (std::size_t kind = 0; kind < dayKinds; ++kind) {
+        for (std::size_t kind = 0; kind < callKinds; ++kind) {
             this->result.onTime[kind] = this->good[kind] / this->all[kind];
-            this->result.lateThere[kind] = this->waited[kind] / this->all[kind];
+            this->result.lateWithoutLoad[kind] = this->waited[kind] / this->all[kind];
         }
         const double sum = std::accumulate(this->taken.begin(), this->taken.end(), 0.0);
         this->result.busiest =
@@ -169,7 +169,7 @@
         Snapshot snapshot;
         for (const Engine &engine : this->engines)
             snapshot.engines.push_back(
-                {engine.waiting, engine.held, engine.runs, engine.quickRuns,
+                {engine.waiting, engine.held, engine.runs, engine.shortObjectiveRuns,
                  this->day.adapterSlots - static_cast<int>(engine.inUse.size()), engine.resident});
         snapshot.own = this->own;
         snapshot.fetchMs = this->fetchTime();
@@ -178,14 +178,14 @@
 
     bool isDeaf(int vm) const
     {
-        return this->day.deafThird && vm % 3 == 0 && this->now >= deafFromMs
+        return this->day.isolatedThird && vm % 3 == 0 && this->now >= deafFromMs
             && this->now < deafToMs;
     }
 
     /** What the VM takes the age of its news for. */
     double ageOf(int vm) const
     {
-        const bool silent = this->day.realAge && this->isDeaf(vm);
+        const bool silent = this->day.knowsStateAge && this->isDeaf(vm);
         return nominalAgeMs + (silent ? this->now - deafFromMs : 0);
     }
 
@@ -206,14 +206,14 @@
             view.waitingTokens = others + this->own[vm][number];
             view.heldTokens = dropped ? 0 : seen.held;
             view.runs = dropped ? 0 : seen.runs;
-            view.quickRuns = dropped ? 0 : seen.quickRuns;
+            view.shortObjectiveRuns = dropped ? 0 : seen.shortObjectiveRuns;
             view.idleSlots = dropped ? this->day.adapterSlots : seen.idle;
             view.resident = contains(call.missed, number) ? nullptr : seen.resident.get();
             view.hasHolder = !deaf && !contains(call.declined, number);
-            view.warm = hasHostCopy(this->engines[number].copies, call.adapter, HostMemory());
+            view.warm = hasHostCopy(this->engines[number].copies, call.adapter, HostRetention());
             view.fetchMs = news.fetchMs;
             view.loadMs = view.warm ? fetchMs / 10 + 15 : news.fetchMs;
-            view.doubtMs = age * this->part();
+            view.jitterMs = age * this->part();
         }
     }
 
@@ -224,14 +224,14 @@
 
     void place(const std::shared_ptr<Call> &call)
     {
-        const DayKind &kind = this->day.kinds[call->kind];
+        const SimulatedCallKind &kind = this->day.kinds[call->kind];
         EngineNeed need;
         need.adapter = call->adapter;
         need.promptTokens = kind.promptTokens;
         need.outputTokens = 200;
         need.objectives.firstEventMs = kind.objectiveMs;
         if (this->day.byForecast)
-            need.quickestMs = this->day.kinds[quickKind].objectiveMs;
+            need.shortestObjectiveMs = this->day.kinds[shortestObjectiveKind].objectiveMs;
         need.newsAgeMs = this->day.earlyCopies ? this->ageOf(call->vm) : 0;
         while (true) {
             this->look(*call);
@@ -280,11 +280,11 @@
             }
             if (oldest == engine.usedAt.end())
                 return 0;
-            noteTouched(engine.copies, oldest->first);
+            recordTouch(engine.copies, oldest->first);
             engine.usedAt.erase(oldest);
             this->tellResident(engine);
         }
-        const bool warm = hasHostCopy(engine.copies, adapter, HostMemory());
+        const bool warm = hasHostCopy(engine.copies, adapter, HostRetention());
         const double takes = warm ? fetchMs / 10 : this->fetchTime();
         ++this->result.loads;
         if (!warm) {
@@ -310,7 +310,7 @@
                 continue;
             }
             engine.usedAt[at->first] = this->now;
-            noteTouched(engine.copies, at->first);
+            recordTouch(engine.copies, at->first);
             at = engine.loading.erase(at);
             this->tellResident(engine);
         }
@@ -336,7 +336,7 @@
     void take(const Event &event)
     {
         const std::shared_ptr<Call> &call = event.call;
-        const DayKind &kind = this->day.kinds[call->kind];
+        const SimulatedCallKind &kind = this->day.kinds[call->kind];
         Engine &engine = this->engines[call->engine];
         switch (event.step) {
         case Step::Arrive:
@@ -366,10 +366,10 @@
             engine.waiting -= kind.promptTokens;
             this->own[static_cast<std::size_t>(call->vm)][call->engine] -= kind.promptTokens;
             this->finish(*call, this->now - call->at <= kind.objectiveMs);
-            engine.quickRuns += call->kind == quickKind ? 1 : 0;
+            engine.shortObjectiveRuns += call->kind == shortestObjectiveKind ? 1 : 0;
             return this->add(this->now + kind.runMs, Step::End, call);
         case Step::End:
-            engine.quickRuns -= call->kind == quickKind ? 1 : 0;
+            engine.shortObjectiveRuns -= call->kind == shortestObjectiveKind ? 1 : 0;
             --engine.runs;
             engine.held -= kind.promptTokens + 200;
             if (--engine.inUse[call->adapter] == 0)
@@ -377,7 +377,7 @@
         }
     }
 
-    EngineDay day;
+    EngineSimulation day;
     std::mt19937_64 random;
     std::vector<Engine> engines;
     std::vector<EngineView> views;
@@ -389,15 +389,15 @@
     std::priority_queue<Event> events;
     std::uint64_t number = 0;
     double now = 0;
-    DayResult result;
-    std::array<double, dayKinds> all{};
-    std::array<double, dayKinds> good{};
-    std::array<double, dayKinds> waited{};
+    SimulationResult result;
+    std::array<double, callKinds> all{};
+    std::array<double, callKinds> good{};
+    std::array<double, callKinds> waited{};
 };
 
 } // namespace
 
-DayResult playDay(const EngineDay &day)
+SimulationResult simulateDay(const EngineSimulation &day)
 {
     return Play(day).run();
 }
--- a/libs/serving/tests/Engines.cpp
+++ b/libs/serving/tests/Engines.cpp
@@ -165,7 +165,7 @@
  * what the engines can read arrives; news of their load come every `newsEvery` ms, and a VM sees no
  * other VM's calls before that.
  */
-double meanWait(int newsEvery, double doubtMs)
+double meanWait(int newsEvery, double jitterMs)
 {
     constexpr int callEvery = 40;
     constexpr int calls = 2000;
@@ -182,7 +182,7 @@
             waiting[index] = std::max(waiting[index] - callEvery * weights.promptTokensPerMs, 0.0);
             if (number * callEvery % newsEvery < callEvery)
                 views[index].waitingTokens = waiting[index];
-            views[index].doubtMs = doubtMs * share(random);
+            views[index].jitterMs = jitterMs * share(random);
         }
         const EngineChoice choice = chooseEngine(views, call, {}, weights);
         total += waiting[choice.engine] / weights.promptTokensPerMs;
--- a/libs/serving/tests/Forecasts.cpp
+++ b/libs/serving/tests/Forecasts.cpp
@@ -4,7 +4,7 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
-#include "EngineDay.h"
+#include "EngineSimulation.h"
 #include "EngineViews.h"
 #include "serving/EngineForecast.h"
 #include "serving/NewsAge.h"
@@ -35,7 +35,7 @@
     need.adapter = adapter;
     need.promptTokens = 800;
     need.objectives.firstEventMs = 500;
-    need.quickestMs = 500;
+    need.shortestObjectiveMs = 500;
     return need;
 }
 
@@ -55,7 +55,7 @@
         view.runs = *rc::gen::inRange(0, 9);
         view.heldTokens = *rc::gen::inRange(0, 100000);
         view.waitingTokens = *rc::gen::inRange(0, 30000);
-        view.doubtMs = *rc::gen::inRange(0, 600);
+        view.jitterMs = *rc::gen::inRange(0, 600);
         views.push_back(view);
     }
     return views;
@@ -77,13 +77,13 @@
         const EngineView &view = views[index];
         const bool there = hasAdapter(view, need);
         const bool loadable = view.hasHolder && view.idleSlots > 0;
-        if (!view.usable || !hasRoom(view, need, weights) || (!there && !loadable))
+        if (!view.usable || !hasCapacity(view, need, weights) || (!there && !loadable))
             continue;
         const double first = view.waitingTokens / weights.promptTokensPerMs
             + weights.runMs * view.runs + need.promptTokens / weights.promptTokensPerMs
             + (there ? 0 : view.loadMs);
         places.push_back({there ? EngineStep::Send : EngineStep::Load, index,
-                          first <= weights.calmShare * need.objectives.firstEventMs});
+                          first <= weights.onTimeShare * need.objectives.firstEventMs});
     }
     return places;
 }
@@ -122,8 +122,8 @@
             const bool costly = std::any_of(places.begin(), places.end(), [&](const Place &place) {
                 const double stay = expectedCostMs(views[place.engine], need, weights);
                 return place.step == EngineStep::Send && place.meets
-                    && stay > weights.calmShare * need.objectives.firstEventMs
-                    && stay > cost + weights.copyLoads * views[choice.engine].fetchMs;
+                    && stay > weights.onTimeShare * need.objectives.firstEventMs
+                    && stay > cost + weights.copyExtraLoads * views[choice.engine].fetchMs;
             });
             RC_ASSERT(costly || (chosen->meets && need.newsAgeMs > 0));
         }
@@ -155,7 +155,7 @@
     cr_assert(choice.step == EngineStep::Load);
     cr_assert_neq(choice.engine, home);
     EngineNeed alike = need;
-    alike.quickestMs = 0;
+    alike.shortestObjectiveMs = 0;
     cr_assert_eq(chooseEngine(views, alike, {}, weights).engine, home);
 }
 
@@ -165,7 +165,7 @@
     std::vector<EngineView> views{engine("e1", &holds), engine("e2", &holds)};
     views[0].waitingTokens = 14000;
     views[1].waitingTokens = 20000;
-    views[0].doubtMs = 560;
+    views[0].jitterMs = 560;
     cr_assert_eq(chooseEngine(views, quickNeed(), {}, weights).engine, 0);
     views[0].waitingTokens = 18000;
     cr_assert_eq(chooseEngine(views, quickNeed(), {}, weights).engine, 1);
@@ -185,10 +185,10 @@
     config.routes[1].services.push_back({"mixed", 1});
     config.routes[2].services.push_back({"mixed", 1});
     const RouteTable routes(config);
-    cr_assert_not(routes.quickestObjective("alike"));
-    cr_assert_not(routes.quickestObjective("quick"));
-    cr_assert_not(routes.quickestObjective("unknown"));
-    cr_assert(routes.quickestObjective("mixed") == Duration(std::chrono::milliseconds(500)));
+    cr_assert_not(routes.shortestObjective("alike"));
+    cr_assert_not(routes.shortestObjective("quick"));
+    cr_assert_not(routes.shortestObjective("unknown"));
+    cr_assert(routes.shortestObjective("mixed") == Duration(std::chrono::milliseconds(500)));
 }
 
 // Symptom: a third of the VMs heard no other VM for 12 s and went on sending to the engine that had
@@ -220,7 +220,7 @@
         std::vector<int> calls(views.size(), 0);
         for (int call = 0; call < 1000; ++call) {
             for (EngineView &view : views)
-                view.doubtMs = doubt(random);
+                view.jitterMs = doubt(random);
             ++calls[chooseEngine(views, quickNeed(), {}, weights).engine];
         }
         return *std::max_element(calls.begin(), calls.end());
@@ -276,7 +276,7 @@
 Test(forecasts, long_prompts_leave_engines_to_quick_calls_while_others_have_room)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2", &holds)};
-    views[0].quickRuns = 3;
+    views[0].shortObjectiveRuns = 3;
     views[0].hash = 4;
     views[1].hash = 5;
     views[1].waitingTokens = 5000;
@@ -285,7 +285,8 @@
     need.objectives.firstEventMs = 1000;
     EngineWeights by;
     cr_assert_eq(chooseEngine(views, need, {}, by).engine, 0);
-    for (const LongPrompts way : {LongPrompts::FewerQuick, LongPrompts::Apart}) {
+    for (const LongPromptPolicy way :
+         {LongPromptPolicy::FewestShortRuns, LongPromptPolicy::Apart}) {
         by.longPrompts = way;
         cr_assert_eq(chooseEngine(views, need, {}, by).engine, 1);
         cr_assert_eq(chooseEngine(views, quickNeed(), {}, by).engine, 0, "a short call");
@@ -297,17 +298,17 @@
 
 namespace {
 /** Mean of a few played days. */
-DayResult playDays(const EngineDay &day)
+SimulationResult simulateDays(const EngineSimulation &day)
 {
     constexpr unsigned seeds = 6;
-    DayResult mean;
+    SimulationResult mean;
     for (unsigned seed = 1; seed <= seeds; ++seed) {
-        EngineDay played = day;
+        EngineSimulation played = day;
         played.seed = seed;
-        const DayResult result = playDay(played);
-        for (std::size_t kind = 0; kind < dayKinds; ++kind) {
+        const SimulationResult result = simulateDay(played);
+        for (std::size_t kind = 0; kind < callKinds; ++kind) {
             mean.onTime[kind] += result.onTime[kind] / seeds;
-            mean.lateThere[kind] += result.lateThere[kind] / seeds;
+            mean.lateWithoutLoad[kind] += result.lateWithoutLoad[kind] / seeds;
         }
     }
     return mean;
@@ -319,38 +320,39 @@
 // than all others, though most of these found their adapter.
 Test(forecasts, short_calls_are_on_time_more_often)
 {
-    EngineDay day;
+    EngineSimulation day;
     day.load = 1.1;
-    const DayResult after = playDays(day);
+    const SimulationResult after = simulateDays(day);
     day.byForecast = false;
-    const DayResult before = playDays(day);
+    const SimulationResult before = simulateDays(day);
     day.byForecast = true;
     day.earlyCopies = false;
-    const DayResult lateCopies = playDays(day);
-    cr_assert_lt(after.lateThere[2], 0.8 * lateCopies.lateThere[2], "%f by late copies, %f after",
-                 lateCopies.lateThere[2], after.lateThere[2]);
+    const SimulationResult lateCopies = simulateDays(day);
+    cr_assert_lt(after.lateWithoutLoad[2], 0.8 * lateCopies.lateWithoutLoad[2],
+                 "%f by late copies, %f after", lateCopies.lateWithoutLoad[2],
+                 after.lateWithoutLoad[2]);
     cr_assert_gt(after.onTime[2], before.onTime[2] + 0.01, "%f before, %f after", before.onTime[2],
                  after.onTime[2]);
     cr_assert_gt(after.onTime[0], before.onTime[0]);
     day.earlyCopies = true;
-    day.weights.longPrompts = LongPrompts::FewerQuick;
-    const DayResult yielding = playDays(day);
+    day.weights.longPrompts = LongPromptPolicy::FewestShortRuns;
+    const SimulationResult yielding = simulateDays(day);
     cr_assert_gt(yielding.onTime[2], after.onTime[2] + 0.02, "%f with long prompts yielding",
                  yielding.onTime[2]);
-    cr_assert_lt(after.lateThere[2], before.lateThere[2]);
+    cr_assert_lt(after.lateWithoutLoad[2], before.lateWithoutLoad[2]);
 }
 
 // Guards deployments with longer objectives, which gain little, against a loss.
 Test(forecasts, calls_with_longer_objectives_lose_nothing)
 {
-    EngineDay day;
+    EngineSimulation day;
     day.kinds = {{{138, 9190, 1000, 1000}, {19.1, 9190, 1000, 1000}, {176, 826, 800, 3000}}};
     day.adapterSlots = 6;
-    const DayResult after = playDays(day);
+    const SimulationResult after = simulateDays(day);
     day.byForecast = false;
-    const DayResult before = playDays(day);
+    const SimulationResult before = simulateDays(day);
     // The first two kinds differ in nothing but their number.
-    const auto longOnTime = [&day](const DayResult &result) {
+    const auto longOnTime = [&day](const SimulationResult &result) {
         const double all = day.kinds[0].perSecond + day.kinds[1].perSecond;
         return (day.kinds[0].perSecond * result.onTime[0]
                 + day.kinds[1].perSecond * result.onTime[1])
@@ -358,6 +360,7 @@
     };
     cr_assert_gt(longOnTime(after), longOnTime(before) - 0.02, "%f before, %f after",
                  longOnTime(before), longOnTime(after));
-    cr_assert_gt(after.onTime[quickKind], before.onTime[quickKind] - 0.02, "%f before, %f after",
-                 before.onTime[quickKind], after.onTime[quickKind]);
+    cr_assert_gt(after.onTime[shortestObjectiveKind], before.onTime[shortestObjectiveKind] - 0.02,
+                 "%f before, %f after", before.onTime[shortestObjectiveKind],
+                 after.onTime[shortestObjectiveKind]);
 }
--- a/libs/serving/tests/HarmfulCalls.cpp
+++ b/libs/serving/tests/HarmfulCalls.cpp
@@ -33,7 +33,7 @@
     std::vector<const CallEvidence *> items;
     for (const CallEvidence &item : evidence)
         items.push_back(&item);
-    return judgeCalls(items);
+    return findHarmfulCalls(items);
 }
 
 /** Three ends under the harmful call, seen by different VMs. */
@@ -51,7 +51,7 @@
     cr_assert_eq(verdict.calls.size(), 1);
     cr_assert_eq(verdict.calls[0].ends, 3);
     cr_assert(findHarmful(verdict, harmful) != nullptr);
-    cr_assert(forgottenAt(verdict.calls[0]) == start + evidenceHolds);
+    cr_assert(blockedUntil(verdict.calls[0]) == start + evidenceTtl);
     evidence.pop_back();
     cr_assert_null(findHarmful(judge(evidence), harmful));
     cr_assert(isSuspect(judge(evidence), harmful));
@@ -70,10 +70,10 @@
 {
     std::deque<CallEvidence> evidence = threeEnds();
     evidence[1] = ended("a", 900ms, {harmful});
-    evidence[0].nextBorn = 5;
-    evidence[1].nextBorn = 5;
+    evidence[0].nextStartTime = 5;
+    evidence[1].nextStartTime = 5;
     cr_assert(judge(evidence).calls.empty());
-    evidence[1].nextBorn = 6;
+    evidence[1].nextStartTime = 6;
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
@@ -143,11 +143,11 @@
     evidence.push_back(answered(500ms, harmful));
     cr_assert(judge(evidence).calls.empty());
     cr_assert_not(isSuspect(judge(evidence), harmful));
-    for (const Duration at : {answerVouches, answerVouches + 1s, answerVouches + 2s})
+    for (const Duration at : {answerClearsFor, answerClearsFor + 1s, answerClearsFor + 2s})
         evidence.push_back(ended("d", at, {harmful}));
     cr_assert(judge(evidence).calls.empty(), "two ends count");
     cr_assert(isSuspect(judge(evidence), harmful));
-    evidence.push_back(ended("d", answerVouches + 3s, {harmful}));
+    evidence.push_back(ended("d", answerClearsFor + 3s, {harmful}));
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
@@ -217,8 +217,7 @@
         for (const auto &[content, count] : counts)
             asOften += count == ends ? 1 : 0;
         const bool alone = asOften == 1;
-        const bool mustBeFound =
-            (ends >= endsThatCondemn && alone) || ends >= endsThatCondemnSeveral;
+        const bool mustBeFound = (ends >= crashesToBlock && alone) || ends >= crashesToBlockTied;
         RC_ASSERT((findHarmful(verdict, harmful) != nullptr) == mustBeFound);
         for (const HarmfulCall &call : verdict.calls)
             RC_ASSERT(counts.at(call.content) == ends);
--- a/libs/serving/tests/LeaseModel.cpp
+++ b/libs/serving/tests/LeaseModel.cpp
@@ -39,7 +39,8 @@
 
     bool reachesStore(int vm) const
     {
-        return !this->is(vm == 0 ? Fault::StoreAwayFromFirst : Fault::StoreAwayFromSecond);
+        return !this->is(vm == 0 ? Fault::StoreUnreachableFromFirst
+                                 : Fault::StoreUnreachableFromSecond);
     }
 };
 
@@ -68,19 +69,19 @@
     }
     if (!vm.claims.empty() && tick < vm.addAt)
         return;
-    OrdererNotes &notes = play.store.notes;
-    if (!vm.claims.empty() && (vm.readEnd == notes.end || play.mutation.notesBlindly)) {
+    HolderRecords &notes = play.store.notes;
+    if (!vm.claims.empty() && (vm.readEnd == notes.end || play.mutation.recordsBlindly)) {
         ++notes.end;
         notes.last[0] = {nameOf(index), vm.lease.generation};
         if (!play.is(Fault::AnswersLost))
-            takeNoted(vm.lease, vm.claims, now);
+            confirmClaims(vm.lease, vm.claims, now);
     }
     vm.claims.clear();
     if (play.is(Fault::AnswersLost) || !isNoteDue(vm.lease, now))
         return;
     vm.readEnd = notes.end;
     vm.addAt = tick + noteTicks;
-    vm.claims = claimsToNote(vm.lease, notes, nameOf(index), play.timing, now);
+    vm.claims = claimsToRecord(vm.lease, notes, nameOf(index), play.timing, now);
 }
 
 void renew(Play &play, int index, Instant now)
@@ -105,13 +106,13 @@
         return;
     const ModelVm &vm = play.vms[static_cast<std::size_t>(index)];
     ModelVm &other = play.vms[static_cast<std::size_t>(1 - index)];
-    for (const Release &release : vm.lease.releases)
-        noteRelease(other.lease, release, play.timing);
+    for (const PartitionRelease &release : vm.lease.releases)
+        applyRelease(other.lease, release, play.timing);
     other.heardMate = true;
     other.mate.heardAt = now;
     other.mate.generation = vm.lease.generation;
-    other.mate.storeAway = vm.renewalFailing || play.mutation.trustsAnyMate;
-    if (play.mutation.trustsAnyMate)
+    other.mate.storeAway = vm.renewalFailing || play.mutation.trustsAnyPeer;
+    if (play.mutation.trustsAnyPeer)
         other.mate.generation = 0;
 }
 
@@ -119,7 +120,7 @@
 {
     if (!vm.renewalFailing)
         return;
-    std::vector<MateWord> mates;
+    std::vector<PeerLeaseState> mates;
     if (vm.heardMate)
         mates.push_back(vm.mate);
     extendLease(vm.lease, mates, play.timing, now);
@@ -140,13 +141,13 @@
     if (play.isDown(index))
         return;
     if (play.isFrozen(index)) {
-        vm.pausedFor += tickLength;
+        vm.totalPause += tickLength;
         return;
     }
     // A VM that wakes up orders before it does anything else: the worst that can happen.
     const Duration pause =
-        play.mutation.forgetsPause ? vm.pausedFor.time_since_epoch() : Duration::zero();
-    if (mayOrder(vm.lease, 0, now - pause))
+        play.mutation.ignoresPause ? vm.totalPause.time_since_epoch() : Duration::zero();
+    if (mayCommand(vm.lease, 0, now - pause))
         order(play, index, now);
     // The VMs do not act in the same ticks.
     if ((tick + 2 * index) % renewEveryTicks == 0)
@@ -229,7 +230,7 @@
     return played(schedule, ticks, timing, mutation).shortest;
 }
 
-int ticksOrdered(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing)
+int ticksActive(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing)
 {
     return played(schedule, ticks, timing, Mutation{}).ordered;
 }
--- a/libs/serving/tests/LeaseModel.h
+++ b/libs/serving/tests/LeaseModel.h
@@ -4,14 +4,14 @@
 #include <optional>
 #include <vector>
 
-#include "serving/HolderLease.h"
+#include "serving/PartitionLease.h"
 
 namespace monsoonbay::leasemodel {
 
 /** What may be switched on or off in a schedule. */
 enum class Fault : int {
-    StoreAwayFromFirst,
-    StoreAwayFromSecond,
+    StoreUnreachableFromFirst,
+    StoreUnreachableFromSecond,
     PeersCut, ///< the VMs do not hear one another
     AnswersLost, ///< the store carries out renewals, their answers are lost
     FirstFrozen,
@@ -35,9 +35,9 @@
 /** Deviations of the rules under test, to show that the model finds them. */
 struct Mutation
 {
-    bool trustsAnyMate = false; ///< a mate's word counts whatever it says
-    bool forgetsPause = false; ///< the lease is held by a clock that stands still in a pause
-    bool notesBlindly = false; ///< notes are added whatever was added since they were read
+    bool trustsAnyPeer = false; ///< a mate's word counts whatever it says
+    bool ignoresPause = false; ///< the lease is held by a clock that stands still in a pause
+    bool recordsBlindly = false; ///< notes are added whatever was added since they were read
 };
 
 /** The platform's store as far as it deals one partition. */
@@ -46,7 +46,7 @@
     std::int64_t generation = 0;
     int owner = -1;
     std::array<Instant, vmCount> joinedAt{};
-    OrdererNotes notes;
+    HolderRecords notes;
 
     void expire(Instant now, Duration ttl);
     void join(int vm, Instant now);
@@ -59,12 +59,12 @@
 
 struct ModelVm
 {
-    HolderLease lease;
+    PartitionLease lease;
     bool renewalFailing = false;
-    MateWord mate;
+    PeerLeaseState mate;
     bool heardMate = false;
-    Instant pausedFor{}; ///< sum of pauses, for the mutation
-    std::vector<OrderClaim> claims; ///< about to be noted
+    Instant totalPause{}; ///< sum of pauses, for the mutation
+    std::vector<HolderClaim> claims; ///< about to be noted
     std::uint64_t readEnd = 0; ///< of the notes that they rest on
     int addAt = 0; ///< tick in which they are added
 };
@@ -76,6 +76,6 @@
                         const Mutation &mutation);
 
 /** Ticks in which some VM might order. */
-int ticksOrdered(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing);
+int ticksActive(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing);
 
 } // namespace monsoonbay::leasemodel
--- a/libs/serving/tests/Leases.cpp
+++ b/libs/serving/tests/Leases.cpp
@@ -45,7 +45,7 @@
     return true;
 }
 
-bool findsTwoOrderers(const LeaseTiming &timing, const Mutation &mutation)
+bool findsTwoHolders(const LeaseTiming &timing, const Mutation &mutation)
 {
     const LeaseTiming real;
     return !forAllSchedules([&](const std::vector<Toggle> &schedule) {
@@ -54,15 +54,15 @@
 }
 
 /** Adds the notes that the lease wants, as if nobody else added any. */
-void noteAll(HolderLease &lease, const OrdererNotes &notes, const std::string &vm, Instant now)
+void noteAll(PartitionLease &lease, const HolderRecords &notes, const std::string &vm, Instant now)
 {
-    takeNoted(lease, claimsToNote(lease, notes, vm, LeaseTiming{}, now), now);
+    confirmClaims(lease, claimsToRecord(lease, notes, vm, LeaseTiming{}, now), now);
 }
 
 /** Notes by which `vm` was the last to order partitions 1 and 2. */
-OrdererNotes notedBy(const std::string &vm, std::int64_t generation)
+HolderRecords notedBy(const std::string &vm, std::int64_t generation)
 {
-    OrdererNotes notes;
+    HolderRecords notes;
     notes.last[1] = {vm, generation};
     notes.last[2] = {vm, generation};
     return notes;
@@ -76,7 +76,7 @@
 // keeps them apart.
 Test(leases, no_schedule_of_three_faults_has_two_orderers)
 {
-    cr_assert(!findsTwoOrderers(LeaseTiming{}, Mutation{}));
+    cr_assert(!findsTwoHolders(LeaseTiming{}, Mutation{}));
 }
 
 Test(leases, drawn_schedules_have_no_two_orderers)
@@ -98,42 +98,42 @@
 {
     LeaseTiming hasty;
     hasty.apart = 0ms;
-    cr_assert(findsTwoOrderers(hasty, Mutation{}));
+    cr_assert(findsTwoHolders(hasty, Mutation{}));
 }
 
 Test(leases, the_model_finds_trust_in_a_mate_that_reaches_the_store)
 {
     Mutation mutation;
-    mutation.trustsAnyMate = true;
-    cr_assert(findsTwoOrderers(LeaseTiming{}, mutation));
+    mutation.trustsAnyPeer = true;
+    cr_assert(findsTwoHolders(LeaseTiming{}, mutation));
 }
 
 Test(leases, the_model_finds_a_clock_that_misses_a_pause)
 {
     Mutation mutation;
-    mutation.forgetsPause = true;
-    cr_assert(findsTwoOrderers(LeaseTiming{}, mutation));
+    mutation.ignoresPause = true;
+    cr_assert(findsTwoHolders(LeaseTiming{}, mutation));
 }
 
 // Symptom: with the store away for 8 s, no engine got an order for 13 s. Answer: orders go on while
 // both VMs say that the store is away.
 Test(leases, an_outage_for_all_costs_no_orders)
 {
-    const std::vector<Toggle> outage{toggleAt(100, int(Fault::StoreAwayFromFirst)),
-                                     toggleAt(100, int(Fault::StoreAwayFromSecond)),
-                                     toggleAt(180, int(Fault::StoreAwayFromFirst)),
-                                     toggleAt(180, int(Fault::StoreAwayFromSecond))};
+    const std::vector<Toggle> outage{toggleAt(100, int(Fault::StoreUnreachableFromFirst)),
+                                     toggleAt(100, int(Fault::StoreUnreachableFromSecond)),
+                                     toggleAt(180, int(Fault::StoreUnreachableFromFirst)),
+                                     toggleAt(180, int(Fault::StoreUnreachableFromSecond))};
     const LeaseTiming timing;
-    const int calm = ticksOrdered({}, ticks, timing);
-    cr_assert_geq(ticksOrdered(outage, 180, timing), ticksOrdered({}, 180, timing));
-    cr_assert_gt(ticksOrdered(outage, ticks, timing), calm - 70);
+    const int calm = ticksActive({}, ticks, timing);
+    cr_assert_geq(ticksActive(outage, 180, timing), ticksActive({}, 180, timing));
+    cr_assert_gt(ticksActive(outage, ticks, timing), calm - 70);
 }
 
 Test(leases, the_model_finds_notes_that_are_added_blindly)
 {
     Mutation mutation;
-    mutation.notesBlindly = true;
-    cr_assert(findsTwoOrderers(LeaseTiming{}, mutation));
+    mutation.recordsBlindly = true;
+    cr_assert(findsTwoHolders(LeaseTiming{}, mutation));
 }
 
 // Symptom: after a restart of all VMs, or after the store had dealt a partition away and back,
@@ -143,22 +143,22 @@
 {
     const LeaseTiming timing;
     const Instant now = modelStart;
-    HolderLease lease;
+    PartitionLease lease;
     LeaseGrant grant;
     grant.generation = 9;
     grant.partitions = {1, 2};
     renewLease(lease, grant, timing, now, now + 5ms);
-    HolderLease moved = lease;
-    HolderLease later = lease;
+    PartitionLease moved = lease;
+    PartitionLease later = lease;
     noteAll(lease, notedBy("vm-1", 4), "vm-1", now + 8ms);
-    cr_assert(mayOrder(lease, 1, now + 10ms));
-    cr_assert(ordersAll(lease, now + 10ms));
+    cr_assert(mayCommand(lease, 1, now + 10ms));
+    cr_assert(isFullyActive(lease, now + 10ms));
     noteAll(moved, notedBy("vm-2", 4), "vm-1", now + 8ms);
-    cr_assert(!mayOrder(moved, 1, now + 10ms));
-    cr_assert(!ordersAll(moved, now + 10ms));
-    later.orderFrom[1] = now;
+    cr_assert(!mayCommand(moved, 1, now + 10ms));
+    cr_assert(!isFullyActive(moved, now + 10ms));
+    later.activeFrom[1] = now;
     noteAll(later, notedBy("vm-2", 10), "vm-1", now + 8ms);
-    cr_assert(!mayOrder(later, 1, now + 10ms), "somebody was dealt it after that grant");
+    cr_assert(!mayCommand(later, 1, now + 10ms), "somebody was dealt it after that grant");
 }
 
 // Symptom would be engines that nobody orders for as long as a lease lasts. Sequence: a VM waits
@@ -168,7 +168,7 @@
 Test(leases, a_partition_that_was_away_and_back_is_waited_for_anew)
 {
     const LeaseTiming timing;
-    HolderLease lease;
+    PartitionLease lease;
     LeaseGrant grant;
     grant.generation = 3;
     grant.partitions = {1};
@@ -181,12 +181,12 @@
     for (; now < back + 5900ms; now += 300ms) {
         renewLease(lease, grant, timing, now, now);
         noteAll(lease, notedBy("vm-2", 5), "vm-1", now);
-        cr_assert(!mayOrder(lease, 1, now));
+        cr_assert(!mayCommand(lease, 1, now));
     }
     now = back + 6100ms;
     renewLease(lease, grant, timing, now, now);
     noteAll(lease, notedBy("vm-2", 5), "vm-1", now);
-    cr_assert(mayOrder(lease, 1, now));
+    cr_assert(mayCommand(lease, 1, now));
 }
 
 // Symptom would be two holders. Sequence: a VM waits until it may order; the store falls silent,
@@ -195,7 +195,7 @@
 Test(leases, nothing_is_ordered_without_a_note)
 {
     const LeaseTiming timing;
-    HolderLease lease;
+    PartitionLease lease;
     LeaseGrant grant;
     grant.generation = 3;
     grant.partitions = {1};
@@ -203,9 +203,9 @@
     for (; now < modelStart + 10s; now += 500ms)
         renewLease(lease, grant, timing, now, now);
     cr_assert(isNoteDue(lease, now));
-    cr_assert(!mayOrder(lease, 1, now));
+    cr_assert(!mayCommand(lease, 1, now));
     noteAll(lease, notedBy("vm-2", 2), "vm-1", now);
-    cr_assert(mayOrder(lease, 1, now));
+    cr_assert(mayCommand(lease, 1, now));
     cr_assert(!isNoteDue(lease, now));
 }
 
@@ -214,7 +214,7 @@
 Test(leases, a_handed_over_partition_is_waited_for_less)
 {
     const LeaseTiming timing;
-    HolderLease leaver;
+    PartitionLease leaver;
     LeaseGrant grant;
     grant.generation = 4;
     grant.partitions = {1};
@@ -222,24 +222,24 @@
     noteAll(leaver, notedBy("vm-1", 4), "vm-1", modelStart);
     dropLease(leaver, modelStart + 400ms);
     cr_assert_eq(leaver.releases.size(), 1);
-    HolderLease successor;
+    PartitionLease successor;
     grant.generation = 5;
     renewLease(successor, grant, timing, modelStart + 500ms, modelStart + 500ms);
-    HolderLease later = successor;
-    noteRelease(successor, leaver.releases.front(), timing);
-    cr_assert(!mayOrder(successor, 1, modelStart + 500ms));
-    cr_assert_eq(successor.orderFrom.at(1).time_since_epoch().count(),
+    PartitionLease later = successor;
+    applyRelease(successor, leaver.releases.front(), timing);
+    cr_assert(!mayCommand(successor, 1, modelStart + 500ms));
+    cr_assert_eq(successor.activeFrom.at(1).time_since_epoch().count(),
                  (modelStart + 400ms + timing.apart + timing.margin).time_since_epoch().count());
-    later.gainedIn[1] = 6; // somebody may have held it in between
-    noteRelease(later, leaver.releases.front(), timing);
-    cr_assert(later.orderFrom.at(1) > successor.orderFrom.at(1));
+    later.acquiredIn[1] = 6; // somebody may have held it in between
+    applyRelease(later, leaver.releases.front(), timing);
+    cr_assert(later.activeFrom.at(1) > successor.activeFrom.at(1));
 }
 
 // A VM that was itself still waiting cannot vouch for the one before it.
 Test(leases, who_never_ordered_releases_nothing)
 {
     const LeaseTiming timing;
-    HolderLease waiting;
+    PartitionLease waiting;
     LeaseGrant grant;
     grant.generation = 4;
     grant.partitions = {1};
@@ -252,7 +252,7 @@
 {
     const LeaseTiming timing;
     const Instant now = modelStart;
-    HolderLease lease;
+    PartitionLease lease;
     LeaseGrant grant;
     grant.generation = 4;
     grant.partitions = {1, 2};
@@ -261,7 +261,7 @@
     grant.generation = 5;
     grant.partitions = {2};
     renewLease(lease, grant, timing, now + 500ms, now + 500ms);
-    cr_assert(!mayOrder(lease, 1, now + 510ms));
-    cr_assert(mayOrder(lease, 2, now + 510ms));
-    cr_assert(!mayOrder(lease, 2, now + 500ms + timing.ttl), "the lease ends with its ttl");
+    cr_assert(!mayCommand(lease, 1, now + 510ms));
+    cr_assert(mayCommand(lease, 2, now + 510ms));
+    cr_assert(!mayCommand(lease, 2, now + 500ms + timing.ttl), "the lease ends with its ttl");
 }
--- a/libs/serving/tests/Orders.cpp
+++ b/libs/serving/tests/Orders.cpp
@@ -323,7 +323,7 @@
     cr_assert(takeReport(desk, reborn, start + 50ms));
     cr_assert_eq(desk.sequence, 0);
     cr_assert(desk.slots.empty());
-    cr_assert_lt(loadsSince(desk.copies, "m/a1"), 0);
+    cr_assert_lt(loadsSinceTouch(desk.copies, "m/a1"), 0);
     cr_assert_eq(desk.adapterSlots, slotCount);
     former.sequence = 9;
     cr_assert(!takeReport(desk, former, start + 5s));
--- a/libs/serving/tests/PrefillQueues.cpp
+++ b/libs/serving/tests/PrefillQueues.cpp
@@ -126,7 +126,7 @@
         std::size_t chosen = 0;
         for (int asked = 0; asked < 4; ++asked) {
             for (EngineView &view : known)
-                view.doubtMs = doubt(random);
+                view.jitterMs = doubt(random);
             chosen = chooseEngine(known, need, {}, weights).engine;
             const double most =
                 0.5 * mostTokensAhead({0.85 * objectiveMs, need.promptTokens, 0, pace});
