--- a/libs/daemon/src/OwnerLoop.cpp
+++ b/libs/daemon/src/OwnerLoop.cpp
@@ -69,7 +69,7 @@
     return report;
 }
 
-void takeReport(Node &node, TargetId target, const std::string &body, Instant askedAt)
+void applyEngineReport(Node &node, TargetId target, const std::string &body, Instant askedAt)
 {
     const std::optional<EngineReport> report = readReport(body, askedAt);
     const std::optional<TargetInfo> info = findTarget(node, target);
@@ -80,7 +80,7 @@
     const bool restarted = engine->table.with([&](SlotTable &table) {
         table.slots = info->declaration.slots;
         const std::uint64_t before = table.changes;
-        const bool cold = noteReport(table, *report, BootClock::now());
+        const bool cold = applyReport(table, *report, BootClock::now());
         changed = table.changes != before;
         return cold;
     });
@@ -155,7 +155,7 @@
                  {{"target", info->declaration.name},
                   {"token", std::to_string(claim.token.offset)},
                   {"local", std::to_string(claim.token.local)}});
-    takeReport(node, claim.target, result.body, askedAt);
+    applyEngineReport(node, claim.target, result.body, askedAt);
     if (began)
         tellTarget(node, claim.target);
 }
--- a/libs/gateway/include/gateway/PlacementSettings.h
+++ b/libs/gateway/include/gateway/PlacementSettings.h
@@ -15,7 +15,7 @@
     bool keepDeclines = false;
     /** A call waits for a load of its adapter that is under way at another engine. */
     bool awaitLoads = false;
-    /** Calls without a place wait in one order; see PlaceQueue.h. */
+    /** Calls without a place wait in one order; see CapacityQueue.h. */
     bool queue = false;
 
     auto operator<=>(const PlacementSettings &) const = default;
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -14,8 +14,8 @@
 
 #include "gateway/GatewaySettings.h"
 #include "quota/SpendNote.h"
+#include "serving/AdapterScheduler.h"
 #include "serving/CallMetadata.h"
-#include "serving/OrderDesk.h"
 #include "serving/PartitionLease.h"
 #include "serving/ServingConfig.h"
 #include "serving/TargetEntry.h"
--- a/libs/gateway/src/CallAnswer.cpp
+++ b/libs/gateway/src/CallAnswer.cpp
@@ -104,8 +104,8 @@
     ++run.sends;
     if (!run.repeatTakenAt)
         return;
-    noteRepeatSent(run.node.retryBudgets[run.service], run.node.settings.retries,
-                   *run.repeatTakenAt, BootClock::now());
+    recordRetrySent(run.node.retryBudgets[run.service], run.node.settings.retries,
+                    *run.repeatTakenAt, BootClock::now());
     run.repeatTakenAt.reset();
 }
 
--- a/libs/gateway/src/EngineOrders.cpp
+++ b/libs/gateway/src/EngineOrders.cpp
@@ -41,10 +41,10 @@
 
 HeldDesk &deskOf(GatewayNode &node, const std::string &target)
 {
-    std::unique_ptr<HeldDesk> &desk = node.desks[target];
-    if (!desk)
-        desk = std::make_unique<HeldDesk>(node.context);
-    return *desk;
+    std::unique_ptr<HeldDesk> &scheduler = node.desks[target];
+    if (!scheduler)
+        scheduler = std::make_unique<HeldDesk>(node.context);
+    return *scheduler;
 }
 
 /** An engine that refuses orders is left alone for a while, or all who wait for it would storm it.
@@ -55,14 +55,14 @@
     ++held.refusals;
 }
 
-/** Shows what the desk holds to this gateway's own choices. */
+/** Shows what the scheduler holds to this gateway's own choices. */
 void publishDesk(GatewayNode &node, const std::string &target)
 {
     TargetRuntime &runtime = runtimeOf(node, target);
     ResidentVersions resident;
-    runtime.models = deskOf(node, target).desk.models;
-    runtime.incoming = IncomingLoads();
-    for (const auto &[adapter, slot] : deskOf(node, target).desk.slots) {
+    runtime.models = deskOf(node, target).scheduler.models;
+    runtime.incoming = PendingLoads();
+    for (const auto &[adapter, slot] : deskOf(node, target).scheduler.slots) {
         if (slot.loading)
             runtime.incoming.doneAt[adapter] = slot.readyAt;
         else
@@ -92,7 +92,7 @@
     held.ordering = false;
     if (report)
         noteStartOf(node, target, report->born);
-    const bool taken = report && takeReport(held.desk, *report, BootClock::now());
+    const bool taken = report && applyEngineReport(held.scheduler, *report, BootClock::now());
     if (taken)
         publishDesk(node, target);
     else
@@ -118,16 +118,17 @@
         co_return OrderOutcome::NotSent;
     order.holder = node.settings.vm;
     order.token = node.lease.generation;
-    order.expectedSequence = held.desk.sequence;
+    order.expectedSequence = held.scheduler.sequence;
     const EngineAddress address{target, entry->endpoint};
     const LoadEstimate expected =
-        estimateLoad(held.desk, adapter, loadsUnderWay(node), node.loadBeliefs);
+        estimateLoad(held.scheduler, adapter, loadsUnderWay(node), node.loadEstimator);
     // The entry may be gone by the time the answer is there.
     const Duration expectedForModel = modelTime(node, *entry);
-    const auto slot = held.desk.slots.find(adapter);
-    const Duration unusedFor =
-        slot != held.desk.slots.end() ? BootClock::now() - slot->second.usedAt : Duration::zero();
-    const std::int64_t bornBefore = held.desk.born;
+    const auto slot = held.scheduler.slots.find(adapter);
+    const Duration unusedFor = slot != held.scheduler.slots.end()
+        ? BootClock::now() - slot->second.usedAt
+        : Duration::zero();
+    const std::int64_t bornBefore = held.scheduler.born;
     held.ordering = true;
     held.orderingSince = BootClock::now();
     const OrderOutcome outcome =
@@ -135,35 +136,35 @@
     held.ordering = false;
     const Instant now = BootClock::now();
     // The engine was started anew meanwhile, under the same id: nobody knows which start took the
-    // order, if any did. The desk is that of the new one, and a report tells what it holds.
-    if (held.desk.born != bornBefore) {
-        forgetSequence(held.desk);
+    // order, if any did. The scheduler is that of the new one, and a report tells what it holds.
+    if (held.scheduler.born != bornBefore) {
+        invalidateSequence(held.scheduler);
         held.changed.notifyAll();
         co_return OrderOutcome::Unknown;
     }
     const bool done = outcome == OrderOutcome::Accepted || outcome == OrderOutcome::Holds;
     const bool ofModel = order.adapter.empty();
     if (done && ofModel)
-        held.desk.modelReadyAt = now + expectedForModel;
+        held.scheduler.modelReadyAt = now + expectedForModel;
     else if (done && order.load)
-        noteLoadAccepted(held.desk, adapter, order.version, expected, now);
+        recordLoadAccepted(held.scheduler, adapter, order.version, expected, now);
     else if (outcome == OrderOutcome::Accepted)
-        noteUnloadDeferred(held.desk, adapter);
+        recordDeferredUnload(held.scheduler, adapter);
     else if (done)
-        noteUnloaded(held.desk, adapter);
+        recordUnloaded(held.scheduler, adapter);
     if (done && !(order.load && outcome == OrderOutcome::Holds))
-        noteSequence(held.desk, now);
+        advanceSequence(held.scheduler, now);
     const bool deferred = !order.load && outcome == OrderOutcome::Accepted;
     if (deferred) {
         backOff(held, now);
-        forgetSequence(held.desk);
+        invalidateSequence(held.scheduler);
     } else if (done) {
         held.refusals = 0;
     } else if (outcome == OrderOutcome::Busy && order.load
-               && noteStillLoading(held.desk, node.loadBeliefs, now)) {
+               && recordBusyRefusal(held.scheduler, node.loadEstimator, now)) {
         // Nothing else is in doubt.
     } else {
-        forgetSequence(held.desk);
+        invalidateSequence(held.scheduler);
         backOff(held, now);
     }
     logEvent(EventId::OrderGiven,
@@ -176,7 +177,7 @@
               {"unusedMs", millisText(unusedFor)},
               {"expectedMs", millisText(order.load ? expected.time : Duration::zero())},
               {"underWay", std::to_string(expected.underWay)},
-              {"copiesKept", std::to_string(static_cast<int>(node.loadBeliefs.memory.loads))},
+              {"copiesKept", std::to_string(static_cast<int>(node.loadEstimator.memory.loads))},
               {"fetched", order.load && expected.fetched ? "yes" : "no"},
               {"outcome", std::to_string(static_cast<int>(outcome))}});
     publishDesk(node, target);
@@ -206,16 +207,16 @@
     return reply;
 }
 
-std::int64_t heldVersion(const OrderDesk &desk, const std::string &adapter)
+std::int64_t heldVersion(const AdapterScheduler &scheduler, const std::string &adapter)
 {
-    const auto found = desk.slots.find(adapter);
-    return found == desk.slots.end() ? 0 : found->second.version;
+    const auto found = scheduler.slots.find(adapter);
+    return found == scheduler.slots.end() ? 0 : found->second.version;
 }
 
-bool isLoading(const OrderDesk &desk, const std::string &adapter)
+bool isLoading(const AdapterScheduler &scheduler, const std::string &adapter)
 {
-    const auto found = desk.slots.find(adapter);
-    return found != desk.slots.end() && found->second.loading;
+    const auto found = scheduler.slots.find(adapter);
+    return found != scheduler.slots.end() && found->second.loading;
 }
 
 EngineOrder unloadOrder(const std::string &key)
@@ -274,11 +275,11 @@
 Instant loadBegin(const GatewayNode &node, const HeldDesk &held, const std::string &key,
                   Instant now)
 {
-    if (held.desk.slots.count(key) > 0)
+    if (held.scheduler.slots.count(key) > 0)
         return now;
-    const Duration loadTime = fetchTime(node.loadBeliefs.pace, loadsUnderWay(node) + 1);
-    const int ahead = loadsAhead(held.queue, held.desk, key);
-    return expectedBegin(held.desk, ahead, loadTime, ordersFrom(held, now));
+    const Duration loadTime = fetchTime(node.loadEstimator.pace, loadsUnderWay(node) + 1);
+    const int ahead = loadsAhead(held.queue, held.scheduler, key);
+    return expectedBegin(held.scheduler, ahead, loadTime, ordersFrom(held, now));
 }
 
 } // namespace
@@ -291,14 +292,15 @@
 bool mayAskLoad(GatewayNode &node, const std::string &target, Duration begin)
 {
     const bool heldBack = node.settings.placement.keepDeclines
-        && holdsBack(runtimeOf(node, target).loadMark, BootClock::now(), begin);
+        && blocksLoadRequest(runtimeOf(node, target).loadMark, BootClock::now(), begin);
     return !heldBack && isOrderable(node, target);
 }
 
 std::optional<Duration> loadUnderWay(GatewayNode &node, const std::string &target,
                                      const std::string &adapter, Duration loadTime)
 {
-    const auto incoming = incomingIn(runtimeOf(node, target).incoming, adapter, BootClock::now());
+    const auto incoming =
+        timeUntilLoaded(runtimeOf(node, target).incoming, adapter, BootClock::now());
     const bool asked = node.loadsAsked.count({target, adapter}) > 0;
     if ((!incoming && !asked) || !isOrderable(node, target))
         return std::nullopt;
@@ -311,11 +313,11 @@
     const std::string &target = request.target();
     const std::string key = adapterKey(request.model(), request.adapter());
     if (request.missed() && !deskOf(node, target).ordering)
-        noteMissing(deskOf(node, target).desk, key, node.loadBeliefs, begun);
+        recordMissing(deskOf(node, target).scheduler, key, node.loadEstimator, begun);
     const Duration beginWithin = request.begin_within_ms() > 0
         ? Duration(std::chrono::milliseconds(request.begin_within_ms()))
         : loadPatience;
-    if (isLoading(deskOf(node, target).desk, key))
+    if (isLoading(deskOf(node, target).scheduler, key))
         node.metrics.add(Counter::LoadsJoined);
     const QueuePlace place(deskOf(node, target).queue, key, decodeRank(request));
     while (BootClock::now() - begun < loadPatience) {
@@ -325,7 +327,7 @@
             co_return declineReply(DeclineReason::NotHolder);
         HeldDesk &held = deskOf(node, target);
         const ModelSpec *model = baseModel(*spec);
-        held.desk.adapterSlots = model != nullptr ? adapterCapacity(*spec, *model) : 0;
+        held.scheduler.adapterSlots = model != nullptr ? adapterCapacity(*spec, *model) : 0;
         const Instant begin = loadBegin(node, held, key, BootClock::now());
         if (begin > begun + beginWithin)
             co_return declineReply(isUnanswered(held, BootClock::now())
@@ -337,9 +339,9 @@
             continue;
         }
         const Instant now = BootClock::now();
-        const bool modelUnderWay = now < held.desk.modelReadyAt;
+        const bool modelUnderWay = now < held.scheduler.modelReadyAt;
         if (modelUnderWay)
-            co_return declineReply(DeclineReason::ModelMissing, held.desk.modelReadyAt);
+            co_return declineReply(DeclineReason::ModelMissing, held.scheduler.modelReadyAt);
         // The caller may find another engine sooner than this one takes orders again.
         if (held.retryAt - now > longestBackOffWait)
             co_return declineReply(DeclineReason::EngineSilent, held.retryAt);
@@ -347,54 +349,58 @@
             co_await held.changed.wait(held.retryAt - now);
             continue;
         }
-        if (held.desk.sequence < 0) {
+        if (held.scheduler.sequence < 0) {
             co_await readReport(node, target);
             continue;
         }
         // Without its base model an engine refuses every load of an adapter.
-        if (held.desk.models.count(request.model()) == 0)
+        if (held.scheduler.models.count(request.model()) == 0)
             co_return declineReply(DeclineReason::ModelMissing);
-        noteRuns(held.desk, adapterRuns(node, target), now);
-        judgeLoads(held.desk, node.loadBeliefs, now);
-        stretchLoads(held.desk, node.loadBeliefs.pace);
-        if (settleLoads(held.desk, now))
+        updateRuns(held.scheduler, adapterRuns(node, target), now);
+        learnFromLoads(held.scheduler, node.loadEstimator, now);
+        extendLoadEstimates(held.scheduler, node.loadEstimator.pace);
+        if (completeDueLoads(held.scheduler, now))
             publishDesk(node, target);
-        const DeskChoice choice = nextDeskStep(held.desk, key, request.version(), now);
-        const bool orders = choice.step == DeskStep::Load || choice.step == DeskStep::Unload;
+        const SchedulerDecision choice = nextCommand(held.scheduler, key, request.version(), now);
+        const bool orders =
+            choice.step == SchedulerStep::Load || choice.step == SchedulerStep::Unload;
         const bool othersFirst = node.settings.placement.queue && orders
-            && held.desk.slots.count(key) == 0 && loadsAhead(held.queue, held.desk, key) > 0;
+            && held.scheduler.slots.count(key) == 0
+            && loadsAhead(held.queue, held.scheduler, key) > 0;
         if (othersFirst) {
             co_await held.changed.wait(turnLook);
             continue;
         }
         switch (choice.step) {
-        case DeskStep::Ready: {
-            const Duration trial = waitForTrial(held.desk, key, node.loadBeliefs.pace, now);
+        case SchedulerStep::Ready: {
+            const Duration trial =
+                probeCallDelay(held.scheduler, key, node.loadEstimator.pace, now);
             if (trial > Duration::zero()) {
                 co_await held.changed.wait(trial);
                 break;
             }
-            noteCallComing(held.desk, key, now);
-            co_return loadReply(v1::LOAD_OUTCOME_READY, heldVersion(held.desk, key));
+            recordPendingCall(held.scheduler, key, now);
+            co_return loadReply(v1::LOAD_OUTCOME_READY, heldVersion(held.scheduler, key));
         }
-        case DeskStep::Wait: {
-            const auto slot = held.desk.slots.find(key);
+        case SchedulerStep::Wait: {
+            const auto slot = held.scheduler.slots.find(key);
             const Duration rest =
-                slot != held.desk.slots.end() ? slot->second.readyAt - now : slotLook;
+                slot != held.scheduler.slots.end() ? slot->second.readyAt - now : slotLook;
             co_await held.changed.wait(std::max(rest, Duration(std::chrono::milliseconds(1))));
             break;
         }
-        case DeskStep::NoSlot:
+        case SchedulerStep::NoSlot:
             if (now - begun > std::min(slotPatience, beginWithin))
-                co_return declineReply(DeclineReason::NoSlot, slotExpected(held.desk, now));
+                co_return declineReply(DeclineReason::NoSlot,
+                                       nextFreeSlotTime(held.scheduler, now));
             co_await held.changed.wait(slotLook);
             break;
-        case DeskStep::Unload: {
+        case SchedulerStep::Unload: {
             EngineOrder order = unloadOrder(choice.victim);
             co_await giveOrder(node, target, std::move(order), choice.victim);
             break;
         }
-        case DeskStep::Load: {
+        case SchedulerStep::Load: {
             EngineOrder order;
             order.model = request.model();
             order.adapter = request.adapter();
@@ -426,7 +432,7 @@
         return Counter::LoadsDeclinedModel;
     case DeclineReason::NotHolder:
         return Counter::LoadsDeclinedHolder;
-    case DeclineReason::NotSaid:
+    case DeclineReason::Unspecified:
         break;
     }
     return Counter::LoadsDeclinedOther;
@@ -445,7 +451,7 @@
     const bool slotKnown = decline.reason == DeclineReason::NoSlot && mayOrderNow(node, target);
     // A holder that does not answer is left alone with all its engines, see holderOf().
     if (reply && !invalid && !slotKnown)
-        runtimeOf(node, target).loadMark = markAfter(decline, BootClock::now());
+        runtimeOf(node, target).loadMark = backoffAfter(decline, BootClock::now());
     node.metrics.add(declinedCounter(decline.reason));
     return decline;
 }
@@ -565,7 +571,8 @@
     const EngineAddress address{target, entry->endpoint};
     const auto report = co_await node.platform->report(node.http, address, reportTimeout);
     held.looking = false;
-    if (!report || !takeLoadsDone(held.desk, *report, node.loadBeliefs, BootClock::now()))
+    if (!report
+        || !applyCompletedLoads(held.scheduler, *report, node.loadEstimator, BootClock::now()))
         co_return;
     publishDesk(node, target);
     held.changed.notifyAll();
@@ -582,21 +589,21 @@
     if (model == nullptr || entry->leaving)
         co_return;
     // Before anybody asks for a load: peers are told how many slots are idle.
-    held.desk.adapterSlots = adapterCapacity(*spec, *model);
-    judgeLoads(held.desk, node.loadBeliefs, now);
-    if (isLookDue(held.desk, node.loadBeliefs.pace, now))
+    held.scheduler.adapterSlots = adapterCapacity(*spec, *model);
+    learnFromLoads(held.scheduler, node.loadEstimator, now);
+    if (isReportCheckDue(held.scheduler, node.loadEstimator.pace, now))
         spawn(node, "look at loads", lookAtLoads(node, target));
     if (held.ordering || now < held.retryAt)
         co_return;
-    if (now < held.desk.modelReadyAt)
+    if (now < held.scheduler.modelReadyAt)
         co_return;
-    const bool expected = held.desk.modelReadyAt != Instant{};
-    held.desk.modelReadyAt = Instant{};
-    if (expected || held.desk.sequence < 0 || awaitsDrop(held.desk)) {
+    const bool expected = held.scheduler.modelReadyAt != Instant{};
+    held.scheduler.modelReadyAt = Instant{};
+    if (expected || held.scheduler.sequence < 0 || hasDeferredUnload(held.scheduler)) {
         co_await readReport(node, target);
         co_return;
     }
-    if (held.desk.models.count(model->name) > 0 || !mayLoadModel(node, *spec, now))
+    if (held.scheduler.models.count(model->name) > 0 || !mayLoadModel(node, *spec, now))
         co_return;
     EngineOrder order;
     order.model = model->name;
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -32,16 +32,16 @@
 // together they read about as often as one relay does.
 bool readsListItself(const GatewayNode &node, Instant now)
 {
-    if (!isListOld(node.book, now))
+    if (!isListStale(node.book, now))
         return false;
     const Instant lastOwn = std::max(node.book.ownRead, node.bootedAt);
-    return now - lastOwn > listStaysNew * std::max(countMates(node), 1);
+    return now - lastOwn > maxListAge * std::max(countMates(node), 1);
 }
 
 void takeTarget(GatewayNode &node, TargetEntry entry)
 {
     const std::string id = entry.id;
-    if (noteStartOf(node, id, entry.born) == WordAge::Older)
+    if (noteStartOf(node, id, entry.born) == StartOrder::Older)
         return;
     const auto known = node.book.records.find(id);
     const bool wasLeaving = known != node.book.records.end() && known->second.entry.leaving;
@@ -58,7 +58,7 @@
         noteResident(node, id, std::move(resident));
         runtime.models = std::set<std::string>(entry.models.begin(), entry.models.end());
     }
-    const bool wasLapsed = !isNew && known->second.lapsedAt != Instant{};
+    const bool wasLapsed = !isNew && known->second.expiredAt != Instant{};
     const bool sameForPeers = !isNew && !wasLapsed && leaving == wasLeaving
         && withoutAdapters(known->second.entry) == withoutAdapters(entry);
     if (!sameForPeers)
@@ -70,7 +70,7 @@
                   {"zone", entry.zone},
                   {"address", entry.endpoint.text()}});
     runtime.leaves = leaving;
-    noteListed(node.book, std::move(entry));
+    recordListed(node.book, std::move(entry));
     if (leaving && !wasLeaving) {
         logEvent(EventId::TargetLeaving, {{"target", id}, {"source", "list"}});
         node.newsDue.notifyAll();
@@ -82,7 +82,7 @@
 void sweep(GatewayNode &node)
 {
     for (const auto &[id, record] : node.book.records) {
-        if (record.lapsedAt != Instant{})
+        if (record.expiredAt != Instant{})
             node.facts.targets.set(id, {record.entry, false, true}, node.facts.counter);
     }
     for (const std::string &id : dropGone(node.book, BootClock::now())) {
@@ -98,9 +98,9 @@
         // Calls that are under way there still hold on to its counts.
         if (runtime != node.targets.end() && runtime->second->own.runs == 0)
             node.targets.erase(runtime);
-        const auto desk = node.desks.find(id);
-        if (desk != node.desks.end() && !desk->second->ordering)
-            desk->second->desk = OrderDesk();
+        const auto scheduler = node.desks.find(id);
+        if (scheduler != node.desks.end() && !scheduler->second->ordering)
+            scheduler->second->scheduler = AdapterScheduler();
     }
 }
 
@@ -193,7 +193,7 @@
     if (ownRelay)
         found->second.gone = true;
     else
-        noteRemoved(node.book, target, BootClock::now());
+        recordRemoved(node.book, target, BootClock::now());
     sweep(node);
 }
 
@@ -211,7 +211,7 @@
         noteAdapterVersion(node, adapter, version);
     };
     sink.listRead = [&node] {
-        noteListRead(node.book, BootClock::now());
+        recordListRead(node.book, BootClock::now());
         // What was read here the relay may never have known, and would not say that it is gone.
         node.listSource = ListSource();
         node.started.notifyAll();
@@ -220,21 +220,21 @@
         takeTarget(node, std::move(entry));
     };
     sink.targetRemoved = [&node](const std::string &id) {
-        noteRemoved(node.book, id, BootClock::now());
+        recordRemoved(node.book, id, BootClock::now());
         sweep(node);
     };
     sink.wholeList = [&node](std::vector<TargetEntry> entries,
                              const std::vector<std::string> &unreadable) {
         for (const TargetEntry &entry : entries)
             takeTarget(node, entry);
-        noteWholeList(node.book, std::move(entries), unreadable, BootClock::now());
+        recordFullList(node.book, std::move(entries), unreadable, BootClock::now());
         sweep(node);
     };
     sink.unreadable = [](std::string_view what, const std::string &key) {
         logEvent(EventId::DocumentUnreadable, {{"what", std::string(what)}, {"source", key}});
     };
     sink.listFailed = [&node] {
-        noteListFailed(node.book, BootClock::now());
+        recordListFailure(node.book, BootClock::now());
     };
     sink.peer = [&node](PlatformVm vm) {
         addPeer(node, vm.peers, {std::move(vm.name), std::move(vm.zone), vm.capacity});
--- a/libs/gateway/src/Forwarding.cpp
+++ b/libs/gateway/src/Forwarding.cpp
@@ -34,7 +34,7 @@
     if (run.callerGone)
         return;
     const bool ejected =
-        noteOutcome(runtimeOf(run.node, target.id).health, outcome, BootClock::now());
+        recordOutcome(runtimeOf(run.node, target.id).health, outcome, BootClock::now());
     if (ejected)
         logEvent(EventId::TargetEjected,
                  {{"target", target.id},
@@ -83,7 +83,7 @@
     if (knowsOthers(node, now))
         sharing.vms = vmsKnown(node, now);
     if (!node.settings.firstStart)
-        sharing.from = slackAfterStart(node.settings.retries, node.bootedAt);
+        sharing.from = slackAvailableFrom(node.settings.retries, node.bootedAt);
     return sharing;
 }
 
@@ -197,7 +197,7 @@
     void logBounced(const std::string &target, const std::string &software, SendEnd end, bool again)
     {
         const ServiceRetryBudget &budget = this->node.retryBudgets[this->run.service];
-        const TargetUse others = othersAt(this->node, target);
+        const TargetUsage others = othersAt(this->node, target);
         logEvent(EventId::CallBounced,
                  {{"call", this->run.facts.attemptId},
                   {"target", target},
@@ -208,7 +208,7 @@
                   {"othersFailed", std::to_string(others.faults)},
                   {"sends", std::to_string(this->run.sends)},
                   {"again", again ? "yes" : "no"},
-                  {"repeats", std::to_string(repeatsTaken(budget))},
+                  {"repeats", std::to_string(retriesTaken(budget))},
                   {"vmsCounted", std::to_string(slackSharing(this->node, BootClock::now()).vms)},
                   {"identity", identityText(identityOf(this->run))}});
     }
@@ -223,15 +223,15 @@
             return false;
         if (end == SendEnd::Unreachable)
             return true;
-        if (this->run.mayHaveRun && !mayRepeat(*this->run.route))
+        if (this->run.mayHaveRun && !mayRetry(*this->run.route))
             return false;
         const bool ran = end == SendEnd::Failed || end == SendEnd::Broken;
         if (ran && this->run.runsStarted >= this->run.route->maxAttempts)
             return false;
         const Instant now = BootClock::now();
         const bool taken =
-            takeRepeat(this->node.retryBudgets[this->run.service], this->node.settings.retries,
-                       slackSharing(this->node, now), now);
+            tryTakeRetry(this->node.retryBudgets[this->run.service], this->node.settings.retries,
+                         slackSharing(this->node, now), now);
         if (taken)
             this->run.repeatTakenAt = now;
         return taken;
@@ -405,7 +405,7 @@
         co_return refused;
     const double draw = std::uniform_real_distribution<double>(0, 1)(node.random);
     run.service = pickService(*run.route, draw);
-    noteCall(node.retryBudgets[run.service], node.settings.retries, run.arrivedAt);
+    recordCall(node.retryBudgets[run.service], node.settings.retries, run.arrivedAt);
     node.metrics.add(Counter::RequestsReceived);
     co_return std::nullopt;
 }
--- a/libs/gateway/src/GatewayNode.cpp
+++ b/libs/gateway/src/GatewayNode.cpp
@@ -139,7 +139,8 @@
     const bool failed = node.storeFailedAt != Instant{}
         && BootClock::now() - node.storeFailedAt < storeFailureCounts;
     // A VM that is stopping relays only if nobody else can.
-    rank.storeAway = node.shuttingDown || (failed && !node.storeUp && mateReachesStore(node));
+    rank.storeUnreachable =
+        node.shuttingDown || (failed && !node.storeUp && mateReachesStore(node));
     rank.capacity = node.shuttingDown ? 0 : node.settings.capacity;
     rank.hash = stableHash(node.settings.vm);
     return rank;
@@ -168,25 +169,25 @@
     return found;
 }
 
-TargetUse othersAt(const GatewayNode &node, const std::string &target)
+TargetUsage othersAt(const GatewayNode &node, const std::string &target)
 {
-    TargetUse others;
+    TargetUsage others;
     const auto below = node.reported.total.find(target);
     if (below != node.reported.total.end())
-        addUse(others, below->second);
+        addUsage(others, below->second);
     const auto above = node.upstream.others.find(target);
     if (above != node.upstream.others.end())
-        addUse(others, above->second);
+        addUsage(others, above->second);
     return others;
 }
 
-TargetUse totalLoad(const GatewayNode &node, const std::string &target)
+TargetUsage totalLoad(const GatewayNode &node, const std::string &target)
 {
-    TargetUse total = othersAt(node, target);
+    TargetUsage total = othersAt(node, target);
     const auto own = node.targets.find(target);
     if (own == node.targets.end())
         return total;
-    addUse(total, own->second->own);
+    addUsage(total, own->second->own);
     addHealth(total, own->second->health, BootClock::now());
     return total;
 }
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -28,28 +28,28 @@
 #include "observe/Metrics.h"
 #include "quota/FleetSize.h"
 #include "quota/SpendRecord.h"
+#include "serving/AdapterScheduler.h"
+#include "serving/AdvertisedLimit.h"
 #include "serving/CallIdentity.h"
 #include "serving/ChangeLog.h"
 #include "serving/EngineBoard.h"
 #include "serving/EngineLog.h"
 #include "serving/EngineRecord.h"
 #include "serving/HarmfulCalls.h"
-#include "serving/IncomingLoads.h"
 #include "serving/LoadDecline.h"
 #include "serving/LoadQueue.h"
-#include "serving/NamedLimit.h"
-#include "serving/OrderDesk.h"
 #include "serving/PartitionLease.h"
-#include "serving/PrefillPace.h"
+#include "serving/PendingLoads.h"
 #include "serving/PrefillQueue.h"
-#include "serving/PrefixBook.h"
+#include "serving/PrefillRate.h"
+#include "serving/PrefixIndex.h"
 #include "serving/PrefixLog.h"
 #include "serving/ServiceRetryBudget.h"
 #include "serving/ServingConfig.h"
-#include "serving/TargetBook.h"
 #include "serving/TargetHealth.h"
 #include "serving/TargetLinks.h"
-#include "serving/UseLedger.h"
+#include "serving/TargetTable.h"
+#include "serving/UsageLedger.h"
 #include "serving/ZoneRelay.h"
 #include "transfer/DocumentShelf.h"
 #include "transfer/PartPacing.h"
@@ -80,20 +80,20 @@
 {
     std::uint64_t hash = 0;
     TargetHealth health;
-    LinkSight link;
+    LinkObservation link;
     TargetPool pool;
     Instant startKnownAt{}; ///< it was asked, and was the start that its entry tells of
     LostCalls lost;
     Instant wantsNothingUntil{}; ///< by its own word to this VM
-    NamedLimit limit;
+    AdvertisedLimit limit;
     bool leaves = false; ///< it has said so; also once the list has dropped it
-    TargetUse own;
+    TargetUsage own;
     std::map<std::string, int> ownAdapterRuns; ///< calls under way, by adapter
     std::unordered_map<std::string, std::int64_t> resident; ///< version by adapter key
     HostCopies copies; ///< adapters that load fast again there
     std::set<std::string> models; ///< base models that are there
-    IncomingLoads incoming;
-    LoadMark loadMark; ///< after a declined load, for all calls of this VM
+    PendingLoads incoming;
+    LoadBackoff loadMark; ///< after a declined load, for all calls of this VM
 };
 
 /** The last word of a VM on whether it may order engines of its zone. */
@@ -121,7 +121,7 @@
     bool starting = false;
     bool stopping = false;
     bool leaseLeft = false; ///< by its last word, this boot orders no engines any more
-    bool storeAway = false;
+    bool storeUnreachable = false;
     bool holding = false; ///< it is one of those that order engines of its zone
     bool linksLost = false; ///< it does not reach engines that others reach
     std::int64_t configVersion = 0; ///< that it last told to have in force
@@ -176,7 +176,7 @@
         : changed(context)
     { }
 
-    OrderDesk desk;
+    AdapterScheduler scheduler;
     bool ordering = false; ///< an order or report is under way
     Instant orderingSince{}; ///< of the last one
     bool looking = false; ///< a report is read to see whether loads are done
@@ -240,11 +240,11 @@
 /** Prefixes of prompts that engines have read, and what other VMs are told of them. */
 struct SharedPrefixes
 {
-    PrefixBook book;
+    PrefixIndex book;
     PrefixLog log;
 };
 
-/** Beginning of the name under which another zone as a whole reports; see UseLedger. */
+/** Beginning of the name under which another zone as a whole reports; see UsageLedger. */
 constexpr std::string_view zoneReporter = "zone ";
 
 inline std::string zoneReporterName(const std::string &zone)
@@ -257,7 +257,7 @@
 {
     Endpoint relay;
     Instant at{}; ///< zero: none is heard
-    TargetUses others; ///< calls of all VMs but those that this VM reports for
+    TargetUsages others; ///< calls of all VMs but those that this VM reports for
     int vms = 1; ///< all that are heard of, in all zones
     int linkedMates = 0; ///< others of the zone that reach engines
     WorkspaceUses otherWorkspaces; ///< of all VMs in touch but those that this one reports for
@@ -325,7 +325,7 @@
     Signal configOffered; ///< a peer has a newer one
     SharedFacts facts;
     SharedPrefixes prefixes;
-    TargetBook book;
+    TargetTable book;
     std::unordered_map<std::string, std::unique_ptr<TargetRuntime>> targets;
     std::unordered_map<std::string, ServiceRetryBudget> retryBudgets; ///< by service
 
@@ -335,14 +335,14 @@
 
     std::map<Endpoint, PeerState> peers;
     std::uint64_t reportSequence = 0;
-    UseLedger reported; ///< by VMs that report here, and by the relays of other zones
+    UsageLedger reported; ///< by VMs that report here, and by the relays of other zones
     UpstreamWord upstream;
     ListSource listSource;
     /** Adapters in use at engines that this VM orders, by engine and by the VM that told. */
     std::unordered_map<std::string, std::map<Endpoint, ToldRuns>> toldRuns;
     std::set<std::string> runsChanged; ///< engines whose holder is to be told of own calls
     Signal runsDue;
-    std::uint64_t noteSequence = 0;
+    std::uint64_t advanceSequence = 0;
     std::map<std::string, Endpoint> zoneRelays; ///< of other zones, as their VMs say
     std::set<std::string> enginesBelow; ///< held by VMs that report here
     bool relaying = false; ///< this VM reads the store for its zone
@@ -366,8 +366,8 @@
     std::unordered_map<std::string, std::unique_ptr<HeldDesk>> desks;
     /** By engine and adapter. */
     std::map<std::pair<std::string, std::string>, std::shared_ptr<LoadAsk>> loadsAsked;
-    LoadBeliefs loadBeliefs;
-    std::unordered_map<std::string, PrefillPace> prefillPaces; ///< by service
+    LoadEstimator loadEstimator;
+    std::unordered_map<std::string, PrefillRate> prefillPaces; ///< by service
     PrefillCounts prefill;
     HarmfulCalls harmful; ///< follows from the evidence
     bool evidenceChanged = false; ///< since it was judged last
@@ -427,10 +427,10 @@
 std::vector<const TargetRecord *> targetsOf(const GatewayNode &node, const std::string &service);
 
 /** Load of all gateways' calls at one target; without the adapters. */
-TargetUse totalLoad(const GatewayNode &node, const std::string &target);
+TargetUsage totalLoad(const GatewayNode &node, const std::string &target);
 
 /** The same of all other gateways' calls, and how they ended lately. */
-TargetUse othersAt(const GatewayNode &node, const std::string &target);
+TargetUsage othersAt(const GatewayNode &node, const std::string &target);
 
 bool isReady(const GatewayNode &node) noexcept;
 
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -253,9 +253,9 @@
                           {"before", std::to_string(before)}});
         }
         // What another gateway may have ordered meanwhile is not known here any more.
-        for (const auto &[target, desk] : node.desks) {
+        for (const auto &[target, scheduler] : node.desks) {
             if (!mayOrderNow(node, target))
-                forgetSequence(desk->desk);
+                invalidateSequence(scheduler->scheduler);
         }
         const Instant now = BootClock::now();
         if (grant && grant->generation != renewal.generation)
--- a/libs/gateway/src/LinkWatch.cpp
+++ b/libs/gateway/src/LinkWatch.cpp
@@ -109,7 +109,7 @@
     for (const TargetRecord *record : targetsOf(node, service)) {
         TargetRuntime &runtime = runtimeOf(node, record->entry.id);
         runtime.health = TargetHealth();
-        runtime.link = LinkSight();
+        runtime.link = LinkObservation();
     }
     node.engineChanged.notifyAll();
 }
@@ -121,7 +121,7 @@
         std::vector<TargetEntry> targets = drawTargets(node, service, false);
         const ProbeRound round = co_await probeAll(node, std::move(targets));
         ServiceLinks &links = node.serviceLinks[service];
-        if (!noteProbes(links, round))
+        if (!recordProbes(links, round))
             continue;
         forgetSights(node, service);
         logEvent(EventId::LinksBack,
@@ -152,7 +152,7 @@
     const ProbeRound round = co_await probeAll(node, std::move(targets));
     ServiceLinks &links = node.serviceLinks[service];
     links.checking = false;
-    if (!provesLoss(round))
+    if (!confirmsLoss(round))
         co_return;
     links.lost = true;
     links.since = BootClock::now();
--- a/libs/gateway/src/NewsCodec.cpp
+++ b/libs/gateway/src/NewsCodec.cpp
@@ -162,7 +162,7 @@
     return decline;
 }
 
-void encodeUse(const std::string &target, const TargetUse &use, v1::EngineUse &told)
+void encodeUse(const std::string &target, const TargetUsage &use, v1::EngineUse &told)
 {
     told.set_target(target);
     told.set_waiting_tokens(wholeTokens(use.waitingTokens));
@@ -220,9 +220,9 @@
     return uses;
 }
 
-TargetUse decodeUse(const v1::EngineUse &told)
+TargetUsage decodeUse(const v1::EngineUse &told)
 {
-    TargetUse use;
+    TargetUsage use;
     use.waitingTokens = static_cast<double>(told.waiting_tokens());
     use.heldTokens = static_cast<double>(told.held_tokens());
     use.runs = told.runs();
--- a/libs/gateway/src/NewsCodec.h
+++ b/libs/gateway/src/NewsCodec.h
@@ -34,7 +34,7 @@
 void encodeDecline(const LoadDecline &decline, gateway::v1::LoadReply &reply);
 LoadDecline decodeDecline(const gateway::v1::LoadReply &reply);
 
-void encodeUse(const std::string &target, const TargetUse &use, gateway::v1::EngineUse &told);
+void encodeUse(const std::string &target, const TargetUsage &use, gateway::v1::EngineUse &told);
 void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &use,
                         gateway::v1::WorkspaceUse &told);
 WorkspaceUse decodeWorkspaceUse(const gateway::v1::WorkspaceUse &told);
@@ -43,7 +43,7 @@
 decodeWorkspaceUses(const google::protobuf::RepeatedPtrField<gateway::v1::WorkspaceUse> &all,
                     const gateway::v1::Vm &from);
 
-TargetUse decodeUse(const gateway::v1::EngineUse &told);
+TargetUsage decodeUse(const gateway::v1::EngineUse &told);
 
 void encodeTarget(const std::string &target, const TargetFact &fact, gateway::v1::Target &told);
 TargetFact decodeTarget(const gateway::v1::Target &told);
--- a/libs/gateway/src/NewsTelling.cpp
+++ b/libs/gateway/src/NewsTelling.cpp
@@ -77,7 +77,7 @@
 {
     if (!digest.list_known())
         return;
-    noteListReadByPeer(node.book, listReadAt(digest),
+    recordPeerListRead(node.book, listReadAt(digest),
                        std::chrono::milliseconds(digest.list_failing_ms()), BootClock::now());
 }
 
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -44,12 +44,12 @@
 }
 
 /** What this VM has under way, and the busy slots of the engines that it orders. */
-TargetUses ownUses(GatewayNode &node)
+TargetUsages ownUses(GatewayNode &node)
 {
-    TargetUses uses;
+    TargetUsages uses;
     const Instant now = BootClock::now();
     for (const auto &[target, runtime] : node.targets) {
-        TargetUse use = runtime->own;
+        TargetUsage use = runtime->own;
         if (!isSightDoubtful(node, target))
             addHealth(use, runtime->health, now);
         use.busySlots = busySlots(node, target);
@@ -60,12 +60,12 @@
 }
 
 /** Sums of what this VM and those of its zone that report to it have under way. */
-TargetUses zoneUses(GatewayNode &node)
+TargetUsages zoneUses(GatewayNode &node)
 {
-    TargetUses uses = ownUses(node);
+    TargetUsages uses = ownUses(node);
     for (const auto &[reporter, report] : node.reported.reports) {
         if (!reporter.starts_with(zoneReporter))
-            addUses(uses, report.uses);
+            addUsages(uses, report.uses);
     }
     return uses;
 }
@@ -131,7 +131,7 @@
     report->set_config_version(node.routes->config().version);
     report->set_stopping(node.shuttingDown);
     report->set_starting(isStarting(node));
-    report->set_store_away(ownRank(node).storeAway);
+    report->set_store_away(ownRank(node).storeUnreachable);
     report->set_holding(node.mayHold && !node.leaseLeft && !node.ordersYielded);
     report->set_links_lost(engineLinksLostSince(node).has_value());
     if (node.storeReachedAt != Instant{})
@@ -210,14 +210,14 @@
 void fillUses(GatewayNode &node, const PeerState &asker, v1::Digest &digest)
 {
     digest.set_carries_use(true);
-    TargetUses others = usesExcept(node.reported, asker.endpoint.text());
-    addUses(others, node.upstream.others);
-    addUses(others, ownUses(node));
+    TargetUsages others = usagesExcept(node.reported, asker.endpoint.text());
+    addUsages(others, node.upstream.others);
+    addUsages(others, ownUses(node));
     for (const auto &[target, use] : others)
         encodeUse(target, use, *digest.add_others());
     digest.set_vms(static_cast<std::uint32_t>(liveGateways(node)));
     WorkspaceUses workspaces = workspacesExcept(node.reported, asker.endpoint.text());
-    addUses(workspaces, ownWorkspaceUses(node, BootClock::now()));
+    addUsages(workspaces, ownWorkspaceUses(node, BootClock::now()));
     for (const auto &[workspace, use] : workspaces)
         encodeWorkspaceUse(workspace, use, *digest.add_other_workspaces());
     digest.set_vms_in_touch(static_cast<std::uint32_t>(ownVms(node) + vmsReported(node.reported)));
@@ -256,7 +256,7 @@
 bool mayHoldBeside(GatewayNode &node, const Endpoint &asker)
 {
     const ZoneMates zone = matesOf(node, node.settings.zone);
-    for (const std::size_t index : chooseHolders(zone.mates, holdersPerZone - 1)) {
+    for (const std::size_t index : chooseLeaseHolders(zone.mates, holdersPerZone - 1)) {
         if (zone.peers[index]->endpoint == asker)
             return true;
     }
@@ -293,7 +293,7 @@
     encodeSelf(node, *digest.mutable_from());
     digest.set_starting(isStarting(node));
     digest.set_stopping(node.shuttingDown);
-    digest.set_store_away(ownRank(node).storeAway);
+    digest.set_store_away(ownRank(node).storeUnreachable);
     digest.set_relaying(node.relaying);
     if (!node.relaying && node.upstream.at != Instant{}) {
         digest.set_relay_address(node.upstream.relay.address);
@@ -323,7 +323,7 @@
     // beside it; when another VM became the relay, three more joined, and all engines got no orders
     // for 3 to 6 s.
     peer.starting = report.starting();
-    peer.storeAway = report.store_away();
+    peer.storeUnreachable = report.store_away();
     peer.holding = report.holding();
     peer.linksLost = report.links_lost();
     noteConfigOffer(node, peer, report.config_version());
@@ -332,7 +332,7 @@
     const bool mate = report.from().zone() == node.settings.zone;
     if (report.carries_use()) {
         peer.reportedAt = now;
-        UseReport uses;
+        ReporterUsage uses;
         uses.at = now;
         uses.vms = static_cast<int>(report.vms());
         for (const v1::EngineUse &told : report.uses())
@@ -342,7 +342,7 @@
         // A VM that does not relay hears of the other zones from its relay; twice would count
         // twice.
         if (mate || node.relaying)
-            noteReport(node.reported, reporterOf(node, report.from()), std::move(uses));
+            applyReport(node.reported, reporterOf(node, report.from()), std::move(uses));
     }
     std::set<std::string> unknown;
     for (const v1::EngineState &state : report.engines()) {
@@ -400,7 +400,7 @@
     peer.failures = 0;
     peer.starting = digest.starting();
     peer.stopping = digest.stopping();
-    peer.storeAway = digest.store_away();
+    peer.storeUnreachable = digest.store_away();
     if (peer.zone != node.settings.zone)
         noteZoneRelay(node, peer, digest);
     noteConfigOffer(node, peer, digest.config_version());
--- a/libs/gateway/src/PlaceWaiting.cpp
+++ b/libs/gateway/src/PlaceWaiting.cpp
@@ -33,7 +33,7 @@
     WaitingPlace(CallRun &run, const WaitingCall &call, asio::steady_timer &limit)
         : places(run.node.places.services[run.service])
         , id(call.id)
-        , there(joinPlaces(this->places.queue, call, BootClock::now()))
+        , there(enqueueCall(this->places.queue, call, BootClock::now()))
     {
         if (this->there)
             this->places.waiters[this->id] = {&run, &limit};
@@ -44,7 +44,7 @@
 
     ~WaitingPlace()
     {
-        leavePlaces(this->places.queue, this->id, BootClock::now());
+        dequeueCall(this->places.queue, this->id, BootClock::now());
         this->places.waiters.erase(this->id);
     }
 
@@ -62,7 +62,7 @@
 
 /** True if the engine can run one more call, if it is not too large. */
 bool takesOneMore(GatewayNode &node, const TargetEntry &entry, const EngineSpec &spec,
-                  const TargetUse &use, Instant now)
+                  const TargetUsage &use, Instant now)
 {
     const double mostTokens = node.settings.weights.memoryShare * spec.kvTokens;
     return takesCalls(node, entry.id, now) && use.runs < spec.slots
@@ -79,7 +79,7 @@
 }
 
 /** Calls whose adapter an engine with room holds or is loading need no further load. */
-void noteThere(GatewayNode &node, PlaceQueue &queue, const ServicePlaces &places,
+void noteThere(GatewayNode &node, CapacityQueue &queue, const ServicePlaces &places,
                const TargetRuntime &runtime, Instant now)
 {
     for (WaitingCall &call : queue.calls) {
@@ -89,22 +89,22 @@
         const auto held = runtime.resident.find(adapter);
         call.there = adapter.empty()
             || (held != runtime.resident.end() && held->second >= versionInForce(node, adapter))
-            || incomingIn(runtime.incoming, adapter, now);
+            || timeUntilLoaded(runtime.incoming, adapter, now);
     }
 }
 
 /** Looks at all engines of a service; marks the calls in the queue that need no load. */
-PlaceRoom lookForRoom(GatewayNode &node, const std::string &service, const EngineSpec &spec,
-                      ServicePlaces &places, Instant now)
+ServiceCapacity lookForRoom(GatewayNode &node, const std::string &service, const EngineSpec &spec,
+                            ServicePlaces &places, Instant now)
 {
-    PlaceRoom room;
+    ServiceCapacity room;
     const ModelSpec *model = baseModel(spec);
     const int capacity = model != nullptr ? adapterCapacity(spec, *model) : 0;
     for (WaitingCall &call : places.queue.calls)
         call.there = false;
     for (const TargetRecord *record : targetsOf(node, service)) {
         const std::string &target = record->entry.id;
-        const TargetUse use = totalLoad(node, target);
+        const TargetUsage use = totalLoad(node, target);
         if (!takesOneMore(node, record->entry, spec, use, now)) {
             room.open = true;
             continue;
@@ -113,7 +113,7 @@
         noteThere(node, places.queue, places, runtime, now);
         if (!isOrderable(node, target))
             continue;
-        if (holdsBack(runtime.loadMark, now, Duration::zero())) {
+        if (blocksLoadRequest(runtime.loadMark, now, Duration::zero())) {
             room.open = room.open || !runtime.loadMark.forecast;
             room.later.push_back(runtime.loadMark.until);
             continue;
@@ -130,12 +130,12 @@
 
 void beginPlacing(CallRun &run)
 {
-    PatienceFacts facts;
+    WaitLimitInputs facts;
     facts.objective = run.route->latencyObjective;
     facts.timeLeft = timeLeft(run);
     facts.promptMs = run.facts.promptTokens / run.node.settings.weights.promptTokensPerMs;
-    facts.leastObjective = run.routes->leastObjective(run.service);
-    const PlacePatience patience = placePatience(facts);
+    facts.minObjective = run.routes->minObjective(run.service);
+    const WaitLimits patience = waitLimits(facts);
     run.place = PlaceTimes();
     run.prefillAsked.clear();
     run.place.since = BootClock::now();
@@ -147,14 +147,15 @@
 void notePlaced(CallRun &run)
 {
     if (run.place.waited)
-        notePlaceFound(run.node.places.services[run.service].queue, BootClock::now());
+        recordCapacityFound(run.node.places.services[run.service].queue, BootClock::now());
 }
 
-int idleSlotsAt(GatewayNode &node, const TargetEntry &entry, const TargetUse &use, int capacity)
+int idleSlotsAt(GatewayNode &node, const TargetEntry &entry, const TargetUsage &use, int capacity)
 {
-    const auto desk = node.desks.find(entry.id);
-    if (desk != node.desks.end() && desk->second->desk.sequence >= 0 && mayOrderNow(node, entry.id))
-        return idleSlots(desk->second->desk, BootClock::now());
+    const auto scheduler = node.desks.find(entry.id);
+    if (scheduler != node.desks.end() && scheduler->second->scheduler.sequence >= 0
+        && mayOrderNow(node, entry.id))
+        return idleSlots(scheduler->second->scheduler, BootClock::now());
     return capacity - use.busySlots;
 }
 
@@ -192,9 +193,9 @@
     call.usualUntil = run.place.usualBy;
     call.until = run.place.by;
     call.notBefore = now + (run.place.waited ? afterNoPlace : Duration::zero());
-    const PlaceRoom room = lookForRoom(node, run.service, *spec.engine, places, now);
-    const Duration loadTime = fetchTime(node.loadBeliefs.pace, loadsUnderWay(node) + 1);
-    run.place.forecast = expectedPlace(places.queue, call, room, loadTime, now);
+    const ServiceCapacity room = lookForRoom(node, run.service, *spec.engine, places, now);
+    const Duration loadTime = fetchTime(node.loadEstimator.pace, loadsUnderWay(node) + 1);
+    run.place.forecast = expectedCapacityWait(places.queue, call, room, loadTime, now);
     if (now + run.place.forecast > run.place.by)
         co_return refuseForRoom(run, "no engine will have room in time");
     asio::steady_timer limit(node.context, std::max(run.place.by - now, leastLook));
--- a/libs/gateway/src/PlaceWaiting.h
+++ b/libs/gateway/src/PlaceWaiting.h
@@ -13,7 +13,7 @@
 void notePlaced(CallRun &run);
 
 /** Adapter slots of an engine that could take another adapter, as far as is known here. */
-int idleSlotsAt(GatewayNode &node, const TargetEntry &entry, const TargetUse &use, int capacity);
+int idleSlotsAt(GatewayNode &node, const TargetEntry &entry, const TargetUsage &use, int capacity);
 
 /** Calls that wait for a place, of all services. */
 std::size_t callsWaiting(const GatewayNode &node);
--- a/libs/gateway/src/Placing.cpp
+++ b/libs/gateway/src/Placing.cpp
@@ -29,7 +29,7 @@
 /** Without any target: entries are listed again within seconds. */
 constexpr Duration comeBackLater = std::chrono::milliseconds(800);
 
-bool isUsable(GatewayNode &node, const std::string &target, const TargetUse &all, Instant now)
+bool isUsable(GatewayNode &node, const std::string &target, const TargetUsage &all, Instant now)
 {
     return !isEjected(runtimeOf(node, target).health, now) && !isFailing(all);
 }
@@ -131,7 +131,7 @@
     EngineWeights weights = run.node.settings.weights;
     const auto pace = run.node.prefillPaces.find(run.service);
     if (pace != run.node.prefillPaces.end() && shortestObjective(run))
-        weights.promptTokensPerMs = prefillPace(pace->second, weights.promptTokensPerMs);
+        weights.promptTokensPerMs = prefillRate(pace->second, weights.promptTokensPerMs);
     return weights;
 }
 
@@ -148,7 +148,7 @@
     for (const TargetRecord *listed : takingTargets(run, now)) {
         const TargetEntry &entry = listed->entry;
         TargetRuntime &runtime = runtimeOf(node, entry.id);
-        const TargetUse use = totalLoad(node, entry.id);
+        const TargetUsage use = totalLoad(node, entry.id);
         EngineView view;
         view.id = entry.id;
         view.hash = runtime.hash;
@@ -196,7 +196,7 @@
     if (choice.step != EngineStep::Load && choice.step != EngineStep::Full)
         return choice;
     const double patienceMs = 1000 * toSeconds(beginPatience(run));
-    const auto incoming = incomingEngine(views, need, run.tried, weights, patienceMs);
+    const auto incoming = chooseLoadingEngine(views, need, run.tried, weights, patienceMs);
     return incoming ? EngineChoice{EngineStep::Load, *incoming} : choice;
 }
 
@@ -298,9 +298,9 @@
 {
     GatewayNode &node = run.node;
     const Instant now = BootClock::now();
-    std::vector<PlainView> views;
+    std::vector<PlainTargetView> views;
     for (const TargetRecord *record : takingTargets(run, now)) {
-        PlainView view;
+        PlainTargetView view;
         view.id = record->entry.id;
         view.zone = record->entry.zone;
         view.slots = record->entry.slots;
@@ -310,7 +310,7 @@
     }
     keepSomeUsable(views);
     Placement placement;
-    const auto chosen = choosePlain(views, node.settings.zone, run.tried, node.random());
+    const auto chosen = choosePlainTarget(views, node.settings.zone, run.tried, node.random());
     if (!chosen) {
         placement.refusal = ownAnswer(503, "no target can be reached", comeBackWhenTaken(run));
         return placement;
@@ -380,8 +380,8 @@
     const Instant now = BootClock::now();
     GatewayNode &node = this->run.node;
     if (node.settings.placement.forecast)
-        notePrefill(node.prefillPaces[this->run.service],
-                    {this->waiting, this->waitingBefore, now - this->sentAt}, now);
+        addPrefillSample(node.prefillPaces[this->run.service],
+                         {this->waiting, this->waitingBefore, now - this->sentAt}, now);
     if (this->run.forecast > Duration::zero()) {
         const double missed = toSeconds(now - this->run.forecastAt - this->run.forecast);
         node.metrics.record(Timing::ForecastError, std::abs(missed));
--- a/libs/gateway/src/PrefillReserving.cpp
+++ b/libs/gateway/src/PrefillReserving.cpp
@@ -34,20 +34,20 @@
 }
 
 /** Tokens that may wait before the call at this engine while there are others to ask. */
-double mostAhead(const CallRun &run, const EngineView &engine, PrefillStep step)
+double maxAhead(const CallRun &run, const EngineView &engine, PrefillStep step)
 {
     const EngineWeights &weights = run.node.settings.weights;
     const Duration elapsed = BootClock::now() - run.arrivedAt;
     const double loadMs = step == PrefillStep::Load ? engine.loadMs : 0;
-    PrefillBound bound;
-    bound.untilLateMs =
+    PrefillBudget bound;
+    bound.objectiveLeftMs =
         1000 * (weights.onTimeShare * toSeconds(run.route->latencyObjective) - toSeconds(elapsed));
     bound.ownTokens = tokensToRead(run, engine);
     bound.otherMs = weights.runMs * engine.runs + loadMs;
     bound.tokensPerMs = weights.promptTokensPerMs;
     // The engine reads on while the adapter is loaded. Where all engines are late, one that is no
     // worse than it was believed to be is the best.
-    return std::max(boundShare * mostTokensAhead(bound) + loadMs * bound.tokensPerMs,
+    return std::max(boundShare * maxTokensAhead(bound) + loadMs * bound.tokensPerMs,
                     engine.waitingTokens);
 }
 
@@ -59,8 +59,7 @@
     const bool stays = step == PrefillStep::SendLoaded || askedBefore || asked.size() >= mostAsked;
     PrefillRequest wanted;
     wanted.tokens = step == PrefillStep::Load ? 0 : tokensToRead(run, engine);
-    wanted.mostAhead =
-        stays ? std::numeric_limits<double>::infinity() : mostAhead(run, engine, step);
+    wanted.maxAhead = stays ? std::numeric_limits<double>::infinity() : maxAhead(run, engine, step);
     return wanted;
 }
 
@@ -97,7 +96,7 @@
     v1::PrefillRequest request;
     request.set_target(target);
     request.set_tokens(wireTokens(wanted.tokens));
-    request.set_most_ahead(wireTokens(wanted.mostAhead));
+    request.set_most_ahead(wireTokens(wanted.maxAhead));
     const auto answer = co_await node.links.reservePrefill(holder, std::move(request), timeout);
     if (!answer) {
         node.prefill.silentAt[holder] = BootClock::now();
--- a/libs/gateway/src/PrefixCodec.cpp
+++ b/libs/gateway/src/PrefixCodec.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "serving/PrefixBook.h"
+#include "serving/PrefixIndex.h"
 
 namespace monsoonbay {
 
@@ -35,9 +35,9 @@
         const int reads = std::min(engine.prefixes_size(), engine.tokens_size());
         for (int index = 0; index < reads; ++index) {
             const std::uint32_t tokens = engine.tokens(index);
-            if (tokens < leastToldTokens || tokens > mostToldTokens)
+            if (tokens < minReportedTokens || tokens > maxReportedTokens)
                 continue;
-            if (news.reads.size() >= mostPrefixesTold)
+            if (news.reads.size() >= maxPrefixesPerMessage)
                 return news;
             PrefixRead read;
             read.engine = engine.engine();
--- a/libs/gateway/src/PrefixSharing.cpp
+++ b/libs/gateway/src/PrefixSharing.cpp
@@ -22,15 +22,15 @@
 
 } // namespace
 
-double cachedInEngine(const CallRun &run, const TargetEntry &engine, const TargetUse &use,
+double cachedInEngine(const CallRun &run, const TargetEntry &engine, const TargetUsage &use,
                       double kvTokens)
 {
     if (run.prefixes.empty())
         return 0;
-    PrefixBook &book = run.node.prefixes.book;
+    PrefixIndex &book = run.node.prefixes.book;
     const std::uint64_t key = engineKey(engine.id, engine.born);
-    holdTo(book, key, memoryForPrefixes(kvTokens, use.heldTokens));
-    return keptTokens(book, key, run.prefixes);
+    evictToFit(book, key, prefixCacheCapacity(kvTokens, use.heldTokens));
+    return cachedPrefixTokens(book, key, run.prefixes);
 }
 
 void forgetPrefixesOf(GatewayNode &node, const std::string &target, const std::string &adapter)
@@ -46,7 +46,7 @@
     if (run.prefixes.empty())
         return;
     this->engine = keyOf(run.node, target);
-    run.cachedTokens = keptTokens(run.node.prefixes.book, this->engine, run.prefixes);
+    run.cachedTokens = cachedPrefixTokens(run.node.prefixes.book, this->engine, run.prefixes);
     this->aheadTokens = totalLoad(run.node, target).waitingTokens;
     this->begunAt = now;
     this->waiting = true;
@@ -59,19 +59,19 @@
         return;
     this->waiting = false;
     GatewayNode &node = this->run.node;
-    PrefixTrial trial;
+    FirstEventTiming trial;
     trial.untilFirst = now - this->begunAt;
     trial.promptTokens = this->run.facts.promptTokens;
-    trial.keptTokens = this->run.cachedTokens;
+    trial.cachedPrefixTokens = this->run.cachedTokens;
     trial.aheadTokens = this->aheadTokens;
-    if (showsMissing(trial, node.settings.weights.promptTokensPerMs)) {
-        noteMissing(node.prefixes.book, this->engine, this->run.prefixes, now);
+    if (indicatesCacheMiss(trial, node.settings.weights.promptTokensPerMs)) {
+        recordMissing(node.prefixes.book, this->engine, this->run.prefixes, now);
         node.metrics.add(Counter::PrefixesMissing);
         return;
     }
-    node.metrics.add(Counter::CachedTokens, static_cast<std::uint64_t>(trial.keptTokens));
+    node.metrics.add(Counter::CachedTokens, static_cast<std::uint64_t>(trial.cachedPrefixTokens));
     for (const PromptPrefix &prefix :
-         noteRead(node.prefixes.book, this->engine, this->run.prefixes, now))
+         recordRead(node.prefixes.book, this->engine, this->run.prefixes, now))
         logPrefix(node.prefixes.log, {this->engine, prefix}, PrefixSource::Own, 0, now);
 }
 
@@ -97,7 +97,7 @@
         return;
     PrefixReader reader;
     reader.mate = mate;
-    reader.teller = tellerOf(decodeEndpoint(report.from()));
+    reader.sourceVm = tellerOf(decodeEndpoint(report.from()));
     const std::uint64_t seen = report.prefixes().seen();
     // A number that was never given is not of this log.
     if (report.known_boot() == node.boot && seen <= log.last)
@@ -112,13 +112,13 @@
 
 namespace {
 
-void takeReads(GatewayNode &node, const Endpoint &teller, PrefixSource source,
+void takeReads(GatewayNode &node, const Endpoint &sourceVm, PrefixSource source,
                const std::vector<PrefixRead> &reads)
 {
     if (reads.empty())
         return;
     const Instant now = BootClock::now();
-    const std::uint64_t from = tellerOf(teller);
+    const std::uint64_t from = tellerOf(sourceVm);
     for (const PrefixRead &read : reads) {
         if (noteHeard(node.prefixes.book, read.engine, read.prefix, now))
             logPrefix(node.prefixes.log, read, source, from, now);
--- a/libs/gateway/src/PrefixSharing.h
+++ b/libs/gateway/src/PrefixSharing.h
@@ -7,7 +7,7 @@
 namespace monsoonbay {
 
 /** Tokens of the call's prompt that an engine with so much memory is believed to keep. */
-double cachedInEngine(const CallRun &run, const TargetEntry &engine, const TargetUse &use,
+double cachedInEngine(const CallRun &run, const TargetEntry &engine, const TargetUsage &use,
                       double kvTokens);
 
 /** An engine has unloaded an adapter, or replaced it: it has read no prompt with it. */
--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -49,7 +49,7 @@
     node.relaying = relaying;
     node.listSource = ListSource();
     if (!relaying)
-        node.reported = UseLedger();
+        node.reported = UsageLedger();
     logEvent(EventId::RelayChanged,
              {{"relaying", relaying ? "yes" : "no"}, {"peers", std::to_string(node.peers.size())}});
 }
@@ -99,13 +99,13 @@
     for (const auto &[reporter, report] : node.reported.reports)
         word = std::max(word, report.at);
     const Instant all = node.fleet.heardAt == Instant{} ? node.bootedAt : node.fleet.heardAt;
-    NewsFacts facts;
+    UpdateAgeInputs facts;
     facts.regular = loadNewsAge(node);
-    facts.sinceWord = word == Instant{} ? Duration::zero() : now - word;
-    facts.sinceAll = now - all;
-    facts.vmsHeard = vmsInTouch(node, now);
+    facts.sinceLastUpdate = word == Instant{} ? Duration::zero() : now - word;
+    facts.sinceAllReported = now - all;
+    facts.vmsReporting = vmsInTouch(node, now);
     facts.vmsKnown = vmsKnown(node, now);
-    return newsAge(facts);
+    return updateAge(facts);
 }
 
 namespace {
@@ -225,7 +225,7 @@
             // Until it has started, this VM reads the store beside it.
             const bool aboveStarts = node.relaying && mate && peer.starting
                 && ranksBefore(rankOf(peer), self) && now - peer.heardAt > matesLook;
-            const bool maybeBack = mate && (peer.storeAway || peer.stopping || peer.starting)
+            const bool maybeBack = mate && (peer.storeUnreachable || peer.stopping || peer.starting)
                 && now - peer.heardAt > listPatience;
             if (silentBelow || failed || aboveStarts || maybeBack)
                 wanted.push_back(endpoint);
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -42,7 +42,7 @@
 
 void takeEngineRecord(GatewayNode &node, const std::string &target, EngineRecord record)
 {
-    if (noteStartOf(node, target, record.born) == WordAge::Older || mayOrderNow(node, target))
+    if (noteStartOf(node, target, record.born) == StartOrder::Older || mayOrderNow(node, target))
         return;
     const EngineRecord *known = node.facts.engines.find(target);
     if (known != nullptr && !mayReplaceRecord(*known, record))
@@ -50,7 +50,7 @@
     TargetRuntime &runtime = runtimeOf(node, target);
     const bool otherHolder = known == nullptr || known->holder != record.holder;
     if (otherHolder)
-        runtime.loadMark = LoadMark();
+        runtime.loadMark = LoadBackoff();
     if (otherHolder && !runtime.ownAdapterRuns.empty())
         noteRunsChanged(node, target);
     runtime.models = record.models;
@@ -59,7 +59,7 @@
         const bool copy = hasHostCopy(runtime.copies, adapter, HostRetention{record.copiesKept});
         return fromSeconds((copy ? record.copyMs : record.fetchMs) / 1000);
     };
-    noteIncoming(runtime.incoming, record.incoming, expected, BootClock::now());
+    updatePendingLoads(runtime.incoming, record.incoming, expected, BootClock::now());
     node.facts.engines.set(target, std::move(record), node.facts.counter);
     node.engineChanged.notifyAll();
 }
@@ -85,24 +85,25 @@
 void publishEngine(GatewayNode &node, const std::string &target)
 {
     const auto held = node.desks.find(target);
-    if (held == node.desks.end() || held->second->desk.sequence < 0 || !mayOrderNow(node, target))
+    if (held == node.desks.end() || held->second->scheduler.sequence < 0
+        || !mayOrderNow(node, target))
         return;
-    const OrderDesk &desk = held->second->desk;
+    const AdapterScheduler &scheduler = held->second->scheduler;
     EngineRecord record;
     record.holder = node.settings.peers;
     record.holderLive = true;
     const TargetEntry *entry = entryOf(node, target);
-    record.born = entry == nullptr ? desk.born : std::max(desk.born, entry->born);
-    record.models = desk.models;
-    record.loading = fetchesUnderWay(desk);
-    const LoadBeliefs &beliefs = node.loadBeliefs;
+    record.born = entry == nullptr ? scheduler.born : std::max(scheduler.born, entry->born);
+    record.models = scheduler.models;
+    record.loading = fetchesUnderWay(scheduler);
+    const LoadEstimator &estimator = node.loadEstimator;
     const EngineRecord *known = node.facts.engines.find(target);
     const bool told = known != nullptr && known->holder == record.holder;
     record.fetchMs =
-        steadyTime(told ? known->fetchMs : 0, fetchTime(beliefs.pace, loadsUnderWay(node) + 1));
-    record.copyMs = steadyTime(told ? known->copyMs : 0, hostCopyTime(beliefs.pace));
-    record.copiesKept = std::exp2(std::floor(2 * std::log2(beliefs.memory.loads)) / 2);
-    for (const auto &[adapter, slot] : desk.slots) {
+        steadyTime(told ? known->fetchMs : 0, fetchTime(estimator.pace, loadsUnderWay(node) + 1));
+    record.copyMs = steadyTime(told ? known->copyMs : 0, hostCopyTime(estimator.pace));
+    record.copiesKept = std::exp2(std::floor(2 * std::log2(estimator.memory.loads)) / 2);
+    for (const auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading)
             record.incoming.insert(adapter);
         else if (!slot.leaving)
--- a/libs/gateway/src/StreamResuming.cpp
+++ b/libs/gateway/src/StreamResuming.cpp
@@ -60,7 +60,7 @@
 /** How long a stream of the service may be taken up again after it began. */
 Duration patienceFor(const GatewayNode &node, const std::string &service)
 {
-    const Duration configured = node.routes->longestStream(service);
+    const Duration configured = node.routes->maxResumableTimeout(service);
     return std::min(std::max(configured, node.resuming.longestPatience), mostPatience);
 }
 
@@ -70,7 +70,7 @@
     state.lookedAt = now;
     for (const auto &[id, record] : node.book.records) {
         if (mayTakeWork(record))
-            noteSoftware(state.versions[record.entry.service], record.entry.software, now);
+            recordSoftware(state.versions[record.entry.service], record.entry.software, now);
     }
     for (auto &[service, versions] : state.versions)
         forgetSoftware(versions, now - mostPatience);
@@ -83,7 +83,7 @@
     const Instant since = now - patienceFor(node, service);
     // Before the system's first start there were no streams.
     const bool knowsNotEnough = node.bootedAt > since && !node.settings.firstStart;
-    if (isListOld(node.book, now) || knowsNotEnough)
+    if (isListStale(node.book, now) || knowsNotEnough)
         return std::nullopt;
     const auto versions = node.resuming.versions.find(service);
     return versions == node.resuming.versions.end() ? std::nullopt
@@ -140,9 +140,9 @@
     std::set<Endpoint> of(StreamId id) const
     {
         std::set<Endpoint> chosen;
-        for (const std::size_t index : keepersOf(id, this->zone.names, keepersInZone))
+        for (const std::size_t index : chooseReplicas(id, this->zone.names, keepersInZone))
             chosen.insert(this->zone.endpoints[index]);
-        for (const std::size_t index : keepersOf(id, this->all.names, keepersOfAll))
+        for (const std::size_t index : chooseReplicas(id, this->all.names, keepersOfAll))
             chosen.insert(this->all.endpoints[index]);
         chosen.erase(this->own);
         return chosen;
@@ -266,11 +266,11 @@
     ResumeState &state = node.resuming;
     const Duration patience = std::max(run.route->timeout, run.facts.timeLeft.value_or(Duration()));
     const StreamId id = streamIdOf(run.facts.attemptId);
-    noteOrigin(state.origins, id, {software, run.arrivedAt + std::min(patience, mostPatience)},
-               BootClock::now());
+    recordOrigin(state.origins, id, {software, run.arrivedAt + std::min(patience, mostPatience)},
+                 BootClock::now());
     state.longestPatience = std::max(state.longestPatience, std::min(patience, mostPatience));
     state.untold.push_back({id, run.service});
-    if (state.untold.size() > mostStreamOrigins)
+    if (state.untold.size() > maxStreamOrigins)
         state.untold.pop_front();
     if (state.doubted.count(run.service) > 0)
         state.due.notifyAll();
@@ -333,7 +333,7 @@
     const Instant asked = BootClock::now();
     const EngineAddress address{target.id, target.endpoint};
     const auto report = co_await node.platform->report(node.http, address, askPatience);
-    if (!report || noteStartOf(node, target.id, report->born) == WordAge::Newer)
+    if (!report || noteStartOf(node, target.id, report->born) == StartOrder::Newer)
         co_return false;
     runtimeOf(node, target.id).startKnownAt = asked;
     co_return true;
@@ -358,8 +358,8 @@
     const Instant now = BootClock::now();
     for (const v1::StreamOrigin &told : note.origins()) {
         const Duration left = std::chrono::milliseconds(told.left_ms());
-        noteOrigin(node.resuming.origins, told.stream(),
-                   {told.software(), now + std::min(left, mostPatience)}, now);
+        recordOrigin(node.resuming.origins, told.stream(),
+                     {told.software(), now + std::min(left, mostPatience)}, now);
     }
     return {};
 }
--- a/libs/gateway/src/TargetStarts.cpp
+++ b/libs/gateway/src/TargetStarts.cpp
@@ -12,7 +12,7 @@
 {
     runtime.health = TargetHealth();
     runtime.wantsNothingUntil = Instant{};
-    runtime.limit = NamedLimit();
+    runtime.limit = AdvertisedLimit();
     runtime.leaves = false;
     for (const TargetConnectionPtr &connection : runtime.pool.idle)
         closeConnection(*connection);
@@ -20,8 +20,8 @@
     runtime.resident.clear();
     runtime.copies = HostCopies();
     runtime.models.clear();
-    runtime.incoming = IncomingLoads();
-    runtime.loadMark = LoadMark();
+    runtime.incoming = PendingLoads();
+    runtime.loadMark = LoadBackoff();
 }
 
 void forgetEngine(GatewayNode &node, const std::string &target, std::int64_t born)
@@ -29,7 +29,7 @@
     node.toldRuns.erase(target);
     const auto held = node.desks.find(target);
     if (held != node.desks.end()) {
-        restartDesk(held->second->desk, born);
+        resetScheduler(held->second->scheduler, born);
         held->second->retryAt = Instant{};
         held->second->refusals = 0;
         held->second->changed.notifyAll();
@@ -50,16 +50,16 @@
 // Without this, a target that came back under its id would be taken to hold what its former start
 // held: calls for those adapters bounce, its holder's orders are refused for the former count, and
 // one that said it was leaving would get nothing for ever.
-WordAge noteStartOf(GatewayNode &node, const std::string &target, std::int64_t born)
+StartOrder noteStartOf(GatewayNode &node, const std::string &target, std::int64_t born)
 {
     const auto found = node.book.records.find(target);
     if (found == node.book.records.end())
-        return WordAge::Same;
+        return StartOrder::Same;
     TargetRecord &record = found->second;
-    const WordAge age = ageOfWord(record.entry.born, born);
-    if (age == WordAge::Same && record.entry.born == 0)
+    const StartOrder age = compareStarts(record.entry.born, born);
+    if (age == StartOrder::Same && record.entry.born == 0)
         record.entry.born = born;
-    if (age != WordAge::Newer)
+    if (age != StartOrder::Newer)
         return age;
     logEvent(EventId::TargetRestarted,
              {{"target", target},
@@ -74,7 +74,7 @@
     record.entry.models.clear();
     record.entry.adapters.clear();
     record.gone = false;
-    record.lapsedAt = Instant{};
+    record.expiredAt = Instant{};
     node.facts.targets.set(target, {record.entry, false}, node.facts.counter);
     forgetTarget(runtimeOf(node, target));
     forgetEngine(node, target, born);
--- a/libs/gateway/src/TargetWords.cpp
+++ b/libs/gateway/src/TargetWords.cpp
@@ -24,7 +24,7 @@
 // good, and so would all that this VM tells.
 void noteLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t born)
 {
-    if (noteStartOf(node, target, born) == WordAge::Older)
+    if (noteStartOf(node, target, born) == StartOrder::Older)
         return;
     noteLeaving(node, target, "peer");
 }
@@ -36,8 +36,8 @@
 {
     if (!answer.callsPerSecond && !answer.authentic)
         return;
-    NamedLimit &limit = runtimeOf(node, target).limit;
-    if (!noteLimit(limit, answer.callsPerSecond))
+    AdvertisedLimit &limit = runtimeOf(node, target).limit;
+    if (!updateLimit(limit, answer.callsPerSecond))
         return;
     logEvent(EventId::TargetLimited,
              {{"target", target},
--- a/libs/gateway/src/UseNotes.cpp
+++ b/libs/gateway/src/UseNotes.cpp
@@ -45,9 +45,9 @@
 {
     std::map<Endpoint, v1::UseNote> notes;
     for (const std::string &target : node.runsChanged) {
-        const auto desk = node.desks.find(target);
-        if (desk != node.desks.end())
-            desk->second->changed.notifyAll();
+        const auto scheduler = node.desks.find(target);
+        if (scheduler != node.desks.end())
+            scheduler->second->changed.notifyAll();
         // Also one that did not answer lately: it may still give slots away.
         const EngineRecord *record = node.facts.engines.find(target);
         if (record == nullptr || !record->holderLive || record->holder == node.settings.peers)
@@ -57,7 +57,7 @@
     node.runsChanged.clear();
     for (auto &[holder, note] : notes) {
         encodeSelf(node, *note.mutable_from());
-        note.set_sequence(++node.noteSequence);
+        note.set_sequence(++node.advanceSequence);
         spawn(node, "tell holder", tellHolder(node, holder, std::move(note)));
     }
 }
@@ -86,12 +86,13 @@
 int busySlots(GatewayNode &node, const std::string &target)
 {
     const auto held = node.desks.find(target);
-    if (held == node.desks.end() || held->second->desk.sequence < 0 || !mayOrderNow(node, target))
+    if (held == node.desks.end() || held->second->scheduler.sequence < 0
+        || !mayOrderNow(node, target))
         return 0;
     const Instant now = BootClock::now();
-    OrderDesk &desk = held->second->desk;
-    noteRuns(desk, adapterRuns(node, target), now);
-    return desk.adapterSlots - idleSlots(desk, now);
+    AdapterScheduler &scheduler = held->second->scheduler;
+    updateRuns(scheduler, adapterRuns(node, target), now);
+    return scheduler.adapterSlots - idleSlots(scheduler, now);
 }
 
 void noteRunsChanged(GatewayNode &node, const std::string &target)
--- a/libs/gateway/src/WaitingPlaces.h
+++ b/libs/gateway/src/WaitingPlaces.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "Signal.h"
-#include "serving/PlaceQueue.h"
+#include "serving/CapacityQueue.h"
 
 namespace monsoonbay {
 
@@ -21,7 +21,7 @@
 /** Calls of one service that wait for a place. */
 struct ServicePlaces
 {
-    PlaceQueue queue;
+    CapacityQueue queue;
     std::map<std::uint64_t, PlaceWaiter> waiters; ///< by the id in the queue
 };
 
--- a/libs/gateway/src/WorkspaceQuota.cpp
+++ b/libs/gateway/src/WorkspaceQuota.cpp
@@ -36,11 +36,11 @@
         return use;
     const int known = vmsKnown(node, now);
     if (notesSpend(node))
-        addUse(use,
-               useAtStart(workspace.name, workspace.limit, policy, node.spend.atStart, known,
-                          node.bootedAt, now));
+        addUsage(use,
+                 useAtStart(workspace.name, workspace.limit, policy, node.spend.atStart, known,
+                            node.bootedAt, now));
     else
-        addUse(use, useBeforeStart(workspace.limit, policy, known, up));
+        addUsage(use, useBeforeStart(workspace.limit, policy, known, up));
     return use;
 }
 
@@ -48,7 +48,7 @@
 {
     const auto found = uses.find(workspace);
     if (found != uses.end())
-        addUse(sum, found->second);
+        addUsage(sum, found->second);
 }
 
 /** What is known of all VMs, but without the use of this one. */
@@ -62,7 +62,7 @@
         addUseOf(fleet.use, node.upstream.otherWorkspaces, workspace.name);
     fleet.vmsInTouch = vmsInTouch(node, now);
     fleet.vmsKnown = vmsKnown(node, now);
-    fleet.newsAge = loadNewsAge(node);
+    fleet.updateAge = loadNewsAge(node);
     fleet.allowed = spendAllowed(node, workspace.name, now);
     return fleet;
 }
@@ -72,7 +72,7 @@
 FleetUse fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
     FleetUse fleet = othersUseOf(node, workspace, now);
-    addUse(fleet.use, ownUseOf(node, workspace, now));
+    addUsage(fleet.use, ownUseOf(node, workspace, now));
     return fleet;
 }
 
@@ -107,7 +107,7 @@
               {"vmsInTouch", std::to_string(fleet.vmsInTouch)},
               {"vmsKnown", std::to_string(fleet.vmsKnown)},
               {"allowed", std::to_string(fleet.allowed)},
-              {"newsAgeMs", std::to_string(toMillis(fleet.newsAge))}});
+              {"newsAgeMs", std::to_string(toMillis(fleet.updateAge))}});
 }
 
 } // namespace
@@ -128,10 +128,10 @@
     SpendRecord &record = recordOf(node, workspace->name);
     FleetUse fleet = othersUseOf(node, *workspace, now);
     WorkspaceUse before = ownUseOf(node, *workspace, now);
-    addUse(before, fleet.use);
+    addUsage(before, fleet.use);
     const CallClass callClass = classOf(before, units, rankOf(run));
     noteAsked(record, policy, units, now, callClass);
-    addUse(fleet.use, ownUseOf(node, *workspace, now));
+    addUsage(fleet.use, ownUseOf(node, *workspace, now));
     const QuotaVerdict verdict =
         admitCall(record, workspace->limit, policy, fleet, units, now, callClass);
     if (!verdict.admitted) {
@@ -183,7 +183,7 @@
     WorkspaceUses uses = ownWorkspaceUses(node, now);
     for (const auto &[reporter, report] : node.reported.reports) {
         if (!reporter.starts_with(zoneReporter))
-            addUses(uses, report.workspaces);
+            addUsages(uses, report.workspaces);
     }
     return uses;
 }
--- a/libs/gateway/src/ZoneView.cpp
+++ b/libs/gateway/src/ZoneView.cpp
@@ -24,7 +24,7 @@
 RelayRank rankOf(const PeerState &peer)
 {
     RelayRank rank;
-    rank.storeAway = peer.storeAway;
+    rank.storeUnreachable = peer.storeUnreachable;
     rank.capacity = peer.capacity;
     rank.hash = stableHash(peer.name);
     return rank;
@@ -37,7 +37,7 @@
     for (auto &[endpoint, peer] : node.peers) {
         if (peer.zone != zone || peer.name.empty())
             continue;
-        RelayMate mate;
+        ZonePeer mate;
         mate.rank = rankOf(peer);
         mate.reachable = isReachable(peer, now);
         mate.starting = peer.starting;
--- a/libs/gateway/src/ZoneView.h
+++ b/libs/gateway/src/ZoneView.h
@@ -13,7 +13,7 @@
 /** The VMs of one zone as candidates for its relay. */
 struct ZoneMates
 {
-    std::vector<RelayMate> mates;
+    std::vector<ZonePeer> mates;
     std::vector<PeerState *> peers; ///< in the same order
 };
 
--- a/libs/gateway/tests/LinkWatches.cpp
+++ b/libs/gateway/tests/LinkWatches.cpp
@@ -21,7 +21,7 @@
         entry.id = "t" + std::to_string(index);
         entry.service = "engines";
         entry.endpoint = {"127.0.0.1", 1}; // nobody listens there
-        noteListed(node.book, entry);
+        recordListed(node.book, entry);
         node.upstream.others[entry.id].goods = goods;
     }
 }
@@ -54,7 +54,7 @@
     plain.id = "p0";
     plain.service = "bookings";
     plain.endpoint = {"127.0.0.1", 1};
-    noteListed(node.book, plain);
+    recordListed(node.book, plain);
     node.upstream.others[plain.id].goods = 30;
     ServingConfig config;
     config.version = 1;
--- a/libs/gateway/tests/LoadCounts.cpp
+++ b/libs/gateway/tests/LoadCounts.cpp
@@ -12,7 +12,7 @@
     TargetEntry entry;
     entry.id = id;
     entry.service = "engines";
-    noteListed(node.book, entry);
+    recordListed(node.book, entry);
     EngineRecord record;
     record.holderLive = holderLive;
     record.loading = loading;
@@ -38,7 +38,7 @@
     GatewayNode node{GatewaySettings()};
     listEngine(node, "e1", 3, true);
     listEngine(node, "e2", 4, true);
-    noteRemoved(node.book, "e2", BootClock::now());
+    recordRemoved(node.book, "e2", BootClock::now());
     cr_assert_eq(loadsUnderWay(node), 3);
     dropGone(node.book, BootClock::now());
     cr_assert_eq(loadsUnderWay(node), 3);
--- a/libs/gateway/tests/LoadNews.cpp
+++ b/libs/gateway/tests/LoadNews.cpp
@@ -43,7 +43,7 @@
     cr_assert(told.retryIn == 143ms, "rounded up");
     const LoadDecline former = decodeDecline(overTheWire(gateway::v1::LoadReply()));
     cr_assert(former == LoadDecline());
-    cr_assert(markAfter(former, Instant{} + 1s).until > Instant{} + 1s);
+    cr_assert(backoffAfter(former, Instant{} + 1s).until > Instant{} + 1s);
 }
 
 // Guards against a rank that gets lost on its way to the holder, which orders loads by it.
@@ -64,16 +64,16 @@
     record.holderLive = true;
     record.revision = {1, 1, 1};
     takeEngineRecord(node, "e", record);
-    LoadMark &mark = runtimeOf(node, "e").loadMark;
-    mark = markAfter({DeclineReason::NoSlot, 800ms}, BootClock::now());
+    LoadBackoff &mark = runtimeOf(node, "e").loadMark;
+    mark = backoffAfter({DeclineReason::NoSlot, 800ms}, BootClock::now());
     ++record.revision.count;
     takeEngineRecord(node, "e", record);
-    cr_assert(mark != LoadMark(), "other news of the same holder");
+    cr_assert(mark != LoadBackoff(), "other news of the same holder");
     cr_assert(!mayAskLoad(node, "e", 300ms));
     record.holder = {"10.0.0.3", 7380};
     ++record.revision.generation;
     takeEngineRecord(node, "e", record);
-    cr_assert(mark == LoadMark());
+    cr_assert(mark == LoadBackoff());
 }
 
 // Symptom would be a second load of an adapter that another engine was ordered to load moments ago.
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -110,13 +110,13 @@
     answerReport(node, report);
     const Instant now = BootClock::now();
     noteStoreAnswer(node, false, now);
-    cr_assert(!ownRank(node).storeAway, "nobody of the zone is known to do better");
+    cr_assert(!ownRank(node).storeUnreachable, "nobody of the zone is known to do better");
     report.set_sequence(2);
     report.set_store_reached_ago_ms(10);
     answerReport(node, report);
-    cr_assert(ownRank(node).storeAway);
+    cr_assert(ownRank(node).storeUnreachable);
     noteStoreAnswer(node, true, now);
-    cr_assert(!ownRank(node).storeAway);
+    cr_assert(!ownRank(node).storeUnreachable);
 }
 
 // Symptom: engines with half of their slots in use were taken as full, in the seconds after each
@@ -225,7 +225,7 @@
 Test(peers, news_in_pieces_end_with_what_the_relay_knows)
 {
     const auto relay = relayAtFullSize();
-    noteListRead(relay->book, BootClock::now());
+    recordListRead(relay->book, BootClock::now());
     GatewayNode asker(settingsOfVm7());
     takeTargetsByPeer(asker, {listedTarget("gone-before", false)});
     std::uint64_t sequence = 0;
@@ -254,7 +254,7 @@
     std::uint64_t sequence = 0;
     cr_assert(exchangeOnce(asker, *relay, ++sequence));
     GatewayNode reborn(settingsOfVm1());
-    noteListRead(reborn.book, BootClock::now());
+    recordListRead(reborn.book, BootClock::now());
     takeTargetsByPeer(reborn, {listedTarget("only", false)});
     cr_assert(!exchangeOnce(asker, reborn, ++sequence));
     cr_assert_eq(asker.book.records.size(), 1);
@@ -267,7 +267,7 @@
 std::unique_ptr<GatewayNode> relayThatLists(const std::string &target)
 {
     auto relay = std::make_unique<GatewayNode>(settingsOfVm1());
-    noteListRead(relay->book, BootClock::now());
+    recordListRead(relay->book, BootClock::now());
     takeTargetsByPeer(*relay, {listedTarget(target, false)});
     return relay;
 }
@@ -296,7 +296,7 @@
     settings.vm = "vm-2";
     settings.peers = {"10.0.0.2", 7380};
     GatewayNode between(settings);
-    noteListRead(between.book, BootClock::now());
+    recordListRead(between.book, BootClock::now());
     takeTargetsByPeer(between, {listedTarget("stays", false), listedTarget("left", false)});
     GatewayNode asker(settingsOfVm7());
     std::uint64_t sequence = 0;
@@ -314,12 +314,12 @@
     const auto relay = relayThatLists("stays");
     GatewayNode asker(settingsOfVm7());
     takeTargetsByPeer(asker, {listedTarget("stays", false), listedTarget("new", false)});
-    noteListRead(asker.book, BootClock::now());
+    recordListRead(asker.book, BootClock::now());
     std::uint64_t sequence = 0;
     cr_assert(!exchangeOnce(asker, *relay, ++sequence));
     cr_assert(!exchangeOnce(asker, *relay, ++sequence), "it is not told again all the while");
     cr_assert_not_null(entryOf(asker, "new"));
-    noteListRead(relay->book, BootClock::now() + std::chrono::seconds(2));
+    recordListRead(relay->book, BootClock::now() + std::chrono::seconds(2));
     while (exchangeOnce(asker, *relay, ++sequence)) { }
     cr_assert_null(entryOf(asker, "new"));
 }
@@ -329,8 +329,8 @@
 Test(peers, a_dropped_target_does_not_come_back_by_one_that_waits_for_it)
 {
     const auto relay = relayThatLists("left");
-    noteListFailed(relay->book, BootClock::now() - std::chrono::seconds(4));
-    noteListRead(relay->book, BootClock::now());
+    recordListFailure(relay->book, BootClock::now() - std::chrono::seconds(4));
+    recordListRead(relay->book, BootClock::now());
     dropTargetByPeer(*relay, "left", false);
     cr_assert_not_null(entryOf(*relay, "left"), "it waits");
     GatewayNode starter(settingsOfVm7());
--- a/libs/gateway/tests/PrefillReservations.cpp
+++ b/libs/gateway/tests/PrefillReservations.cpp
@@ -23,7 +23,7 @@
     entry.id = id;
     entry.service = "engines";
     entry.zone = "zone-a";
-    noteListed(node.book, entry);
+    recordListed(node.book, entry);
 }
 
 void orderAll(GatewayNode &node)
@@ -38,12 +38,12 @@
 }
 
 gateway::v1::PrefillRequest requestFor(const std::string &target, std::uint32_t tokens,
-                                       std::uint32_t mostAhead)
+                                       std::uint32_t maxAhead)
 {
     gateway::v1::PrefillRequest request;
     request.set_target(target);
     request.set_tokens(tokens);
-    request.set_most_ahead(mostAhead);
+    request.set_most_ahead(maxAhead);
     return request;
 }
 
--- a/libs/gateway/tests/Prefixes.cpp
+++ b/libs/gateway/tests/Prefixes.cpp
@@ -52,7 +52,7 @@
         run.facts.prompt = {{"shared", 6300}, {"own", 2890}};
         run.prefixes = promptPrefixes("m/a", run.facts.prompt, run.facts.promptTokens);
         const TargetEntry &engine = *entryOf(this->node, "engine-1");
-        const double chosenBy = cachedInEngine(run, engine, TargetUse(), 232'000);
+        const double chosenBy = cachedInEngine(run, engine, TargetUsage(), 232'000);
         const Instant now = BootClock::now();
         PromptReading reading(run, "engine-1", now);
         if (untilFirst)
@@ -181,10 +181,10 @@
     answerReport(relay.node, early); // an older one comes late
     PeerState &known = mate.node.peers[relay.node.settings.peers];
     known.seenPrefix = 1'000'000; // of a log that the relay never had
-    noteRead(relay.node.prefixes.book, 7, {{42, 5000}}, BootClock::now());
+    recordRead(relay.node.prefixes.book, 7, {{42, 5000}}, BootClock::now());
     logPrefix(relay.node.prefixes.log, {7, {42, 5000}}, PrefixSource::Own, 0, BootClock::now());
     exchange(mate, relay);
-    cr_assert_eq(keptTokens(mate.node.prefixes.book, 7, {{42, 5000}}), 5000);
+    cr_assert_eq(cachedPrefixTokens(mate.node.prefixes.book, 7, {{42, 5000}}), 5000);
     Vm reborn("zone-a", 2);
     exchange(mate, reborn);
     cr_assert_eq(known.seenPrefix, 0, "the numbers of the former boot say nothing");
@@ -204,7 +204,7 @@
     cr_assert_eq(taken.reads[0].prefix.hash, 11);
     cr_assert_eq(taken.reads[1].engine, 2);
     news.reads.assign(1000, {3, {14, 5000}});
-    cr_assert_eq(decodePrefixNews(encodePrefixNews(news)).reads.size(), mostPrefixesTold);
+    cr_assert_eq(decodePrefixNews(encodePrefixNews(news)).reads.size(), maxPrefixesPerMessage);
     // Every way of cutting or changing a message can be read.
     const std::string sound = told.SerializeAsString();
     std::mt19937 random(7);
@@ -216,7 +216,7 @@
         // What was read before the damage is kept.
         static_cast<void>(spoiled.ParseFromString(bytes));
         for (const PrefixRead &read : decodePrefixNews(spoiled).reads)
-            cr_assert(read.prefix.tokens >= leastToldTokens);
+            cr_assert(read.prefix.tokens >= minReportedTokens);
     }
 }
 
--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -142,7 +142,7 @@
 {
     Crowd crowd;
     runtimeOf(crowd.node, "e").loadMark =
-        markAfter({DeclineReason::EngineSilent, 900ms}, BootClock::now());
+        backoffAfter({DeclineReason::EngineSilent, 900ms}, BootClock::now());
     crowd.wait(0);
     cr_assert(crowd.refused.empty(), "it has 50 s");
     CallRun &run = crowd.runs.front();
--- a/libs/quota/include/quota/Admission.h
+++ b/libs/quota/include/quota/Admission.h
@@ -15,7 +15,7 @@
     WorkspaceUse use; ///< of these VMs, this one among them
     int vmsInTouch = 1;
     int vmsKnown = 1;
-    Duration newsAge{}; ///< of what these VMs told, in the mean
+    Duration updateAge{}; ///< of what these VMs told, in the mean
     double allowed = 1; ///< part of what may be used in a window; see SpendNoting
 
     bool operator==(const FleetUse &) const = default;
--- a/libs/quota/include/quota/WorkspaceUse.h
+++ b/libs/quota/include/quota/WorkspaceUse.h
@@ -31,9 +31,9 @@
 
 bool isUnused(const WorkspaceUse &use) noexcept;
 
-void addUse(WorkspaceUse &sum, const WorkspaceUse &use) noexcept;
+void addUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept;
 
 /** Takes `use`, which was added before, off `sum`. */
-void subtractUse(WorkspaceUse &sum, const WorkspaceUse &use) noexcept;
+void subtractUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept;
 
 } // namespace monsoonbay
--- a/libs/quota/src/Admission.cpp
+++ b/libs/quota/src/Admission.cpp
@@ -65,7 +65,7 @@
                 std::int64_t units, Instant now)
 {
     const double here = askedBefore(own, policy, Duration::zero(), now);
-    const double before = askedBefore(own, policy, fleet.newsAge, now);
+    const double before = askedBefore(own, policy, fleet.updateAge, now);
     const double others = std::max(static_cast<double>(fleet.use.askedPerSecond) - here, 0.0);
     const double few = fewCalls * typicalUnits(fleet.use, units) / toSeconds(policy.window);
     const double growth = (here + few) / (before + few);
@@ -118,7 +118,7 @@
 // No faster than use is heard of: until then, what was let run elsewhere has been told.
 double secondsToFill(const QuotaPolicy &policy, const FleetUse &fleet) noexcept
 {
-    return std::max(fillShare * toSeconds(policy.window), 2 * toSeconds(fleet.newsAge));
+    return std::max(fillShare * toSeconds(policy.window), 2 * toSeconds(fleet.updateAge));
 }
 
 double usableInWindow(const WorkspaceLimit &limit, const QuotaPolicy &policy) noexcept
@@ -142,7 +142,7 @@
     FleetUse ahead = fleet;
     const double letRun = std::min(admittedPerSecond(limit, policy, fleet), asked);
     const double leaving = static_cast<double>(fleet.use.whole) / toSeconds(policy.window);
-    const double untold = std::max(letRun - leaving, 0.0) * toSeconds(fleet.newsAge);
+    const double untold = std::max(letRun - leaving, 0.0) * toSeconds(fleet.updateAge);
     ahead.use.whole += static_cast<std::int64_t>(untold);
     const double rate = admittedPerSecond(limit, policy, ahead);
     const double most = shareInTouch(fleet) * mostInWindow(limit, policy);
--- a/libs/quota/src/WorkspaceUse.cpp
+++ b/libs/quota/src/WorkspaceUse.cpp
@@ -34,7 +34,7 @@
     return use == WorkspaceUse();
 }
 
-void addUse(WorkspaceUse &sum, const WorkspaceUse &use) noexcept
+void addUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept
 {
     sum.whole += use.whole;
     sum.askedPerSecond += use.askedPerSecond;
@@ -45,7 +45,7 @@
     }
 }
 
-void subtractUse(WorkspaceUse &sum, const WorkspaceUse &use) noexcept
+void subtractUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept
 {
     sum.whole -= use.whole;
     sum.askedPerSecond -= use.askedPerSecond;
--- a/libs/quota/tests/Classes.cpp
+++ b/libs/quota/tests/Classes.cpp
@@ -28,7 +28,7 @@
             FleetDay day;
             day.vms = vms;
             day.callersAt = vms;
-            day.newsAge = vms == 7 ? 100ms : 450ms;
+            day.updateAge = vms == 7 ? 100ms : 450ms;
             day.limit.unit = QuotaUnit::Tokens;
             day.limit.ratePerSecond = rate;
             day.limit.burst = rate;
--- a/libs/quota/tests/FleetModel.cpp
+++ b/libs/quota/tests/FleetModel.cpp
@@ -123,8 +123,8 @@
         for (int index = 0; index < day.vms; ++index) {
             Vm vm;
             vm.record.carry = part(this->random);
-            vm.age = toSeconds(day.newsAge) * (0.5 + part(this->random));
-            vm.permitAge = toSeconds(day.permitAge) / toSeconds(day.newsAge) * vm.age;
+            vm.age = toSeconds(day.updateAge) * (0.5 + part(this->random));
+            vm.permitAge = toSeconds(day.permitAge) / toSeconds(day.updateAge) * vm.age;
             this->vms.push_back(vm);
         }
         this->zones.resize(static_cast<std::size_t>(day.zones));
@@ -364,9 +364,9 @@
             use.askedInWindow = 0;
         }
         if (vm.started != Instant{})
-            addUse(use,
-                   useAtStart(name, this->limit, this->day.policy, vm.notes, this->day.vms,
-                              vm.started, this->now));
+            addUsage(use,
+                     useAtStart(name, this->limit, this->day.policy, vm.notes, this->day.vms,
+                                vm.started, this->now));
         return use;
     }
 
@@ -387,7 +387,7 @@
         FleetUse seen;
         seen.use = this->ownUse(vm);
         seen.vmsKnown = this->day.vms;
-        seen.newsAge = this->day.newsAge;
+        seen.updateAge = this->day.updateAge;
         seen.allowed = noteShare;
         const std::size_t zone = self % this->zones.size();
         if (this->zones[zone].relaySince != Instant{} && this->zones[zone].relay == self)
@@ -404,7 +404,7 @@
             const Snapshot::Told &told = heard->vms[other];
             if (other == self || !told.up || told.group != vm.group)
                 continue;
-            addUse(seen.use, told.use);
+            addUsage(seen.use, told.use);
             ++seen.vmsInTouch;
         }
         return seen;
--- a/libs/quota/tests/FleetModel.h
+++ b/libs/quota/tests/FleetModel.h
@@ -30,7 +30,7 @@
 {
     int vms = 70;
     int callersAt = 70; ///< VMs that its calls come to
-    Duration newsAge = std::chrono::milliseconds(450);
+    Duration updateAge = std::chrono::milliseconds(450);
     Duration permitAge = std::chrono::milliseconds(70); ///< of what the zone's relay told
     WorkspaceLimit limit;
     QuotaPolicy policy;
--- a/libs/quota/tests/Limits.cpp
+++ b/libs/quota/tests/Limits.cpp
@@ -36,7 +36,7 @@
         FleetDay day;
         day.vms = vms;
         day.callersAt = vms;
-        day.newsAge = vms == 7 ? 100ms : 450ms;
+        day.updateAge = vms == 7 ? 100ms : 450ms;
         day.limit = limitOf(rate);
         day.policy = policyOfDays();
         days.push_back(day);
@@ -195,7 +195,7 @@
     for (const int vms : {300, 840}) {
         day.vms = vms;
         day.callersAt = vms;
-        day.newsAge = vms == 300 ? 1200ms : 2400ms;
+        day.updateAge = vms == 300 ? 1200ms : 2400ms;
         day.hot = 1;
         cr_expect_geq(simulateDay(day, Division::BySum).served, 0.97, "%d VMs", vms);
         day.hot = 7.5;
@@ -322,9 +322,9 @@
             second[name] = {*units, *units};
         }
         WorkspaceUses sum;
-        addUses(sum, first);
-        addUses(sum, second);
-        subtractUses(sum, first);
+        addUsages(sum, first);
+        addUsages(sum, second);
+        subtractUsages(sum, first);
         std::erase_if(second, [](const auto &entry) { return isUnused(entry.second); });
         std::erase_if(sum, [](const auto &entry) { return isUnused(entry.second); });
         RC_ASSERT(sum == second);
--- a/libs/residency/include/residency/SlotTable.h
+++ b/libs/residency/include/residency/SlotTable.h
@@ -89,7 +89,7 @@
 void endLoad(SlotTable &table, bool loaded, Instant now);
 
 /** Takes the engine's word; returns true if the engine restarted since the last one. */
-bool noteReport(SlotTable &table, const EngineReport &report, Instant now);
+bool applyReport(SlotTable &table, const EngineReport &report, Instant now);
 
 const OwnedSlot *findSlot(const SlotTable &table, AdapterId adapter);
 
--- a/libs/residency/src/SlotTable.cpp
+++ b/libs/residency/src/SlotTable.cpp
@@ -134,7 +134,7 @@
     addSlot(table, adapter, 0, now);
 }
 
-bool noteReport(SlotTable &table, const EngineReport &report, Instant now)
+bool applyReport(SlotTable &table, const EngineReport &report, Instant now)
 {
     const bool first = !table.known;
     const bool restarted = !first && report.epoch != table.epoch;
--- a/libs/residency/tests/Slots.cpp
+++ b/libs/residency/tests/Slots.cpp
@@ -54,7 +54,7 @@
         table.slots = 3;
         TrueEngine engine;
         Instant now = Instant{} + std::chrono::seconds(1);
-        noteReport(table, engine.report(now), now);
+        applyReport(table, engine.report(now), now);
         std::vector<HeldRun> runs;
         std::vector<EngineReport> inTransit;
         const auto deeds = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -111,7 +111,7 @@
                     endLoad(table, false, now);
                 engine.loading = -1;
             } else if (deed == 7) {
-                noteReport(table, engine.report(now), now);
+                applyReport(table, engine.report(now), now);
             }
             RC_ASSERT(static_cast<int>(table.resident.size()) <= table.slots + 1);
         }
@@ -128,13 +128,13 @@
     const Instant now = Instant{} + std::chrono::seconds(1);
     EngineReport report;
     report.epoch = 1;
-    noteReport(table, report, now);
+    applyReport(table, report, now);
     const AdapterRef adapter = adapterOf(1);
     cr_assert(beginLoad(table, adapter, AdapterId{}) == ErrorKind::Ok);
     endLoad(table, true, now);
     const SlotPin first = *pin(table, adapter.id());
     report.epoch = 2;
-    cr_assert(noteReport(table, report, now + std::chrono::seconds(1)));
+    cr_assert(applyReport(table, report, now + std::chrono::seconds(1)));
     cr_assert(beginLoad(table, adapter, AdapterId{}) == ErrorKind::Ok);
     endLoad(table, true, now + std::chrono::seconds(2));
     const std::optional<SlotPin> second = pin(table, adapter.id());
@@ -152,9 +152,9 @@
     EngineReport report;
     report.epoch = 1;
     report.resident.push_back({adapterOf(1), 1});
-    noteReport(table, report, Instant{});
+    applyReport(table, report, Instant{});
     cr_assert(beginLoad(table, adapterOf(2), adapterOf(1).id()) != ErrorKind::Ok);
     report.resident[0].running = 0;
-    noteReport(table, report, Instant{});
+    applyReport(table, report, Instant{});
     cr_assert(beginLoad(table, adapterOf(2), adapterOf(1).id()) == ErrorKind::Ok);
 }
--- a/libs/serving/include/serving/OrderDesk.h
+++ b/libs/serving/include/serving/AdapterScheduler.h
@@ -10,12 +10,12 @@
 
 #include "core/Time.h"
 #include "serving/HostCopies.h"
-#include "serving/LoadPace.h"
+#include "serving/LoadTimeModel.h"
 
 namespace monsoonbay {
 
 /** An adapter in a slot of an engine, as its holder knows it. */
-struct SlotUse
+struct AdapterSlot
 {
     std::int64_t version = 0;
     bool loading = false;
@@ -23,7 +23,7 @@
     Instant usedAt{}; ///< last time some VM was seen to use it
     bool leaving = false; ///< it will be dropped when the calls that use it have ended
     bool fetched = false; ///< from the weight store, not from the engine's own memory
-    Instant orderedAt{}; ///< when its load was accepted
+    Instant requestedAt{}; ///< when its load was accepted
     Instant triedAt{}; ///< a first call was let through to see whether it is there
     int underWay = 1; ///< loads from the weight store then, over all engines, this one counted
     double loadsSinceTouch = -1; ///< at this engine, when it was last there; below 0: it never was
@@ -34,14 +34,14 @@
 };
 
 /** State of one engine at the VM that orders it. */
-struct OrderDesk
+struct AdapterScheduler
 {
     std::int64_t born = 0; ///< start of the engine that all this is of; see TargetEntry
     int adapterSlots = 0;
     std::int64_t sequence = -1; ///< orders the engine has accepted; below 0: not known
-    std::int64_t leastSequence = 0; ///< a report that counts fewer is older than what is known
+    std::int64_t minSequence = 0; ///< a report that counts fewer is older than what is known
     Instant acceptedAt{}; ///< of the last order
-    std::unordered_map<std::string, SlotUse> slots; ///< by adapter key
+    std::unordered_map<std::string, AdapterSlot> slots; ///< by adapter key
     std::set<std::string> models; ///< base models that are there
     Instant modelReadyAt{}; ///< when the model under way is expected; zero: none is
     HostCopies copies; ///< adapters that load fast again
@@ -61,12 +61,12 @@
  * The engine was started anew under its id: it holds nothing, counts its orders anew, and what was
  * under way at it is of no account. A report tells the rest.
  */
-void restartDesk(OrderDesk &desk, std::int64_t born);
+void resetScheduler(AdapterScheduler &scheduler, std::int64_t born);
 
 /** Takes a report; false, and nothing changed, if it is older than what is known already. */
-bool takeReport(OrderDesk &desk, const EngineReport &report, Instant now);
+bool applyEngineReport(AdapterScheduler &scheduler, const EngineReport &report, Instant now);
 
-enum class DeskStep : std::uint8_t {
+enum class SchedulerStep : std::uint8_t {
     Ready, ///< it is there
     Wait, ///< it is being loaded
     Unload, ///< unload `victim` first
@@ -74,28 +74,28 @@
     NoSlot, ///< every slot that would have to go is in use
 };
 
-struct DeskChoice
+struct SchedulerDecision
 {
-    DeskStep step = DeskStep::NoSlot;
+    SchedulerStep step = SchedulerStep::NoSlot;
     std::string victim;
 
-    auto operator<=>(const DeskChoice &) const = default;
+    auto operator<=>(const SchedulerDecision &) const = default;
 };
 
 /** What to do so that `adapter` becomes resident in at least `version`. */
-DeskChoice nextDeskStep(const OrderDesk &desk, const std::string &adapter, std::int64_t version,
-                        Instant now);
+SchedulerDecision nextCommand(const AdapterScheduler &scheduler, const std::string &adapter,
+                              std::int64_t version, Instant now);
 
 /** Loads an engine may have under way; a fifth is refused by the engines of the users' sheets. */
 constexpr int maxLoadsPerEngine = 4;
 
 /** What is known of loads at all engines. */
-struct LoadBeliefs
+struct LoadEstimator
 {
-    LoadPace pace;
+    LoadTimeModel pace;
     HostRetention memory;
 
-    auto operator<=>(const LoadBeliefs &) const = default;
+    auto operator<=>(const LoadEstimator &) const = default;
 };
 
 /** What a load is expected to take, and what that rests on. */
@@ -109,83 +109,85 @@
 };
 
 /** `fetchesUnderWay`: loads from the weight store at all engines, this one not counted. */
-LoadEstimate estimateLoad(const OrderDesk &desk, const std::string &adapter, int fetchesUnderWay,
-                          const LoadBeliefs &beliefs);
+LoadEstimate estimateLoad(const AdapterScheduler &scheduler, const std::string &adapter,
+                          int fetchesUnderWay, const LoadEstimator &estimator);
 
-void noteLoadAccepted(OrderDesk &desk, const std::string &adapter, std::int64_t version,
-                      const LoadEstimate &estimate, Instant now);
+void recordLoadAccepted(AdapterScheduler &scheduler, const std::string &adapter,
+                        std::int64_t version, const LoadEstimate &estimate, Instant now);
 
 /**
  * The engine refused a call for an adapter that was taken to be there. Right after its load was
  * due, the load takes longer than expected, and is looked at again a little later; otherwise
  * nothing is known of the engine's slots until it has reported.
  */
-void noteMissing(OrderDesk &desk, const std::string &adapter, LoadBeliefs &beliefs, Instant now);
+void recordMissing(AdapterScheduler &scheduler, const std::string &adapter,
+                   LoadEstimator &estimator, Instant now);
 
 /**
  * The engine refused an order as busy. True if that is because a load that was taken as done is
  * still under way, so that it has no room for one more; that load is then looked at again later.
  */
-bool noteStillLoading(OrderDesk &desk, LoadBeliefs &beliefs, Instant now);
+bool recordBusyRefusal(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now);
 
 /** Loads under way are expected by what was learnt since they were ordered. */
-void stretchLoads(OrderDesk &desk, const LoadPace &pace);
+void extendLoadEstimates(AdapterScheduler &scheduler, const LoadTimeModel &pace);
 
 /**
  * How long a call waits for the outcome of the one that was let through first after a load; zero
  * if it goes now. While the time of loads is in doubt one call goes first and the others wait, or
  * all of them would be refused, each at the cost of a repeat.
  */
-Duration waitForTrial(OrderDesk &desk, const std::string &adapter, const LoadPace &pace,
-                      Instant now);
+Duration probeCallDelay(AdapterScheduler &scheduler, const std::string &adapter,
+                        const LoadTimeModel &pace, Instant now);
 
 /**
  * True if a load is expected to go on for long after the time that it would take alone: a report
  * may show that it is done already.
  */
-bool isLookDue(const OrderDesk &desk, const LoadPace &pace, Instant now);
+bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &pace, Instant now);
 
 /**
  * Takes loads that a report shows as done, also one that is too old to be taken as a whole; true if
  * there was any. It teaches that such loads take no longer.
  */
-bool takeLoadsDone(OrderDesk &desk, const EngineReport &report, LoadBeliefs &beliefs, Instant now);
+bool applyCompletedLoads(AdapterScheduler &scheduler, const EngineReport &report,
+                         LoadEstimator &estimator, Instant now);
 
 /** Takes what has become of loads whose calls would have been refused by now. */
-void judgeLoads(OrderDesk &desk, LoadBeliefs &beliefs, Instant now);
+void learnFromLoads(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now);
 
 /** Loads from the weight store that are under way at the engine. */
-int fetchesUnderWay(const OrderDesk &desk) noexcept;
-void noteUnloaded(OrderDesk &desk, const std::string &adapter);
+int fetchesUnderWay(const AdapterScheduler &scheduler) noexcept;
+void recordUnloaded(AdapterScheduler &scheduler, const std::string &adapter);
 
 /** The engine drops it only when its calls have ended: somebody used it after all. */
-void noteUnloadDeferred(OrderDesk &desk, const std::string &adapter);
+void recordDeferredUnload(AdapterScheduler &scheduler, const std::string &adapter);
 
 /** True if some adapter will be dropped when its calls have ended: only a report tells when. */
-bool awaitsDrop(const OrderDesk &desk) noexcept;
+bool hasDeferredUnload(const AdapterScheduler &scheduler) noexcept;
 
 /** A call for it has been let through and is on its way. */
-void noteCallComing(OrderDesk &desk, const std::string &adapter, Instant now);
+void recordPendingCall(AdapterScheduler &scheduler, const std::string &adapter, Instant now);
 
 /** An order was accepted; the engine counts one more. */
-void noteSequence(OrderDesk &desk, Instant now);
+void advanceSequence(AdapterScheduler &scheduler, Instant now);
 
 /** It is not known whether the last order was accepted; a report has to tell. */
-void forgetSequence(OrderDesk &desk);
+void invalidateSequence(AdapterScheduler &scheduler);
 
 /** Takes how many calls of all VMs use each adapter now. */
-void noteRuns(OrderDesk &desk, const std::map<std::string, int> &runs, Instant now);
+void updateRuns(AdapterScheduler &scheduler, const std::map<std::string, int> &runs, Instant now);
 
 /** Slots that could take another adapter now. */
-int idleSlots(const OrderDesk &desk, Instant now);
+int idleSlots(const AdapterScheduler &scheduler, Instant now);
 
 /**
  * When a slot can be taken for another adapter at the earliest, if no further call uses it; zero:
  * that depends on when calls end.
  */
-Instant slotExpected(const OrderDesk &desk, Instant now);
+Instant nextFreeSlotTime(const AdapterScheduler &scheduler, Instant now);
 
 /** Marks loads whose time has come as done; true if any was. */
-bool settleLoads(OrderDesk &desk, Instant now);
+bool completeDueLoads(AdapterScheduler &scheduler, Instant now);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/NamedLimit.h
+++ b/libs/serving/include/serving/AdvertisedLimit.h
@@ -15,27 +15,27 @@
  * No message is needed: each VM keeps to an even part of the limit. Where that is less than a call
  * in a span, it draws in each span whether it may send one.
  */
-struct NamedLimit
+struct AdvertisedLimit
 {
     static constexpr Duration span = std::chrono::seconds(4); ///< in which a part is counted
     static constexpr std::size_t partsInSpan = 8;
 
     double perSecond = 0; ///< of all VMs; 0: no limit is named
     WindowCounts<std::uint32_t, partsInSpan> sent;
-    std::int64_t drawnFor = 0; ///< number of the span that the part was last drawn for
+    std::int64_t drawnWindow = 0; ///< number of the span that the part was last drawn for
     std::uint32_t part = 0; ///< calls of this VM in the span
 };
 
 /** Takes the target's newest word; nothing lifts the limit. True if it is a new one. */
-bool noteLimit(NamedLimit &limit, std::optional<double> perSecond) noexcept;
+bool updateLimit(AdvertisedLimit &limit, std::optional<double> perSecond) noexcept;
 
 /**
  * True if this VM may send the target a call now. `vms`: that may send to it, heard or not; 0: not
  * known, so that none may be sent. `draw`: from 0 to 1, for a new span.
  */
-bool admitsCall(NamedLimit &limit, int vms, double draw, Instant now) noexcept;
+bool admitsCall(AdvertisedLimit &limit, int vms, double draw, Instant now) noexcept;
 
 /** A call goes to the target. */
-void noteSent(NamedLimit &limit, Instant now) noexcept;
+void noteSent(AdvertisedLimit &limit, Instant now) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PlaceQueue.h
+++ b/libs/serving/include/serving/CapacityQueue.h
@@ -11,26 +11,26 @@
 namespace monsoonbay {
 
 /** How long a call waits for a place at an engine. */
-struct PlacePatience
+struct WaitLimits
 {
     Duration usual{};
     Duration whole{}; ///< longer than usual for a call that lets others go first after that
 
-    auto operator<=>(const PlacePatience &) const = default;
+    auto operator<=>(const WaitLimits &) const = default;
 };
 
 /** What the patience of a call depends on. */
-struct PatienceFacts
+struct WaitLimitInputs
 {
     Duration objective{}; ///< for its first event; zero: its route names none
     Duration timeLeft{}; ///< that its caller waits
     double promptMs = 0; ///< that an engine reads its prompt
-    Duration leastObjective{}; ///< of all routes to the service; zero: none names one
+    Duration minObjective{}; ///< of all routes to the service; zero: none names one
 
-    auto operator<=>(const PatienceFacts &) const = default;
+    auto operator<=>(const WaitLimitInputs &) const = default;
 };
 
-PlacePatience placePatience(const PatienceFacts &facts) noexcept;
+WaitLimits waitLimits(const WaitLimitInputs &facts) noexcept;
 
 /** A call that waits for a place. */
 struct WaitingCall
@@ -47,34 +47,34 @@
 };
 
 /** How fast waiting calls find places; what is long past counts less. */
-struct PlacePace
+struct CapacityRate
 {
     Instant at{}; ///< when the other two were right
     double busySeconds = 0; ///< with calls waiting
     double found = 0; ///< places that waiting calls found in that time
 
-    auto operator<=>(const PlacePace &) const = default;
+    auto operator<=>(const CapacityRate &) const = default;
 };
 
 /** Calls of one service that wait for a place. */
-struct PlaceQueue
+struct CapacityQueue
 {
     std::vector<WaitingCall> calls;
-    PlacePace pace;
+    CapacityRate pace;
 
-    auto operator<=>(const PlaceQueue &) const = default;
+    auto operator<=>(const CapacityQueue &) const = default;
 };
 
 /** More calls than this do not wait at one VM. */
-constexpr std::size_t mostWaitingCalls = 512;
+constexpr std::size_t maxWaitingCalls = 512;
 
 /** False, and nothing changed, if too many wait already. */
-bool joinPlaces(PlaceQueue &queue, const WaitingCall &call, Instant now);
+bool enqueueCall(CapacityQueue &queue, const WaitingCall &call, Instant now);
 
-void leavePlaces(PlaceQueue &queue, std::uint64_t id, Instant now);
+void dequeueCall(CapacityQueue &queue, std::uint64_t id, Instant now);
 
 /** A call that waited has found a place. */
-void notePlaceFound(PlaceQueue &queue, Instant now);
+void recordCapacityFound(CapacityQueue &queue, Instant now);
 
 /** Rank by which a call is served now: one less for each half of its usual patience waited. */
 int agedRank(const WaitingCall &call, Instant now) noexcept;
@@ -86,23 +86,23 @@
  * Calls to be woken while there is room for `loads` more loads, in the order in which they are
  * served: so many, and those whose adapter is there.
  */
-std::vector<std::uint64_t> callsToWake(const PlaceQueue &queue, int loads, Instant now);
+std::vector<std::uint64_t> callsToWake(const CapacityQueue &queue, int loads, Instant now);
 
 /** Where a service has room for loads now, or is said to have later. */
-struct PlaceRoom
+struct ServiceCapacity
 {
     int loads = 0; ///< that could begin now
     bool open = false; ///< some engine may get room at any time
     std::vector<Instant> later; ///< when each other engine can begin a load, as its holder expects
 
-    auto operator<=>(const PlaceRoom &) const = default;
+    auto operator<=>(const ServiceCapacity &) const = default;
 };
 
 /**
  * Time until a call that is not in the queue yet can expect a place: by its turn, and by when
  * engines begin loads, each of which takes `loadTime`. Zero: at once, or nothing is known.
  */
-Duration expectedPlace(const PlaceQueue &queue, const WaitingCall &call, const PlaceRoom &room,
-                       Duration loadTime, Instant now);
+Duration expectedCapacityWait(const CapacityQueue &queue, const WaitingCall &call,
+                              const ServiceCapacity &room, Duration loadTime, Instant now);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/LoadQueue.h
+++ b/libs/serving/include/serving/LoadQueue.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "core/Time.h"
-#include "serving/OrderDesk.h"
+#include "serving/AdapterScheduler.h"
 
 namespace monsoonbay {
 
@@ -38,13 +38,14 @@
  * urgent callers wait for, then those of more callers, then those that were asked for before.
  * Adapters that are at the engine, or on their way, need no order.
  */
-int loadsAhead(const LoadQueue &queue, const OrderDesk &desk, const std::string &adapter);
+int loadsAhead(const LoadQueue &queue, const AdapterScheduler &scheduler,
+               const std::string &adapter);
 
 /**
  * When a load can be expected to be ordered that has `ahead` others before it, each of which takes
  * `loadTime`. The engine takes orders from `ordersFrom` on.
  */
-Instant expectedBegin(const OrderDesk &desk, int ahead, Duration loadTime,
+Instant expectedBegin(const AdapterScheduler &scheduler, int ahead, Duration loadTime,
                       Instant ordersFrom) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/NewsAge.h
+++ b/libs/serving/include/serving/NewsAge.h
@@ -5,18 +5,18 @@
 namespace monsoonbay {
 
 /** What a VM hears of the load that other VMs put on engines. */
-struct NewsFacts
+struct UpdateAgeInputs
 {
     Duration regular{}; ///< age of the news while all VMs exchange them
-    Duration sinceWord{}; ///< since another VM told anything
-    Duration sinceAll{}; ///< since all known VMs were heard
-    int vmsHeard = 1; ///< VMs whose load is known, this one among them
+    Duration sinceLastUpdate{}; ///< since another VM told anything
+    Duration sinceAllReported{}; ///< since all known VMs were heard
+    int vmsReporting = 1; ///< VMs whose load is known, this one among them
     int vmsKnown = 1;
 
-    auto operator<=>(const NewsFacts &) const = default;
+    auto operator<=>(const UpdateAgeInputs &) const = default;
 };
 
 /** Age of what this VM knows of the load of engines, in the mean over all calls there. */
-Duration newsAge(const NewsFacts &facts) noexcept;
+Duration updateAge(const UpdateAgeInputs &facts) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PartitionLease.h
+++ b/libs/serving/include/serving/PartitionLease.h
@@ -96,7 +96,7 @@
 {
     Instant heardAt{};
     std::int64_t generation = 0; ///< newest that it knows
-    bool storeAway = false; ///< its own last renewal failed
+    bool storeUnreachable = false; ///< its own last renewal failed
 
     auto operator<=>(const PeerLeaseState &) const = default;
 };
--- a/libs/serving/include/serving/PlainChoice.h
+++ b/libs/serving/include/serving/PlainChoice.h
@@ -8,7 +8,7 @@
 namespace monsoonbay {
 
 /** What a VM knows of a target without adapters. */
-struct PlainView
+struct PlainTargetView
 {
     std::string id;
     std::string zone;
@@ -16,15 +16,16 @@
     int runs = 0; ///< own calls under way there
     bool usable = true; ///< neither leaving nor ejected
 
-    auto operator<=>(const PlainView &) const = default;
+    auto operator<=>(const PlainTargetView &) const = default;
 };
 
 /**
  * The target with the fewest own calls for its slots; one in the own zone goes first, as bytes
  * between zones are paid for. `draw` breaks ties, so that VMs do not all choose the same one.
  */
-std::optional<std::size_t> choosePlain(const std::vector<PlainView> &targets,
-                                       const std::string &zone,
-                                       const std::vector<std::string> &tried, std::uint64_t draw);
+std::optional<std::size_t> choosePlainTarget(const std::vector<PlainTargetView> &targets,
+                                             const std::string &zone,
+                                             const std::vector<std::string> &tried,
+                                             std::uint64_t draw);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PrefillQueue.h
+++ b/libs/serving/include/serving/PrefillQueue.h
@@ -21,7 +21,7 @@
 struct PrefillRequest
 {
     double tokens = 0; ///< of its prompt that the engine has to read
-    double mostAhead = 0; ///< it goes elsewhere if more tokens wait before it
+    double maxAhead = 0; ///< it goes elsewhere if more tokens wait before it
 
     auto operator<=>(const PrefillRequest &) const = default;
 };
@@ -42,17 +42,17 @@
                             Instant now) noexcept;
 
 /** What a call's route and engine allow, to find how many tokens may wait before it. */
-struct PrefillBound
+struct PrefillBudget
 {
-    double untilLateMs = 0; ///< until the first event would be later than is good enough
+    double objectiveLeftMs = 0; ///< until the first event would be later than is good enough
     double ownTokens = 0; ///< of the call's prompt that the engine has to read
     double otherMs = 0; ///< of the first event's wait that is not reading
     double tokensPerMs = 1;
 
-    auto operator<=>(const PrefillBound &) const = default;
+    auto operator<=>(const PrefillBudget &) const = default;
 };
 
 /** Most tokens before a call whose first event still comes in time; 0: it is late already. */
-double mostTokensAhead(const PrefillBound &bound) noexcept;
+double maxTokensAhead(const PrefillBudget &bound) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PrefillPace.h
+++ b/libs/serving/include/serving/PrefillRate.h
@@ -8,7 +8,7 @@
 namespace monsoonbay {
 
 /** How fast the engines of a service read prompts, as this VM's own calls show it. */
-struct PrefillPace
+struct PrefillRate
 {
     /** One call that found nothing waiting at its engine. */
     struct Sample
@@ -23,7 +23,7 @@
     std::size_t next = 0;
     double tokensPerMs = 0; ///< 0: too few samples
 
-    auto operator<=>(const PrefillPace &) const = default;
+    auto operator<=>(const PrefillRate &) const = default;
 };
 
 /** A call as a sample of the pace. */
@@ -35,9 +35,9 @@
 };
 
 /** Takes a call into account; those that tell little of the pace are left out. */
-void notePrefill(PrefillPace &pace, const PrefillSample &sample, Instant now) noexcept;
+void addPrefillSample(PrefillRate &pace, const PrefillSample &sample, Instant now) noexcept;
 
 /** Tokens per ms; `fallback` while too little is known, and never far from it. */
-double prefillPace(const PrefillPace &pace, double fallback) noexcept;
+double prefillRate(const PrefillRate &pace, double fallback) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PrefixBook.h
+++ b/libs/serving/include/serving/PrefixIndex.h
@@ -11,38 +11,38 @@
 namespace monsoonbay {
 
 /** Prefixes that are kept for one engine. */
-constexpr std::size_t mostPrefixesOfEngine = 256;
+constexpr std::size_t maxPrefixesPerEngine = 256;
 /** Prefixes that are kept for all engines, 3 MB; divided evenly among the engines in the book. */
-constexpr std::size_t mostPrefixesInBook = 40'960;
+constexpr std::size_t maxPrefixesInIndex = 40'960;
 /** Engines in the book. */
-constexpr std::size_t mostEnginesInBook = 4'096;
+constexpr std::size_t maxEnginesInIndex = 4'096;
 
 /** A shorter prefix is not told: reading it takes less than the accuracy of an estimate. */
-constexpr int leastToldTokens = 1'000;
+constexpr int minReportedTokens = 1'000;
 /** Tokens of a told prefix beyond which it is taken for a bad value. */
-constexpr int mostToldTokens = 1'000'000;
+constexpr int maxReportedTokens = 1'000'000;
 /** A prefix that was told, or heard of, is not told again within this time. */
-constexpr Duration toldAgainAfter = std::chrono::seconds(2);
+constexpr Duration prefixReportInterval = std::chrono::seconds(2);
 /** A prefix that was found missing is neither believed nor told for this time. */
-constexpr Duration doubtHolds = std::chrono::seconds(5);
+constexpr Duration missingPrefixHold = std::chrono::seconds(5);
 /** Engines that are not known to have read any prefix for this long leave the book. */
-constexpr Duration bookHolds = std::chrono::seconds(60);
+constexpr Duration unusedEngineExpiry = std::chrono::seconds(60);
 
 /** What is believed of one prefix at one engine. */
-struct KeptPrefix
+struct CachedPrefix
 {
     int tokens = 0; ///< 0: not believed to be there
     Instant readAt{}; ///< when it was read last, as far as is known
     Instant newsAt{}; ///< when it was told or heard of last; zero: never
     Instant doubtedUntil{}; ///< it was found missing
 
-    auto operator<=>(const KeptPrefix &) const = default;
+    auto operator<=>(const CachedPrefix &) const = default;
 };
 
 /** Prefixes that one engine is believed to keep. */
 struct EnginePrefixes
 {
-    std::unordered_map<std::uint64_t, KeptPrefix> kept; ///< by hash of the prefix
+    std::unordered_map<std::uint64_t, CachedPrefix> kept; ///< by hash of the prefix
     double tokens = 0; ///< of all of them
     Instant readAt{};
 };
@@ -51,55 +51,55 @@
  * Prefixes of prompts that engines have read, and so need not read again, by what own and other
  * VMs' calls have shown. A belief only: engines do not say what they keep.
  */
-struct PrefixBook
+struct PrefixIndex
 {
     std::unordered_map<std::uint64_t, EnginePrefixes> engines; ///< by engineKey()
-    std::size_t limit = mostPrefixesOfEngine; ///< of prefixes of one engine
+    std::size_t limit = maxPrefixesPerEngine; ///< of prefixes of one engine
 };
 
 /**
  * The first event of an own call has come: the engine has read its prompt. Returns the prefixes
  * that other VMs are to be told of.
  */
-std::vector<PromptPrefix> noteRead(PrefixBook &book, std::uint64_t engine,
-                                   const std::vector<PromptPrefix> &prefixes, Instant now);
+std::vector<PromptPrefix> recordRead(PrefixIndex &book, std::uint64_t engine,
+                                     const std::vector<PromptPrefix> &prefixes, Instant now);
 
 /** Another VM says that the engine has read a prefix. True if that is to be told on. */
-bool noteHeard(PrefixBook &book, std::uint64_t engine, const PromptPrefix &prefix, Instant now);
+bool noteHeard(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix, Instant now);
 
 /** These prefixes were believed to be at the engine, and were not. */
-void noteMissing(PrefixBook &book, std::uint64_t engine, const std::vector<PromptPrefix> &prefixes,
-                 Instant now);
+void recordMissing(PrefixIndex &book, std::uint64_t engine,
+                   const std::vector<PromptPrefix> &prefixes, Instant now);
 
 /** Tokens at the beginning of a prompt with these prefixes that the engine is believed to keep. */
-double keptTokens(const PrefixBook &book, std::uint64_t engine,
-                  const std::vector<PromptPrefix> &prefixes);
+double cachedPrefixTokens(const PrefixIndex &book, std::uint64_t engine,
+                          const std::vector<PromptPrefix> &prefixes);
 
 /** Tokens of prompts that an engine can keep while calls hold so many; infinite if not known. */
-double memoryForPrefixes(double kvTokens, double heldTokens) noexcept;
+double prefixCacheCapacity(double kvTokens, double heldTokens) noexcept;
 
 /** The engine has memory for so many tokens of prompts: drops what was read least recently. */
-void holdTo(PrefixBook &book, std::uint64_t engine, double tokens);
+void evictToFit(PrefixIndex &book, std::uint64_t engine, double tokens);
 
 /** The engine has unloaded the adapter with this prefixTag(), or replaced it. */
-void forgetAdapter(PrefixBook &book, std::uint64_t engine, std::uint64_t tag);
+void forgetAdapter(PrefixIndex &book, std::uint64_t engine, std::uint64_t tag);
 
 /** The engine has started anew. */
-void forgetEngine(PrefixBook &book, std::uint64_t engine);
+void forgetEngine(PrefixIndex &book, std::uint64_t engine);
 
-/** Drops engines that have read no prefix for bookHolds. */
-void forgetUnused(PrefixBook &book, Instant now);
+/** Drops engines that have read no prefix for unusedEngineExpiry. */
+void forgetUnused(PrefixIndex &book, Instant now);
 
 /** How long a call waited for its first event, against what it was expected to wait for. */
-struct PrefixTrial
+struct FirstEventTiming
 {
     Duration untilFirst{}; ///< from sending it to its first event
     double promptTokens = 0;
-    double keptTokens = 0; ///< of them, as was believed when it was sent
+    double cachedPrefixTokens = 0; ///< of them, as was believed when it was sent
     double aheadTokens = 0; ///< that other calls had waiting at the engine
 };
 
 /** True if the engine read the whole prompt although a part of it was believed to be there. */
-bool showsMissing(const PrefixTrial &trial, double promptTokensPerMs) noexcept;
+bool indicatesCacheMiss(const FirstEventTiming &trial, double promptTokensPerMs) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PrefixLog.h
+++ b/libs/serving/include/serving/PrefixLog.h
@@ -10,11 +10,11 @@
 namespace monsoonbay {
 
 /** Prefixes that one message may carry. */
-constexpr std::size_t mostPrefixesTold = 300;
+constexpr std::size_t maxPrefixesPerMessage = 300;
 /** Entries of a log; three messages' worth, so that readers that ask at their pace lose none. */
-constexpr std::size_t mostPrefixesLogged = 1'024;
+constexpr std::size_t maxPrefixLogEntries = 1'024;
 /** What no reader has asked for within this time is no longer worth telling. */
-constexpr Duration prefixToldFor = std::chrono::seconds(3);
+constexpr Duration prefixLogRetention = std::chrono::seconds(3);
 
 /** An engine has read a prefix. */
 struct PrefixRead
@@ -38,7 +38,7 @@
     std::uint64_t number = 0;
     PrefixRead read;
     PrefixSource source = PrefixSource::Own;
-    std::uint64_t teller = 0; ///< of that VM; 0: this one
+    std::uint64_t sourceVm = 0; ///< of that VM; 0: this one
     Instant at{};
 
     auto operator<=>(const LoggedPrefix &) const = default;
@@ -58,12 +58,12 @@
 struct PrefixReader
 {
     std::uint64_t seen = 0; ///< the last number that it has
-    std::uint64_t teller = 0; ///< its own word is not told back to it
+    std::uint64_t sourceVm = 0; ///< its own word is not told back to it
     bool mate = false; ///< of the own zone; another zone's relay hears only of calls of this zone
     bool relay = false; ///< the relay that this VM reports to hears only of own calls
 };
 
-void logPrefix(PrefixLog &log, const PrefixRead &read, PrefixSource source, std::uint64_t teller,
+void logPrefix(PrefixLog &log, const PrefixRead &read, PrefixSource source, std::uint64_t sourceVm,
                Instant now);
 
 /** What the reader is to be told, by engine; the newest if it is too much for a message. */
--- a/libs/serving/include/serving/PromptPrefixes.h
+++ b/libs/serving/include/serving/PromptPrefixes.h
@@ -20,7 +20,7 @@
 };
 
 /** Beginnings of prompts with more parts are followed up to this one. */
-constexpr std::size_t mostPrefixes = 16;
+constexpr std::size_t maxPrefixes = 16;
 
 /**
  * The beginnings of a call's prompt that other calls may share, shortest first. Empty if the call
--- a/libs/serving/include/serving/Route.h
+++ b/libs/serving/include/serving/Route.h
@@ -46,6 +46,6 @@
 };
 
 /** True if a call of this route may run a second time. */
-bool mayRepeat(const Route &route) noexcept;
+bool mayRetry(const Route &route) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/ServiceRetryBudget.h
+++ b/libs/serving/include/serving/ServiceRetryBudget.h
@@ -26,7 +26,7 @@
     WindowCounts<std::uint32_t, parts> repeats;
 };
 
-void noteCall(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant now);
+void recordCall(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant now);
 
 /** Among whom the slack of a budget is divided, as one VM knows it. */
 struct SlackSharing
@@ -41,20 +41,20 @@
  * When a VM that started at `start` may use its part of the slack: a window later, as the window
  * may still hold what was sent by the boot before it, or by the others when they were fewer.
  */
-Instant slackAfterStart(const RetryPolicy &policy, Instant start) noexcept;
+Instant slackAvailableFrom(const RetryPolicy &policy, Instant start) noexcept;
 
 /** Takes one repeat out of this VM's share; false if the share is used up. */
-bool takeRepeat(ServiceRetryBudget &budget, const RetryPolicy &policy, const SlackSharing &sharing,
-                Instant now);
+bool tryTakeRetry(ServiceRetryBudget &budget, const RetryPolicy &policy,
+                  const SlackSharing &sharing, Instant now);
 
 /**
  * A repeat that was taken at `takenAt` is sent now, after a wait for a place: it counts from now
  * on, as the target that gets it counts it.
  */
-void noteRepeatSent(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant takenAt,
-                    Instant now);
+void recordRetrySent(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant takenAt,
+                     Instant now);
 
 /** Repeats that this VM has taken in the window, as of the last call or repeat. */
-std::uint32_t repeatsTaken(const ServiceRetryBudget &budget) noexcept;
+std::uint32_t retriesTaken(const ServiceRetryBudget &budget) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/ServingConfig.h
+++ b/libs/serving/include/serving/ServingConfig.h
@@ -56,7 +56,7 @@
     const Workspace *findWorkspace(const std::string &name) const;
 
     /** Least objective for the first event among the routes to a service; zero: none names one. */
-    Duration leastObjective(const std::string &service) const;
+    Duration minObjective(const std::string &service) const;
 
     /**
      * Least objective for the first event among the routes to a service that name one; nothing if
@@ -65,7 +65,7 @@
     std::optional<Duration> shortestObjective(const std::string &service) const;
 
     /** Longest time that a caller waits for a stream of the service which it may take up again. */
-    Duration longestStream(const std::string &service) const;
+    Duration maxResumableTimeout(const std::string &service) const;
 
 private:
     /** Least and largest objective of the routes to a service. */
--- a/libs/serving/include/serving/StreamOrigins.h
+++ b/libs/serving/include/serving/StreamOrigins.h
@@ -35,10 +35,10 @@
 };
 
 /** What is known of 20,000 streams takes 2.5 MB; a VM begins some 500 in 15 s. */
-constexpr std::size_t mostStreamOrigins = 20000;
+constexpr std::size_t maxStreamOrigins = 20000;
 
 /** Notes what began a stream; what was noted of it first holds. */
-void noteOrigin(StreamOrigins &origins, StreamId id, StreamOrigin origin, Instant now);
+void recordOrigin(StreamOrigins &origins, StreamId id, StreamOrigin origin, Instant now);
 
 /** Forgets streams whose callers wait no longer. */
 void forgetOrigins(StreamOrigins &origins, Instant now);
@@ -50,7 +50,7 @@
  * The `count` of `names` that keep what is known of a stream, by rendezvous hashing: each VM finds
  * the same, and the loss of a name moves only what it kept.
  */
-std::vector<std::size_t> keepersOf(StreamId id, const std::vector<std::string> &names,
-                                   std::size_t count);
+std::vector<std::size_t> chooseReplicas(StreamId id, const std::vector<std::string> &names,
+                                        std::size_t count);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/TargetEntry.h
+++ b/libs/serving/include/serving/TargetEntry.h
@@ -38,14 +38,14 @@
 };
 
 /** How two words about a target stand to each other. */
-enum class WordAge : std::uint8_t {
+enum class StartOrder : std::uint8_t {
     Same, ///< of the same start of the target, or one of them does not say
     Newer, ///< the offered word is of a later start: all that was known before is void
     Older, ///< the offered word is of an earlier start and tells nothing any more
 };
 
 /** Compares the starts that two words about one target are of; see TargetEntry::born. */
-WordAge ageOfWord(std::int64_t knownBorn, std::int64_t offeredBorn) noexcept;
+StartOrder compareStarts(std::int64_t knownBorn, std::int64_t offeredBorn) noexcept;
 
 /** Name of an adapter of a model, as it is used as a key: "model/adapter". */
 std::string adapterKey(const std::string &model, const std::string &adapter);
--- a/libs/serving/include/serving/TargetHealth.h
+++ b/libs/serving/include/serving/TargetHealth.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 
 #include "core/Time.h"
-#include "serving/TargetUse.h"
+#include "serving/TargetUsage.h"
 
 namespace monsoonbay {
 
@@ -19,24 +19,25 @@
 /** What this VM has seen of one target lately. */
 struct TargetHealth
 {
-    double badness = 0; ///< decayed sum of weighted failures
+    double failureScore = 0; ///< decayed sum of weighted failures
     double goods = 0; ///< decayed count of good answers
-    double lateFaults = 0; ///< as badness and goods, but of the last second only: told to all VMs
-    double lateGoods = 0;
+    double recentFailures =
+        0; ///< as failureScore and goods, but of the last second only: told to all VMs
+    double recentSuccesses = 0;
     Instant updatedAt{};
     Instant ejectedUntil{};
     int ejections = 0; ///< in a row, without a good answer between
 };
 
 /** Counts an outcome and ejects the target if it fails too much. True if it was ejected by this. */
-bool noteOutcome(TargetHealth &health, SendOutcome outcome, Instant now);
+bool recordOutcome(TargetHealth &health, SendOutcome outcome, Instant now);
 
 bool isEjected(const TargetHealth &health, Instant now) noexcept;
 
 /** Adds what this VM has seen of a target lately to its use of it. */
-void addHealth(TargetUse &use, const TargetHealth &health, Instant now);
+void addHealth(TargetUsage &use, const TargetHealth &health, Instant now);
 
 /** True if calls fail at the target, by what all VMs together have seen lately. */
-bool isFailing(const TargetUse &all) noexcept;
+bool isFailing(const TargetUsage &all) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/TargetLinks.h
+++ b/libs/serving/include/serving/TargetLinks.h
@@ -7,12 +7,12 @@
 namespace monsoonbay {
 
 /** What connections of this VM to one target came to lately. */
-struct LinkSight
+struct LinkObservation
 {
     Instant failedAt{}; ///< an attempt to connect, or a connection, was given up; zero: never
     Instant reachedAt{}; ///< it accepted a connection; zero: never
 
-    auto operator<=>(const LinkSight &) const = default;
+    auto operator<=>(const LinkObservation &) const = default;
 };
 
 enum class LinkState : std::uint8_t {
@@ -22,7 +22,7 @@
 };
 
 /** What this VM has seen last of its link to a target. */
-LinkState linkState(const LinkSight &sight, Instant now) noexcept;
+LinkState linkState(const LinkObservation &sight, Instant now) noexcept;
 
 /** How the links of this VM to the targets of one service stand. */
 struct LinkCounts
@@ -60,9 +60,9 @@
 };
 
 /** True if probes of targets that other VMs reach reach none of them, or hardly one. */
-bool provesLoss(const ProbeRound &round) noexcept;
+bool confirmsLoss(const ProbeRound &round) noexcept;
 
 /** Takes a round of probes while links are lost. True: they are back by this. */
-bool noteProbes(ServiceLinks &links, const ProbeRound &round) noexcept;
+bool recordProbes(ServiceLinks &links, const ProbeRound &round) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/TargetUse.h
+++ b/libs/serving/include/serving/TargetUsage.h
@@ -5,7 +5,7 @@
 namespace monsoonbay {
 
 /** What calls take of a target, and how they ended lately: of one VM, or of several together. */
-struct TargetUse
+struct TargetUsage
 {
     double waitingTokens = 0; ///< of calls without a first event
     double heldTokens = 0;
@@ -15,18 +15,18 @@
     int goods = 0; ///< calls that ended well there lately, in tenths
     int shortObjectiveRuns = 0; ///< runs of the routes with the least objective, if they differ
 
-    bool operator==(const TargetUse &) const = default;
+    bool operator==(const TargetUsage &) const = default;
 };
 
-using TargetUses = KeyedSums<TargetUse>; ///< by target id
+using TargetUsages = KeyedSums<TargetUsage>; ///< by target id
 
 /** True if nothing is under way there, and nothing was lately. */
-bool isUnused(const TargetUse &use) noexcept;
+bool isUnused(const TargetUsage &use) noexcept;
 
 /** Adds `use` to `sum`. */
-void addUse(TargetUse &sum, const TargetUse &use);
+void addUsage(TargetUsage &sum, const TargetUsage &use);
 
 /** Takes `use`, which was added before, off `sum`. Tokens are whole numbers, so this is exact. */
-void subtractUse(TargetUse &sum, const TargetUse &use);
+void subtractUsage(TargetUsage &sum, const TargetUsage &use);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/ZoneRelay.h
+++ b/libs/serving/include/serving/ZoneRelay.h
@@ -17,7 +17,7 @@
  */
 struct RelayRank
 {
-    bool storeAway = false; ///< it says that it cannot reach the store
+    bool storeUnreachable = false; ///< it says that it cannot reach the store
     double capacity = 0; ///< cores; the strongest VM relays
     std::uint64_t hash = 0; ///< of its name: settles ties alike on all VMs
 
@@ -25,7 +25,7 @@
 };
 
 /** Another VM of the zone, as seen from here. */
-struct RelayMate
+struct ZonePeer
 {
     RelayRank rank;
     bool reachable = true; ///< it has not failed to answer lately, and is not stopping
@@ -33,7 +33,7 @@
     bool holding = false; ///< it is one of those that order engines
     bool linksLost = false; ///< it does not reach engines that other VMs reach
 
-    auto operator<=>(const RelayMate &) const = default;
+    auto operator<=>(const ZonePeer &) const = default;
 };
 
 /** True if `left` goes before `right`. */
@@ -43,21 +43,20 @@
  * True if this VM is to read the store for its zone. One that knows something goes on until the one
  * above it has started, too.
  */
-bool isRelay(const RelayRank &self, bool selfStarting,
-             const std::vector<RelayMate> &mates) noexcept;
+bool isRelay(const RelayRank &self, bool selfStarting, const std::vector<ZonePeer> &mates) noexcept;
 
 /**
  * The mate to report to and learn from; nothing if there is none above this VM. A VM that is
  * starting learns from any that is not, so that it can serve while the store is away.
  */
 std::optional<std::size_t> chooseUpstream(const RelayRank &self, bool selfStarting,
-                                          const std::vector<RelayMate> &mates) noexcept;
+                                          const std::vector<ZonePeer> &mates) noexcept;
 
 /**
  * The mates that a relay lets order engines beside itself: `most` of the best-ranked, those that do
  * so already before all others, and those that reach no engines last. Each that joins has the
  * engines dealt anew, and those that move get no orders for seconds.
  */
-std::vector<std::size_t> chooseHolders(const std::vector<RelayMate> &mates, std::size_t most);
+std::vector<std::size_t> chooseLeaseHolders(const std::vector<ZonePeer> &mates, std::size_t most);
 
 } // namespace monsoonbay
--- a/libs/serving/src/OrderDesk.cpp
+++ b/libs/serving/src/AdapterScheduler.cpp
@@ -1,4 +1,4 @@
-#include "serving/OrderDesk.h"
+#include "serving/AdapterScheduler.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
  */
 constexpr Duration settleAfterUse = std::chrono::milliseconds(60);
 
-bool isInUse(const SlotUse &slot, Instant now)
+bool isInUse(const AdapterSlot &slot, Instant now)
 {
     return slot.loading || slot.leaving || slot.runs > 0 || now - slot.usedAt < settleAfterUse;
 }
@@ -48,11 +48,11 @@
 constexpr Duration longestReportLag = std::chrono::milliseconds(500);
 
 /** The idle slot that was used longest ago; empty if all are in use. */
-std::string idlestSlot(const OrderDesk &desk, const std::string &except, Instant now)
+std::string idlestSlot(const AdapterScheduler &scheduler, const std::string &except, Instant now)
 {
     std::string idlest;
     Instant oldest{};
-    for (const auto &[adapter, slot] : desk.slots) {
+    for (const auto &[adapter, slot] : scheduler.slots) {
         if (isInUse(slot, now) || adapter == except)
             continue;
         if (!idlest.empty() && slot.usedAt >= oldest)
@@ -63,160 +63,160 @@
     return idlest;
 }
 
-int loadsUnderWay(const OrderDesk &desk)
+int loadsUnderWay(const AdapterScheduler &scheduler)
 {
-    return static_cast<int>(std::count_if(desk.slots.begin(), desk.slots.end(),
+    return static_cast<int>(std::count_if(scheduler.slots.begin(), scheduler.slots.end(),
                                           [](const auto &slot) { return slot.second.loading; }));
 }
 
 } // namespace
 
-void restartDesk(OrderDesk &desk, std::int64_t born)
+void resetScheduler(AdapterScheduler &scheduler, std::int64_t born)
 {
-    const int adapterSlots = desk.adapterSlots;
-    desk = OrderDesk();
-    desk.adapterSlots = adapterSlots;
-    desk.born = born;
+    const int adapterSlots = scheduler.adapterSlots;
+    scheduler = AdapterScheduler();
+    scheduler.adapterSlots = adapterSlots;
+    scheduler.born = born;
 }
 
 // Reports lag by some hundred ms. One from before the last accepted order would show that order's
 // slot as free; the engine's count of orders tells such a report from a current one. The count
 // known here can be too high by itself, when the engine took an order as done without counting it,
 // so a report that cannot lag any more is always taken.
-bool takeReport(OrderDesk &desk, const EngineReport &report, Instant now)
+bool applyEngineReport(AdapterScheduler &scheduler, const EngineReport &report, Instant now)
 {
-    const WordAge age = ageOfWord(desk.born, report.born);
-    if (age == WordAge::Older)
+    const StartOrder age = compareStarts(scheduler.born, report.born);
+    if (age == StartOrder::Older)
         return false;
-    if (age == WordAge::Newer)
-        restartDesk(desk, report.born);
-    desk.born = std::max(desk.born, report.born);
-    const bool mayLag = now - desk.acceptedAt < longestReportLag;
-    if (report.sequence < desk.leastSequence && mayLag)
+    if (age == StartOrder::Newer)
+        resetScheduler(scheduler, report.born);
+    scheduler.born = std::max(scheduler.born, report.born);
+    const bool mayLag = now - scheduler.acceptedAt < longestReportLag;
+    if (report.sequence < scheduler.minSequence && mayLag)
         return false;
-    std::unordered_map<std::string, SlotUse> slots;
+    std::unordered_map<std::string, AdapterSlot> slots;
     for (const auto &[adapter, version] : report.resident) {
-        SlotUse slot;
-        const auto known = desk.slots.find(adapter);
-        if (known != desk.slots.end())
+        AdapterSlot slot;
+        const auto known = scheduler.slots.find(adapter);
+        if (known != scheduler.slots.end())
             slot = known->second;
         else
             slot.usedAt = now + newHolderTold;
         slot.version = version;
         slot.loading = false;
         slots[adapter] = slot;
-        if (known == desk.slots.end())
-            recordTouch(desk.copies, adapter);
+        if (known == scheduler.slots.end())
+            recordTouch(scheduler.copies, adapter);
     }
     for (const auto &[adapter, version] : report.incoming) {
-        SlotUse slot;
-        const auto known = desk.slots.find(adapter);
-        if (known != desk.slots.end())
+        AdapterSlot slot;
+        const auto known = scheduler.slots.find(adapter);
+        if (known != scheduler.slots.end())
             slot = known->second;
         slot.version = version;
         slot.loading = true;
         slot.readyAt = std::max(slot.readyAt, now + loadLook);
         slots[adapter] = slot;
     }
-    desk.slots = std::move(slots);
-    desk.models = report.models;
-    desk.sequence = report.sequence;
-    desk.leastSequence = report.sequence;
+    scheduler.slots = std::move(slots);
+    scheduler.models = report.models;
+    scheduler.sequence = report.sequence;
+    scheduler.minSequence = report.sequence;
     return true;
 }
 
-DeskChoice nextDeskStep(const OrderDesk &desk, const std::string &adapter, std::int64_t version,
-                        Instant now)
+SchedulerDecision nextCommand(const AdapterScheduler &scheduler, const std::string &adapter,
+                              std::int64_t version, Instant now)
 {
-    const auto found = desk.slots.find(adapter);
-    if (found != desk.slots.end()) {
-        const SlotUse &slot = found->second;
+    const auto found = scheduler.slots.find(adapter);
+    if (found != scheduler.slots.end()) {
+        const AdapterSlot &slot = found->second;
         if (slot.leaving)
-            return {DeskStep::NoSlot, {}};
+            return {SchedulerStep::NoSlot, {}};
         if (slot.version >= version)
-            return {slot.loading ? DeskStep::Wait : DeskStep::Ready, {}};
+            return {slot.loading ? SchedulerStep::Wait : SchedulerStep::Ready, {}};
         if (slot.loading)
-            return {DeskStep::Wait, {}};
+            return {SchedulerStep::Wait, {}};
         // An engine that is told to replace or unload an adapter in use takes no other order until
         // those calls have ended, which can be many seconds. The old version stays until it is
         // idle; meanwhile the new one is loaded elsewhere.
         if (isInUse(slot, now))
-            return {DeskStep::NoSlot, {}};
-        return {DeskStep::Unload, adapter};
+            return {SchedulerStep::NoSlot, {}};
+        return {SchedulerStep::Unload, adapter};
     }
-    if (loadsUnderWay(desk) >= maxLoadsPerEngine)
-        return {DeskStep::Wait, {}};
+    if (loadsUnderWay(scheduler) >= maxLoadsPerEngine)
+        return {SchedulerStep::Wait, {}};
     // An engine that is ordered to hold more adapters than it has slots for crashes, so a slot is
     // freed and seen to be free before the load is ordered.
-    if (static_cast<int>(desk.slots.size()) < desk.adapterSlots)
-        return {DeskStep::Load, {}};
-    std::string victim = idlestSlot(desk, adapter, now);
+    if (static_cast<int>(scheduler.slots.size()) < scheduler.adapterSlots)
+        return {SchedulerStep::Load, {}};
+    std::string victim = idlestSlot(scheduler, adapter, now);
     if (victim.empty())
-        return {DeskStep::NoSlot, {}};
-    return {DeskStep::Unload, std::move(victim)};
+        return {SchedulerStep::NoSlot, {}};
+    return {SchedulerStep::Unload, std::move(victim)};
 }
 
-void noteLoadAccepted(OrderDesk &desk, const std::string &adapter, std::int64_t version,
-                      const LoadEstimate &estimate, Instant now)
+void recordLoadAccepted(AdapterScheduler &scheduler, const std::string &adapter,
+                        std::int64_t version, const LoadEstimate &estimate, Instant now)
 {
-    SlotUse &slot = desk.slots[adapter];
-    slot = SlotUse();
+    AdapterSlot &slot = scheduler.slots[adapter];
+    slot = AdapterSlot();
     slot.version = version;
     slot.loading = true;
     slot.fetched = estimate.fetched;
-    slot.orderedAt = now;
-    slot.sequence = desk.sequence + 1;
+    slot.requestedAt = now;
+    slot.sequence = scheduler.sequence + 1;
     slot.readyAt = now + estimate.time;
     slot.usedAt = slot.readyAt;
     slot.underWay = estimate.underWay;
-    slot.loadsSinceTouch = loadsSinceTouch(desk.copies, adapter);
+    slot.loadsSinceTouch = loadsSinceTouch(scheduler.copies, adapter);
     slot.judged = false;
-    recordTouch(desk.copies, adapter);
+    recordTouch(scheduler.copies, adapter);
 }
 
-void noteUnloaded(OrderDesk &desk, const std::string &adapter)
+void recordUnloaded(AdapterScheduler &scheduler, const std::string &adapter)
 {
-    recordTouch(desk.copies, adapter);
-    desk.slots.erase(adapter);
+    recordTouch(scheduler.copies, adapter);
+    scheduler.slots.erase(adapter);
 }
 
 // Such an adapter must not be chosen again as the one to go, nor counted as free: the engine takes
 // no other order before those calls have ended, and refuses new calls for it meanwhile.
-void noteUnloadDeferred(OrderDesk &desk, const std::string &adapter)
+void recordDeferredUnload(AdapterScheduler &scheduler, const std::string &adapter)
 {
-    const auto slot = desk.slots.find(adapter);
-    if (slot != desk.slots.end())
+    const auto slot = scheduler.slots.find(adapter);
+    if (slot != scheduler.slots.end())
         slot->second.leaving = true;
 }
 
-bool awaitsDrop(const OrderDesk &desk) noexcept
+bool hasDeferredUnload(const AdapterScheduler &scheduler) noexcept
 {
-    return std::any_of(desk.slots.begin(), desk.slots.end(),
+    return std::any_of(scheduler.slots.begin(), scheduler.slots.end(),
                        [](const auto &slot) { return slot.second.leaving; });
 }
 
-void noteCallComing(OrderDesk &desk, const std::string &adapter, Instant now)
+void recordPendingCall(AdapterScheduler &scheduler, const std::string &adapter, Instant now)
 {
-    const auto slot = desk.slots.find(adapter);
-    if (slot != desk.slots.end())
+    const auto slot = scheduler.slots.find(adapter);
+    if (slot != scheduler.slots.end())
         slot->second.usedAt = std::max(slot->second.usedAt, now + callOnItsWay);
 }
 
-void noteSequence(OrderDesk &desk, Instant now)
+void advanceSequence(AdapterScheduler &scheduler, Instant now)
 {
-    desk.acceptedAt = now;
-    ++desk.sequence;
-    desk.leastSequence = desk.sequence;
+    scheduler.acceptedAt = now;
+    ++scheduler.sequence;
+    scheduler.minSequence = scheduler.sequence;
 }
 
-void forgetSequence(OrderDesk &desk)
+void invalidateSequence(AdapterScheduler &scheduler)
 {
-    desk.sequence = -1;
+    scheduler.sequence = -1;
 }
 
-void noteRuns(OrderDesk &desk, const std::map<std::string, int> &runs, Instant now)
+void updateRuns(AdapterScheduler &scheduler, const std::map<std::string, int> &runs, Instant now)
 {
-    for (auto &[adapter, slot] : desk.slots) {
+    for (auto &[adapter, slot] : scheduler.slots) {
         const auto used = runs.find(adapter);
         slot.runs = used == runs.end() ? 0 : used->second;
         if (slot.runs > 0)
@@ -224,20 +224,20 @@
     }
 }
 
-int idleSlots(const OrderDesk &desk, Instant now)
+int idleSlots(const AdapterScheduler &scheduler, Instant now)
 {
-    const auto used = std::count_if(desk.slots.begin(), desk.slots.end(),
+    const auto used = std::count_if(scheduler.slots.begin(), scheduler.slots.end(),
                                     [now](const auto &slot) { return isInUse(slot.second, now); });
-    return desk.adapterSlots - static_cast<int>(used);
+    return scheduler.adapterSlots - static_cast<int>(used);
 }
 
 // A load that is under way is for callers who wait for it, so its slot is not free afterwards.
-Instant slotExpected(const OrderDesk &desk, Instant now)
+Instant nextFreeSlotTime(const AdapterScheduler &scheduler, Instant now)
 {
-    if (static_cast<int>(desk.slots.size()) < desk.adapterSlots)
+    if (static_cast<int>(scheduler.slots.size()) < scheduler.adapterSlots)
         return now;
     Instant first{};
-    for (const auto &[adapter, slot] : desk.slots) {
+    for (const auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading || slot.leaving || slot.runs > 0)
             continue;
         const Instant idleAt = std::max(now, slot.usedAt + settleAfterUse);
@@ -247,50 +247,51 @@
     return first;
 }
 
-LoadEstimate estimateLoad(const OrderDesk &desk, const std::string &adapter, int fetchesUnderWay,
-                          const LoadBeliefs &beliefs)
+LoadEstimate estimateLoad(const AdapterScheduler &scheduler, const std::string &adapter,
+                          int fetchesUnderWay, const LoadEstimator &estimator)
 {
     LoadEstimate estimate;
     estimate.underWay = fetchesUnderWay + 1;
-    estimate.fetched = !hasHostCopy(desk.copies, adapter, beliefs.memory);
-    estimate.time =
-        estimate.fetched ? fetchTime(beliefs.pace, estimate.underWay) : hostCopyTime(beliefs.pace);
+    estimate.fetched = !hasHostCopy(scheduler.copies, adapter, estimator.memory);
+    estimate.time = estimate.fetched ? fetchTime(estimator.pace, estimate.underWay)
+                                     : hostCopyTime(estimator.pace);
     return estimate;
 }
 
-int fetchesUnderWay(const OrderDesk &desk) noexcept
+int fetchesUnderWay(const AdapterScheduler &scheduler) noexcept
 {
     return static_cast<int>(
-        std::count_if(desk.slots.begin(), desk.slots.end(),
+        std::count_if(scheduler.slots.begin(), scheduler.slots.end(),
                       [](const auto &slot) { return slot.second.loading && slot.second.fetched; }));
 }
 
 // An adapter that was believed to be in the engine's memory and is not comes from the weight store,
 // and is expected when that load would be done.
-void noteMissing(OrderDesk &desk, const std::string &adapter, LoadBeliefs &beliefs, Instant now)
+void recordMissing(AdapterScheduler &scheduler, const std::string &adapter,
+                   LoadEstimator &estimator, Instant now)
 {
-    const auto found = desk.slots.find(adapter);
-    if (found == desk.slots.end() || found->second.loading)
+    const auto found = scheduler.slots.find(adapter);
+    if (found == scheduler.slots.end() || found->second.loading)
         return;
-    SlotUse &slot = found->second;
+    AdapterSlot &slot = found->second;
     const bool early = now - slot.readyAt < freshlyLoaded && slot.earlyCalls < mostEarlyCalls;
     if (!early) {
-        forgetSequence(desk);
+        invalidateSequence(scheduler);
         return;
     }
-    const Duration waited = now - slot.orderedAt;
+    const Duration waited = now - slot.requestedAt;
     ++slot.earlyCalls;
-    slot.readyAt = now + nextLookAfter(waited, slot.earlyCalls);
+    slot.readyAt = now + recheckDelay(waited, slot.earlyCalls);
     const bool mayBeCopy = !slot.fetched && slot.earlyCalls == 1;
     if (mayBeCopy) {
         // The way of this order may have been a little longer than that of others.
     } else if (slot.fetched) {
-        noteEarlyCall(beliefs.pace, slot.underWay, waited);
+        recordEarlyCall(estimator.pace, slot.underWay, waited);
     } else {
-        shortenRetention(beliefs.memory, slot.loadsSinceTouch);
+        shortenRetention(estimator.memory, slot.loadsSinceTouch);
         slot.fetched = true;
         slot.readyAt =
-            std::max(slot.readyAt, slot.orderedAt + fetchTime(beliefs.pace, slot.underWay));
+            std::max(slot.readyAt, slot.requestedAt + fetchTime(estimator.pace, slot.underWay));
     }
     slot.loading = true;
     slot.judged = false;
@@ -299,79 +300,81 @@
 
 // Symptom without this: the holder takes the refusal for a count of orders that differs, asks for a
 // report, and gives no order for 60 ms and more, on the most crowded engines.
-bool noteStillLoading(OrderDesk &desk, LoadBeliefs &beliefs, Instant now)
+bool recordBusyRefusal(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now)
 {
-    int underWay = loadsUnderWay(desk);
+    int underWay = loadsUnderWay(scheduler);
     const std::string *newest = nullptr;
     Instant newestAt{};
-    for (const auto &[adapter, slot] : desk.slots) {
+    for (const auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading || slot.judged)
             continue;
         ++underWay;
-        if (newest != nullptr && slot.orderedAt <= newestAt)
+        if (newest != nullptr && slot.requestedAt <= newestAt)
             continue;
         newest = &adapter;
-        newestAt = slot.orderedAt;
+        newestAt = slot.requestedAt;
     }
     if (newest == nullptr || underWay < maxLoadsPerEngine)
         return false;
-    noteMissing(desk, std::string(*newest), beliefs, now);
-    return desk.sequence >= 0;
+    recordMissing(scheduler, std::string(*newest), estimator, now);
+    return scheduler.sequence >= 0;
 }
 
-void stretchLoads(OrderDesk &desk, const LoadPace &pace)
+void extendLoadEstimates(AdapterScheduler &scheduler, const LoadTimeModel &pace)
 {
-    for (auto &[adapter, slot] : desk.slots) {
+    for (auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading && slot.fetched && slot.earlyCalls == 0)
-            slot.readyAt = std::max(slot.readyAt, slot.orderedAt + fetchTime(pace, slot.underWay));
+            slot.readyAt =
+                std::max(slot.readyAt, slot.requestedAt + fetchTime(pace, slot.underWay));
     }
 }
 
-Duration waitForTrial(OrderDesk &desk, const std::string &adapter, const LoadPace &pace,
-                      Instant now)
+Duration probeCallDelay(AdapterScheduler &scheduler, const std::string &adapter,
+                        const LoadTimeModel &pace, Instant now)
 {
-    const auto found = desk.slots.find(adapter);
-    if (found == desk.slots.end() || found->second.judged || !isInDoubt(pace))
+    const auto found = scheduler.slots.find(adapter);
+    if (found == scheduler.slots.end() || found->second.judged || !isUncertain(pace))
         return Duration::zero();
-    SlotUse &slot = found->second;
+    AdapterSlot &slot = found->second;
     const bool first = slot.triedAt < slot.readyAt;
     if (first)
         slot.triedAt = now;
     return first ? Duration::zero() : std::max(slot.triedAt + trialTime - now, Duration::zero());
 }
 
-void judgeLoads(OrderDesk &desk, LoadBeliefs &beliefs, Instant now)
+void learnFromLoads(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now)
 {
-    for (auto &[adapter, slot] : desk.slots) {
+    for (auto &[adapter, slot] : scheduler.slots) {
         if (slot.judged || slot.loading || now - slot.readyAt < freshlyLoaded)
             continue;
         slot.judged = true;
         if (slot.fetched)
-            noteLoadOnTime(beliefs.pace, slot.underWay, slot.readyAt - slot.orderedAt);
+            recordLoadOnTime(estimator.pace, slot.underWay, slot.readyAt - slot.requestedAt);
         else
-            lengthenRetention(beliefs.memory, slot.loadsSinceTouch);
+            lengthenRetention(estimator.memory, slot.loadsSinceTouch);
     }
 }
 
 // Calls wait until a load is expected to be done, so a time that is believed too long is never seen
 // to be so: loads seem to be under way for longer, the store seems more crowded, and the next ones
 // are expected to take as long. A look at the engine in between ends that.
-bool isLookDue(const OrderDesk &desk, const LoadPace &pace, Instant now)
+bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &pace, Instant now)
 {
     const Duration alone = fetchTime(pace, 1);
-    return std::any_of(desk.slots.begin(), desk.slots.end(), [&](const auto &entry) {
-        const SlotUse &slot = entry.second;
-        return slot.loading && slot.fetched && now - slot.orderedAt >= alone
+    return std::any_of(scheduler.slots.begin(), scheduler.slots.end(), [&](const auto &entry) {
+        const AdapterSlot &slot = entry.second;
+        return slot.loading && slot.fetched && now - slot.requestedAt >= alone
             && slot.readyAt - now >= lookBefore;
     });
 }
 
-bool takeLoadsDone(OrderDesk &desk, const EngineReport &report, LoadBeliefs &beliefs, Instant now)
+bool applyCompletedLoads(AdapterScheduler &scheduler, const EngineReport &report,
+                         LoadEstimator &estimator, Instant now)
 {
-    if (ageOfWord(desk.born, report.born) != WordAge::Same)
+    if (compareStarts(scheduler.born, report.born) != StartOrder::Same)
         return false;
     bool any = false;
-    for (auto &[adapter, slot] : desk.slots) {
+    for (auto &[adapter, slot] : scheduler.slots) {
         // A report of before the order may show the adapter as it was there at another time.
         const auto held = report.resident.find(adapter);
         const bool done = slot.loading && report.sequence >= slot.sequence
@@ -384,15 +387,15 @@
         slot.usedAt = std::max(slot.usedAt, now);
         slot.judged = true;
         if (slot.fetched)
-            noteLoadSeenDone(beliefs.pace, slot.underWay, now - slot.orderedAt);
+            recordLoadSeenDone(estimator.pace, slot.underWay, now - slot.requestedAt);
     }
     return any;
 }
 
-bool settleLoads(OrderDesk &desk, Instant now)
+bool completeDueLoads(AdapterScheduler &scheduler, Instant now)
 {
     bool any = false;
-    for (auto &[adapter, slot] : desk.slots) {
+    for (auto &[adapter, slot] : scheduler.slots) {
         if (!slot.loading || now < slot.readyAt)
             continue;
         slot.loading = false;
--- a/libs/serving/src/NamedLimit.cpp
+++ b/libs/serving/src/AdvertisedLimit.cpp
@@ -1,4 +1,4 @@
-#include "serving/NamedLimit.h"
+#include "serving/AdvertisedLimit.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,32 +19,32 @@
 
 } // namespace
 
-bool noteLimit(NamedLimit &limit, std::optional<double> perSecond) noexcept
+bool updateLimit(AdvertisedLimit &limit, std::optional<double> perSecond) noexcept
 {
     const double before = limit.perSecond;
     limit.perSecond = perSecond ? std::max(*perSecond, leastPerSecond) : 0;
     return limit.perSecond != before;
 }
 
-bool admitsCall(NamedLimit &limit, int vms, double draw, Instant now) noexcept
+bool admitsCall(AdvertisedLimit &limit, int vms, double draw, Instant now) noexcept
 {
     if (limit.perSecond == 0)
         return true;
     if (vms < 1)
         return false;
-    advance(limit.sent, NamedLimit::span, now);
-    const std::int64_t current = now.time_since_epoch() / NamedLimit::span;
-    if (limit.drawnFor != current) {
-        const double even = usedShare * limit.perSecond * toSeconds(NamedLimit::span) / vms;
+    advance(limit.sent, AdvertisedLimit::span, now);
+    const std::int64_t current = now.time_since_epoch() / AdvertisedLimit::span;
+    if (limit.drawnWindow != current) {
+        const double even = usedShare * limit.perSecond * toSeconds(AdvertisedLimit::span) / vms;
         limit.part = static_cast<std::uint32_t>(std::floor(even + draw));
-        limit.drawnFor = current;
+        limit.drawnWindow = current;
     }
     return sumOf(limit.sent) < limit.part;
 }
 
-void noteSent(NamedLimit &limit, Instant now) noexcept
+void noteSent(AdvertisedLimit &limit, Instant now) noexcept
 {
-    ++advance(limit.sent, NamedLimit::span, now);
+    ++advance(limit.sent, AdvertisedLimit::span, now);
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/PlaceQueue.cpp
+++ b/libs/serving/src/CapacityQueue.cpp
@@ -1,4 +1,4 @@
-#include "serving/PlaceQueue.h"
+#include "serving/CapacityQueue.h"
 
 #include <algorithm>
 #include <chrono>
@@ -35,9 +35,9 @@
     return fromSeconds(toSeconds(duration) * part);
 }
 
-PlacePace paceNow(const PlaceQueue &queue, Instant now)
+CapacityRate paceNow(const CapacityQueue &queue, Instant now)
 {
-    PlacePace pace = queue.pace;
+    CapacityRate pace = queue.pace;
     const double kept =
         std::exp(-toSeconds(std::max(now - pace.at, Duration::zero())) / paceSeconds);
     pace.at = std::max(pace.at, now);
@@ -51,35 +51,35 @@
 
 } // namespace
 
-PlacePatience placePatience(const PatienceFacts &facts) noexcept
+WaitLimits waitLimits(const WaitLimitInputs &facts) noexcept
 {
-    PlacePatience patience;
+    WaitLimits patience;
     patience.usual = std::min(std::max(share(facts.objective, objectiveShare), leastPatience),
                               share(facts.timeLeft, timeLeftShare));
     patience.whole = patience.usual;
-    const bool longPrompt = facts.leastObjective > Duration::zero()
-        && facts.promptMs > longPromptShare * 1000 * toSeconds(facts.leastObjective);
+    const bool longPrompt = facts.minObjective > Duration::zero()
+        && facts.promptMs > longPromptShare * 1000 * toSeconds(facts.minObjective);
     if (longPrompt && facts.timeLeft >= muchTimeLeft)
         patience.whole = std::max(patience.usual, share(facts.timeLeft, longTimeLeftShare));
     return patience;
 }
 
-bool joinPlaces(PlaceQueue &queue, const WaitingCall &call, Instant now)
+bool enqueueCall(CapacityQueue &queue, const WaitingCall &call, Instant now)
 {
-    if (queue.calls.size() >= mostWaitingCalls)
+    if (queue.calls.size() >= maxWaitingCalls)
         return false;
     queue.pace = paceNow(queue, now);
     queue.calls.push_back(call);
     return true;
 }
 
-void leavePlaces(PlaceQueue &queue, std::uint64_t id, Instant now)
+void dequeueCall(CapacityQueue &queue, std::uint64_t id, Instant now)
 {
     queue.pace = paceNow(queue, now);
     std::erase_if(queue.calls, [id](const WaitingCall &call) { return call.id == id; });
 }
 
-void notePlaceFound(PlaceQueue &queue, Instant now)
+void recordCapacityFound(CapacityQueue &queue, Instant now)
 {
     queue.pace = paceNow(queue, now);
     queue.pace.found += 1;
@@ -112,7 +112,7 @@
 // Symptom without this: each call that waited looked for a place at each news of any engine. All
 // found the same slot and all but one were declined; on the weakest VMs that took most of the
 // processor.
-std::vector<std::uint64_t> callsToWake(const PlaceQueue &queue, int loads, Instant now)
+std::vector<std::uint64_t> callsToWake(const CapacityQueue &queue, int loads, Instant now)
 {
     std::vector<const WaitingCall *> order;
     order.reserve(queue.calls.size());
@@ -138,7 +138,7 @@
 namespace {
 
 /** When engines begin a load of which `ahead` others come first; `now` if that is not known. */
-Instant loadBegins(const PlaceRoom &room, std::size_t ahead, Duration loadTime, Instant now)
+Instant loadBegins(const ServiceCapacity &room, std::size_t ahead, Duration loadTime, Instant now)
 {
     if (room.open || room.later.empty() || ahead < static_cast<std::size_t>(room.loads))
         return now;
@@ -157,14 +157,14 @@
 
 // Who has nobody before it is never refused for the pace: with nobody waiting, nothing would show
 // that there is room again.
-Duration expectedPlace(const PlaceQueue &queue, const WaitingCall &call, const PlaceRoom &room,
-                       Duration loadTime, Instant now)
+Duration expectedCapacityWait(const CapacityQueue &queue, const WaitingCall &call,
+                              const ServiceCapacity &room, Duration loadTime, Instant now)
 {
     const auto ahead = static_cast<std::size_t>(
         std::count_if(queue.calls.begin(), queue.calls.end(),
                       [&](const WaitingCall &other) { return goesBefore(other, call, now); }));
     const Duration byEngines = loadBegins(room, ahead, loadTime, now) - now;
-    const PlacePace pace = paceNow(queue, now);
+    const CapacityRate pace = paceNow(queue, now);
     if (ahead == 0 || pace.busySeconds < leastBusySeconds)
         return byEngines;
     const double perPlace = pace.busySeconds / std::max(pace.found, 1.0);
--- a/libs/serving/src/EngineRecord.cpp
+++ b/libs/serving/src/EngineRecord.cpp
@@ -6,9 +6,9 @@
 // the engines of a VM that fell silent, and takes that back when it is heard again.
 bool mayReplaceRecord(const EngineRecord &known, const EngineRecord &offered) noexcept
 {
-    const WordAge age = ageOfWord(known.born, offered.born);
-    if (age != WordAge::Same)
-        return age == WordAge::Newer;
+    const StartOrder age = compareStarts(known.born, offered.born);
+    if (age != StartOrder::Same)
+        return age == StartOrder::Newer;
     if (offered.revision == known.revision)
         return offered.holderLive != known.holderLive;
     return offered.revision > known.revision;
--- a/libs/serving/src/LoadDecline.cpp
+++ b/libs/serving/src/LoadDecline.cpp
@@ -24,7 +24,8 @@
 
 DeclineReason declineReasonOf(std::uint64_t value) noexcept
 {
-    return value < reasonNames.size() ? static_cast<DeclineReason>(value) : DeclineReason::NotSaid;
+    return value < reasonNames.size() ? static_cast<DeclineReason>(value)
+                                      : DeclineReason::Unspecified;
 }
 
 std::string_view reasonName(DeclineReason reason) noexcept
@@ -33,9 +34,9 @@
 }
 
 // An engine whose holder turned out to be another VM is asked as soon as that one is known.
-LoadMark markAfter(const LoadDecline &decline, Instant now) noexcept
+LoadBackoff backoffAfter(const LoadDecline &decline, Instant now) noexcept
 {
-    LoadMark mark;
+    LoadBackoff mark;
     mark.reason = decline.reason;
     if (decline.reason == DeclineReason::NotHolder)
         return mark;
@@ -47,7 +48,7 @@
 
 // A queue that is too long for one caller may be short enough for another, whose load begins in its
 // turn. A slot, an answer or a model that is missing is so for all.
-bool holdsBack(const LoadMark &mark, Instant now, Duration begin) noexcept
+bool blocksLoadRequest(const LoadBackoff &mark, Instant now, Duration begin) noexcept
 {
     if (now >= mark.until)
         return false;
--- a/libs/serving/src/LoadQueue.cpp
+++ b/libs/serving/src/LoadQueue.cpp
@@ -42,14 +42,15 @@
         queue.loads.erase(found);
 }
 
-int loadsAhead(const LoadQueue &queue, const OrderDesk &desk, const std::string &adapter)
+int loadsAhead(const LoadQueue &queue, const AdapterScheduler &scheduler,
+               const std::string &adapter)
 {
     const auto own =
         std::find_if(queue.loads.begin(), queue.loads.end(),
                      [&adapter](const QueuedLoad &load) { return load.adapter == adapter; });
     int ahead = 0;
     for (auto load = queue.loads.begin(); load != queue.loads.end(); ++load) {
-        if (load == own || desk.slots.count(load->adapter) > 0)
+        if (load == own || scheduler.slots.count(load->adapter) > 0)
             continue;
         const bool before = own == queue.loads.end() || isOrderedBefore(*load, *own)
             || (load < own && !isOrderedBefore(*own, *load));
@@ -61,13 +62,13 @@
 // An engine has a few places for loads on their way; each load takes the place that is free first.
 // With the forecast, calls that are refused for want of room went from 4.8 to 4.0 in 100 on a day
 // with orders that are not answered (70 VMs, one play each).
-Instant expectedBegin(const OrderDesk &desk, int ahead, Duration loadTime,
+Instant expectedBegin(const AdapterScheduler &scheduler, int ahead, Duration loadTime,
                       Instant ordersFrom) noexcept
 {
     std::array<Instant, maxLoadsPerEngine> freeFrom{};
     freeFrom.fill(ordersFrom);
     std::size_t taken = 0;
-    for (const auto &[adapter, slot] : desk.slots) {
+    for (const auto &[adapter, slot] : scheduler.slots) {
         if (!slot.loading || taken == freeFrom.size())
             continue;
         freeFrom[taken] = std::max(ordersFrom, slot.readyAt);
--- a/libs/serving/src/LoadPace.cpp
+++ b/libs/serving/src/LoadTimeModel.cpp
@@ -1,4 +1,4 @@
-#include "serving/LoadPace.h"
+#include "serving/LoadTimeModel.h"
 
 #include <algorithm>
 #include <chrono>
@@ -38,9 +38,9 @@
 /** Until a first call has come too early, nothing shows how far the first guess is off. */
 constexpr double firstShorterBy = 0.1;
 
-double shorteningOf(const LoadPace &pace, std::size_t crowd) noexcept
+double shorteningOf(const LoadTimeModel &pace, std::size_t crowd) noexcept
 {
-    if (!pace.anyEarly[crowd])
+    if (!pace.sawEarlyCall[crowd])
         return firstShorterBy;
     return pace.onTime < onTimeLong ? shorterBy : lateShorterBy;
 }
@@ -52,10 +52,10 @@
 
 } // namespace
 
-std::size_t crowdClassOf(int underWay) noexcept
+std::size_t concurrencyClassOf(int underWay) noexcept
 {
     std::size_t index = 0;
-    for (double reach = 1; reach < underWay && index + 1 < crowdClasses; ++index)
+    for (double reach = 1; reach < underWay && index + 1 < concurrencyClasses; ++index)
         reach = std::max(reach + 1, reach * 1.5);
     return index;
 }
@@ -63,9 +63,10 @@
 // More loads under way never make one faster, so a class that has not been seen takes the time of
 // the most crowded one below it: the optimistic side. What is believed this way is never the ground
 // of another belief; only what became of a load is.
-Duration fetchTime(const LoadPace &pace, int underWay) noexcept
+Duration fetchTime(const LoadTimeModel &pace, int underWay) noexcept
 {
-    const auto last = pace.expected.begin() + static_cast<std::ptrdiff_t>(crowdClassOf(underWay));
+    const auto last =
+        pace.expected.begin() + static_cast<std::ptrdiff_t>(concurrencyClassOf(underWay));
     const Duration longest = *std::max_element(pace.expected.begin(), last + 1);
     if (longest > Duration::zero())
         return longest;
@@ -74,32 +75,32 @@
     return seen == pace.expected.end() ? firstGuess : std::min(firstGuess, *seen);
 }
 
-Duration hostCopyTime(const LoadPace &pace) noexcept
+Duration hostCopyTime(const LoadTimeModel &pace) noexcept
 {
     return fetchTime(pace, 1) / hostCopySpeedup + orderWay;
 }
 
-void noteEarlyCall(LoadPace &pace, int underWay, Duration waited) noexcept
+void recordEarlyCall(LoadTimeModel &pace, int underWay, Duration waited) noexcept
 {
-    const std::size_t crowd = crowdClassOf(underWay);
+    const std::size_t crowd = concurrencyClassOf(underWay);
     pace.expected[crowd] = std::max(pace.expected[crowd], scaled(waited, longerBy));
     // What is too early for these is so for more of them, too: without this each class would learn
     // anew, from below, what the one before it knows.
-    std::fill(pace.anyEarly.begin() + static_cast<std::ptrdiff_t>(crowd), pace.anyEarly.end(),
-              true);
+    std::fill(pace.sawEarlyCall.begin() + static_cast<std::ptrdiff_t>(crowd),
+              pace.sawEarlyCall.end(), true);
     pace.onTime = 0;
 }
 
 // A load that is done in time with many others under way would be so with fewer, too. One that was
 // given longer than is expected by now shows nothing: dozens are under way at once, and if each of
 // them shortened it, they would all be looked for too early next time.
-void noteLoadOnTime(LoadPace &pace, int underWay, Duration waited) noexcept
+void recordLoadOnTime(LoadTimeModel &pace, int underWay, Duration waited) noexcept
 {
     ++pace.onTime;
     const Duration believed = fetchTime(pace, underWay);
     if (waited > believed)
         return;
-    const std::size_t crowd = crowdClassOf(underWay);
+    const std::size_t crowd = concurrencyClassOf(underWay);
     const Duration shorter = scaled(waited, 1 - shorteningOf(pace, crowd));
     pace.expected[crowd] = shorter;
     for (std::size_t below = 0; below < crowd; ++below) {
@@ -110,25 +111,25 @@
 }
 
 // Seen later than it was done, so nothing is taken off beside what was seen.
-void noteLoadSeenDone(LoadPace &pace, int underWay, Duration elapsed) noexcept
+void recordLoadSeenDone(LoadTimeModel &pace, int underWay, Duration elapsed) noexcept
 {
     if (elapsed >= fetchTime(pace, underWay))
         return;
-    for (std::size_t crowd = 0; crowd <= crowdClassOf(underWay); ++crowd) {
+    for (std::size_t crowd = 0; crowd <= concurrencyClassOf(underWay); ++crowd) {
         Duration &expected = pace.expected[crowd];
         if (expected > Duration::zero())
             expected = std::min(expected, elapsed);
     }
 }
 
-bool isInDoubt(const LoadPace &pace) noexcept
+bool isUncertain(const LoadTimeModel &pace) noexcept
 {
     return pace.onTime < onTimeAgain;
 }
 
 // Each look is a call that is refused, and draws on the retry budget: where the expectation is far
 // off, as at the start, four of them reach three times the time that was waited at first.
-Duration nextLookAfter(Duration waited, int early) noexcept
+Duration recheckDelay(Duration waited, int early) noexcept
 {
     double share = longerBy - 1;
     for (int time = 1; time < early && share < mostLookShare; ++time)
--- a/libs/serving/src/NewsAge.cpp
+++ b/libs/serving/src/NewsAge.cpp
@@ -13,12 +13,12 @@
 
 // The calls of VMs that are not heard are unknown since all were heard last. With the regular age
 // alone a cut-off VM sends all its calls to the engine that looked least busy before the cut.
-Duration newsAge(const NewsFacts &facts) noexcept
+Duration updateAge(const UpdateAgeInputs &facts) noexcept
 {
     const double known = std::max(facts.vmsKnown, 1);
-    const double heard = std::clamp(facts.vmsHeard / known, 0.0, 1.0);
-    const Duration toldAge = std::min(std::max(facts.regular, facts.sinceWord), mostAge);
-    const Duration untoldAge = std::max(std::min(facts.sinceAll, mostAge), toldAge);
+    const double heard = std::clamp(facts.vmsReporting / known, 0.0, 1.0);
+    const Duration toldAge = std::min(std::max(facts.regular, facts.sinceLastUpdate), mostAge);
+    const Duration untoldAge = std::max(std::min(facts.sinceAllReported, mostAge), toldAge);
     return fromSeconds(heard * toSeconds(toldAge) + (1 - heard) * toSeconds(untoldAge));
 }
 
--- a/libs/serving/src/PartitionLease.cpp
+++ b/libs/serving/src/PartitionLease.cpp
@@ -17,7 +17,7 @@
 {
     Instant end = now + timing.peerStateTtl;
     for (const PeerLeaseState &mate : mates) {
-        const bool mayHoldNow = !mate.storeAway || mate.generation > lease.generation;
+        const bool mayHoldNow = !mate.storeUnreachable || mate.generation > lease.generation;
         if (mayHoldNow)
             return Instant{};
         end = std::min(end, mate.heardAt + timing.peerStateTtl);
--- a/libs/serving/src/IncomingLoads.cpp
+++ b/libs/serving/src/PendingLoads.cpp
@@ -1,4 +1,4 @@
-#include "serving/IncomingLoads.h"
+#include "serving/PendingLoads.h"
 
 #include <algorithm>
 #include <chrono>
@@ -12,8 +12,8 @@
 
 } // namespace
 
-void noteIncoming(IncomingLoads &loads, const std::set<std::string> &adapters,
-                  const std::function<Duration(const std::string &)> &expected, Instant now)
+void updatePendingLoads(PendingLoads &loads, const std::set<std::string> &adapters,
+                        const std::function<Duration(const std::string &)> &expected, Instant now)
 {
     std::erase_if(loads.doneAt,
                   [&adapters](const auto &load) { return adapters.count(load.first) == 0; });
@@ -25,8 +25,8 @@
 
 // A load that fails, or whose holder goes, is named until there is other news of the engine. Calls
 // wait for it no longer than it was expected to take.
-std::optional<Duration> incomingIn(const IncomingLoads &loads, const std::string &adapter,
-                                   Instant now)
+std::optional<Duration> timeUntilLoaded(const PendingLoads &loads, const std::string &adapter,
+                                        Instant now)
 {
     const auto load = loads.doneAt.find(adapter);
     if (load == loads.doneAt.end() || now >= load->second + wordOnItsWay)
@@ -34,10 +34,10 @@
     return std::max(load->second - now, Duration::zero());
 }
 
-std::optional<std::size_t> incomingEngine(const std::vector<EngineView> &engines,
-                                          const EngineNeed &need,
-                                          const std::vector<std::string> &tried,
-                                          const EngineWeights &weights, double patienceMs)
+std::optional<std::size_t> chooseLoadingEngine(const std::vector<EngineView> &engines,
+                                               const EngineNeed &need,
+                                               const std::vector<std::string> &tried,
+                                               const EngineWeights &weights, double patienceMs)
 {
     std::optional<std::size_t> best;
     double bestMs = patienceMs;
--- a/libs/serving/src/PlainChoice.cpp
+++ b/libs/serving/src/PlainChoice.cpp
@@ -10,7 +10,7 @@
 // slot: about where a call begins to wait behind others.
 constexpr double otherZonePenalty = 0.34;
 
-double costOf(const PlainView &target, const std::string &zone)
+double costOf(const PlainTargetView &target, const std::string &zone)
 {
     const double load = static_cast<double>(target.runs) / std::max(target.slots, 1);
     return load + (target.zone == zone ? 0 : otherZonePenalty);
@@ -18,15 +18,16 @@
 
 } // namespace
 
-std::optional<std::size_t> choosePlain(const std::vector<PlainView> &targets,
-                                       const std::string &zone,
-                                       const std::vector<std::string> &tried, std::uint64_t draw)
+std::optional<std::size_t> choosePlainTarget(const std::vector<PlainTargetView> &targets,
+                                             const std::string &zone,
+                                             const std::vector<std::string> &tried,
+                                             std::uint64_t draw)
 {
     std::optional<std::size_t> best;
     double bestCost = 0;
     for (std::size_t step = 0; step < targets.size(); ++step) {
         const std::size_t index = (draw + step) % targets.size();
-        const PlainView &target = targets[index];
+        const PlainTargetView &target = targets[index];
         const bool tryIt =
             target.usable && std::find(tried.begin(), tried.end(), target.id) == tried.end();
         if (!tryIt)
--- a/libs/serving/src/PrefillQueue.cpp
+++ b/libs/serving/src/PrefillQueue.cpp
@@ -18,7 +18,7 @@
 {
     PrefillReply reply;
     reply.ahead = waitingTokens(queue, tokensPerMs, now);
-    reply.reserved = reply.ahead <= request.mostAhead;
+    reply.reserved = reply.ahead <= request.maxAhead;
     if (!reply.reserved)
         return reply;
     queue.tokens = reply.ahead + std::max(request.tokens, 0.0);
@@ -26,9 +26,9 @@
     return reply;
 }
 
-double mostTokensAhead(const PrefillBound &bound) noexcept
+double maxTokensAhead(const PrefillBudget &bound) noexcept
 {
-    const double leftMs = bound.untilLateMs - bound.otherMs;
+    const double leftMs = bound.objectiveLeftMs - bound.otherMs;
     return std::max(leftMs * bound.tokensPerMs - bound.ownTokens, 0.0);
 }
 
--- a/libs/serving/src/PrefillPace.cpp
+++ b/libs/serving/src/PrefillRate.cpp
@@ -1,4 +1,4 @@
-#include "serving/PrefillPace.h"
+#include "serving/PrefillRate.h"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 // The median: calls that found an unknown queue look slower than the pace, and those whose prompt
 // began with a prefix that the engine kept unknown to this VM look faster, more than one in four
 // where prompts share two thirds of their tokens. The fastest quarter would be these.
-void notePrefill(PrefillPace &pace, const PrefillSample &sample, Instant now) noexcept
+void addPrefillSample(PrefillRate &pace, const PrefillSample &sample, Instant now) noexcept
 {
     const double ms = 1000 * toSeconds(sample.untilFirstEvent);
     if (sample.unreadTokens < leastTokens || sample.waitingTokens > 0 || ms <= 0)
@@ -28,7 +28,7 @@
     pace.next = (pace.next + 1) % pace.samples.size();
     std::array<double, std::tuple_size_v<decltype(pace.samples)>> recent{};
     std::size_t count = 0;
-    for (const PrefillPace::Sample &known : pace.samples) {
+    for (const PrefillRate::Sample &known : pace.samples) {
         if (known.tokensPerMs > 0 && now - known.at <= sampleHolds)
             recent[count++] = known.tokensPerMs;
     }
@@ -39,7 +39,7 @@
     pace.tokensPerMs = *middle;
 }
 
-double prefillPace(const PrefillPace &pace, double fallback) noexcept
+double prefillRate(const PrefillRate &pace, double fallback) noexcept
 {
     if (pace.tokensPerMs <= 0)
         return fallback;
--- a/libs/serving/src/PrefixBook.cpp
+++ b/libs/serving/src/PrefixIndex.cpp
@@ -1,4 +1,4 @@
-#include "serving/PrefixBook.h"
+#include "serving/PrefixIndex.h"
 
 #include <algorithm>
 #include <iterator>
@@ -22,7 +22,7 @@
 /** Part of an engine's memory that counts as free for prefixes however much its calls hold. */
 constexpr double leastMemoryShare = 0.25;
 
-using Kept = std::unordered_map<std::uint64_t, KeptPrefix>;
+using Kept = std::unordered_map<std::uint64_t, CachedPrefix>;
 
 Kept::iterator eraseKept(EnginePrefixes &of, Kept::iterator at)
 {
@@ -46,10 +46,10 @@
         dropLeastRecent(of);
 }
 
-void divideAmong(PrefixBook &book, std::size_t engines)
+void divideAmong(PrefixIndex &book, std::size_t engines)
 {
-    const std::size_t share = mostPrefixesInBook / std::max<std::size_t>(engines, 1);
-    const std::size_t limit = std::min(share, mostPrefixesOfEngine);
+    const std::size_t share = maxPrefixesInIndex / std::max<std::size_t>(engines, 1);
+    const std::size_t limit = std::min(share, maxPrefixesPerEngine);
     const bool fewer = limit < book.limit;
     book.limit = limit;
     if (!fewer)
@@ -59,18 +59,18 @@
 }
 
 /** Null if the book has no room for another engine. */
-EnginePrefixes *engineIn(PrefixBook &book, std::uint64_t engine)
+EnginePrefixes *engineIn(PrefixIndex &book, std::uint64_t engine)
 {
     const auto found = book.engines.find(engine);
     if (found != book.engines.end())
         return &found->second;
-    if (book.engines.size() >= mostEnginesInBook)
+    if (book.engines.size() >= maxEnginesInIndex)
         return nullptr;
     divideAmong(book, book.engines.size() + 1);
     return &book.engines[engine];
 }
 
-KeptPrefix &prefixIn(const PrefixBook &book, EnginePrefixes &of, std::uint64_t hash)
+CachedPrefix &prefixIn(const PrefixIndex &book, EnginePrefixes &of, std::uint64_t hash)
 {
     const auto found = of.kept.find(hash);
     if (found != of.kept.end())
@@ -79,7 +79,7 @@
     return of.kept[hash];
 }
 
-void believe(EnginePrefixes &of, KeptPrefix &kept, int tokens, Instant now)
+void believe(EnginePrefixes &of, CachedPrefix &kept, int tokens, Instant now)
 {
     of.tokens += tokens - kept.tokens;
     kept.tokens = tokens;
@@ -88,9 +88,9 @@
 }
 
 /** True if others are to hear of it now; it counts as told then. */
-bool isNews(KeptPrefix &kept, Instant now)
+bool isNews(CachedPrefix &kept, Instant now)
 {
-    if (kept.newsAt != Instant{} && now - kept.newsAt < toldAgainAfter)
+    if (kept.newsAt != Instant{} && now - kept.newsAt < prefixReportInterval)
         return false;
     kept.newsAt = now;
     return true;
@@ -98,8 +98,8 @@
 
 } // namespace
 
-std::vector<PromptPrefix> noteRead(PrefixBook &book, std::uint64_t engine,
-                                   const std::vector<PromptPrefix> &prefixes, Instant now)
+std::vector<PromptPrefix> recordRead(PrefixIndex &book, std::uint64_t engine,
+                                     const std::vector<PromptPrefix> &prefixes, Instant now)
 {
     std::vector<PromptPrefix> news;
     if (prefixes.empty())
@@ -108,11 +108,12 @@
     if (of == nullptr)
         return news;
     for (const PromptPrefix &prefix : prefixes) {
-        KeptPrefix &kept = prefixIn(book, *of, prefix.hash);
+        CachedPrefix &kept = prefixIn(book, *of, prefix.hash);
         if (now < kept.doubtedUntil)
             continue;
         believe(*of, kept, prefix.tokens, now);
-        const bool worthIt = prefix.tokens >= leastToldTokens && prefix.tokens <= mostToldTokens;
+        const bool worthIt =
+            prefix.tokens >= minReportedTokens && prefix.tokens <= maxReportedTokens;
         if (worthIt && isNews(kept, now))
             news.push_back(prefix);
     }
@@ -121,20 +122,20 @@
 
 // A doubted prefix is told on all the same: the call that showed it ran at another VM, and the
 // doubt here may be of before it.
-bool noteHeard(PrefixBook &book, std::uint64_t engine, const PromptPrefix &prefix, Instant now)
+bool noteHeard(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix, Instant now)
 {
     EnginePrefixes *of = engineIn(book, engine);
     if (of == nullptr)
         return false;
-    KeptPrefix &kept = prefixIn(book, *of, prefix.hash);
+    CachedPrefix &kept = prefixIn(book, *of, prefix.hash);
     const bool news = isNews(kept, now);
     if (now >= kept.doubtedUntil)
         believe(*of, kept, prefix.tokens, now);
     return news;
 }
 
-void noteMissing(PrefixBook &book, std::uint64_t engine, const std::vector<PromptPrefix> &prefixes,
-                 Instant now)
+void recordMissing(PrefixIndex &book, std::uint64_t engine,
+                   const std::vector<PromptPrefix> &prefixes, Instant now)
 {
     const auto found = book.engines.find(engine);
     if (found == book.engines.end())
@@ -146,12 +147,12 @@
             continue;
         of.tokens -= kept->second.tokens;
         kept->second.tokens = 0;
-        kept->second.doubtedUntil = now + doubtHolds;
+        kept->second.doubtedUntil = now + missingPrefixHold;
     }
 }
 
-double keptTokens(const PrefixBook &book, std::uint64_t engine,
-                  const std::vector<PromptPrefix> &prefixes)
+double cachedPrefixTokens(const PrefixIndex &book, std::uint64_t engine,
+                          const std::vector<PromptPrefix> &prefixes)
 {
     if (prefixes.empty())
         return 0;
@@ -168,14 +169,14 @@
 }
 
 // Running calls hold prefixes that they share only once, but each is counted with all its tokens.
-double memoryForPrefixes(double kvTokens, double heldTokens) noexcept
+double prefixCacheCapacity(double kvTokens, double heldTokens) noexcept
 {
     if (kvTokens <= 0)
         return std::numeric_limits<double>::infinity();
     return std::max(kvTokens - heldTokens, leastMemoryShare * kvTokens);
 }
 
-void holdTo(PrefixBook &book, std::uint64_t engine, double tokens)
+void evictToFit(PrefixIndex &book, std::uint64_t engine, double tokens)
 {
     const auto found = book.engines.find(engine);
     if (found == book.engines.end())
@@ -185,7 +186,7 @@
         dropLeastRecent(of);
 }
 
-void forgetAdapter(PrefixBook &book, std::uint64_t engine, std::uint64_t tag)
+void forgetAdapter(PrefixIndex &book, std::uint64_t engine, std::uint64_t tag)
 {
     const auto found = book.engines.find(engine);
     if (found == book.engines.end())
@@ -195,26 +196,27 @@
         kept = prefixTag(kept->first) == tag ? eraseKept(of, kept) : std::next(kept);
 }
 
-void forgetEngine(PrefixBook &book, std::uint64_t engine)
+void forgetEngine(PrefixIndex &book, std::uint64_t engine)
 {
     if (book.engines.erase(engine) > 0)
         divideAmong(book, book.engines.size());
 }
 
-void forgetUnused(PrefixBook &book, Instant now)
+void forgetUnused(PrefixIndex &book, Instant now)
 {
-    const auto dropped = std::erase_if(
-        book.engines, [now](const auto &entry) { return now - entry.second.readAt > bookHolds; });
+    const auto dropped = std::erase_if(book.engines, [now](const auto &entry) {
+        return now - entry.second.readAt > unusedEngineExpiry;
+    });
     if (dropped > 0)
         divideAmong(book, book.engines.size());
 }
 
-bool showsMissing(const PrefixTrial &trial, double promptTokensPerMs) noexcept
+bool indicatesCacheMiss(const FirstEventTiming &trial, double promptTokensPerMs) noexcept
 {
-    if (trial.keptTokens < leastToldTokens
-        || trial.keptTokens < leastShareJudged * trial.promptTokens)
+    if (trial.cachedPrefixTokens < minReportedTokens
+        || trial.cachedPrefixTokens < leastShareJudged * trial.promptTokens)
         return false;
-    if (trial.aheadTokens > mostShareAhead * trial.keptTokens)
+    if (trial.aheadTokens > mostShareAhead * trial.cachedPrefixTokens)
         return false;
     const double waitedMs = 1000 * toSeconds(trial.untilFirst);
     const double wholeMs = (trial.aheadTokens + trial.promptTokens) / promptTokensPerMs;
--- a/libs/serving/src/PrefixLog.cpp
+++ b/libs/serving/src/PrefixLog.cpp
@@ -12,32 +12,32 @@
         return entry.source == PrefixSource::Own;
     if (!reader.mate)
         return entry.source != PrefixSource::Elsewhere;
-    return reader.teller == 0 || entry.teller != reader.teller;
+    return reader.sourceVm == 0 || entry.sourceVm != reader.sourceVm;
 }
 
 void dropOld(PrefixLog &log, Instant now)
 {
-    while (!log.entries.empty() && now - log.entries.front().at > prefixToldFor)
+    while (!log.entries.empty() && now - log.entries.front().at > prefixLogRetention)
         log.entries.pop_front();
 }
 
 } // namespace
 
-void logPrefix(PrefixLog &log, const PrefixRead &read, PrefixSource source, std::uint64_t teller,
+void logPrefix(PrefixLog &log, const PrefixRead &read, PrefixSource source, std::uint64_t sourceVm,
                Instant now)
 {
     dropOld(log, now);
-    if (log.entries.size() == mostPrefixesLogged)
+    if (log.entries.size() == maxPrefixLogEntries)
         log.entries.pop_front();
-    log.entries.push_back({++log.last, read, source, teller, now});
+    log.entries.push_back({++log.last, read, source, sourceVm, now});
 }
 
 std::vector<PrefixRead> prefixesFor(const PrefixLog &log, const PrefixReader &reader, Instant now)
 {
     std::vector<PrefixRead> told;
     for (auto entry = log.entries.rbegin(); entry != log.entries.rend(); ++entry) {
-        const bool over = entry->number <= reader.seen || now - entry->at > prefixToldFor;
-        if (over || told.size() == mostPrefixesTold)
+        const bool over = entry->number <= reader.seen || now - entry->at > prefixLogRetention;
+        if (over || told.size() == maxPrefixesPerMessage)
             break;
         if (isFor(*entry, reader))
             told.push_back(entry->read);
--- a/libs/serving/src/PromptPrefixes.cpp
+++ b/libs/serving/src/PromptPrefixes.cpp
@@ -23,12 +23,12 @@
     std::vector<PromptPrefix> prefixes;
     if (parts.empty())
         return prefixes;
-    prefixes.reserve(std::min(parts.size(), mostPrefixes));
+    prefixes.reserve(std::min(parts.size(), maxPrefixes));
     const std::uint64_t tag = prefixTagOf(adapter);
     std::uint64_t hash = stableHash(adapter);
     int tokens = 0;
     for (const PromptPart &part : parts) {
-        if (part.tokens < 0 || part.tokens > mostPartTokens || prefixes.size() == mostPrefixes)
+        if (part.tokens < 0 || part.tokens > mostPartTokens || prefixes.size() == maxPrefixes)
             return prefixes;
         hash = stableHash(part.id, hash);
         tokens += part.tokens;
--- a/libs/serving/src/Route.cpp
+++ b/libs/serving/src/Route.cpp
@@ -2,7 +2,7 @@
 
 namespace monsoonbay {
 
-bool mayRepeat(const Route &route) noexcept
+bool mayRetry(const Route &route) noexcept
 {
     if (route.kind == CallKind::Streaming)
         return route.resumable;
