--- a/libs/serving/src/ServiceRetryBudget.cpp
+++ b/libs/serving/src/ServiceRetryBudget.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-void noteCall(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant now)
+void recordCall(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant now)
 {
     ++advance(budget.calls, policy.window, now);
 }
@@ -26,7 +26,7 @@
 
 } // namespace
 
-Instant slackAfterStart(const RetryPolicy &policy, Instant start) noexcept
+Instant slackAvailableFrom(const RetryPolicy &policy, Instant start) noexcept
 {
     constexpr auto parts = static_cast<std::int64_t>(ServiceRetryBudget::parts);
     return start + policy.window + policy.window / parts;
@@ -34,8 +34,8 @@
 
 // The bound holds for all VMs together. Each takes the ratio of its own calls and an even part of
 // the slack, so that no message is needed and the sum can never pass the bound.
-bool takeRepeat(ServiceRetryBudget &budget, const RetryPolicy &policy, const SlackSharing &sharing,
-                Instant now)
+bool tryTakeRetry(ServiceRetryBudget &budget, const RetryPolicy &policy,
+                  const SlackSharing &sharing, Instant now)
 {
     advance(budget.calls, policy.window, now);
     std::uint32_t &newestRepeats = advance(budget.repeats, policy.window, now);
@@ -49,8 +49,8 @@
 
 // Left at the moment at which it was taken, it would be forgotten before a window has passed since
 // it was sent, and another one be granted beside it.
-void noteRepeatSent(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant takenAt,
-                    Instant now)
+void recordRetrySent(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant takenAt,
+                     Instant now)
 {
     std::uint32_t &newest = advance(budget.repeats, policy.window, now);
     const std::int64_t age = ageOf(budget.repeats, policy.window, takenAt);
@@ -59,7 +59,7 @@
     ++newest;
 }
 
-std::uint32_t repeatsTaken(const ServiceRetryBudget &budget) noexcept
+std::uint32_t retriesTaken(const ServiceRetryBudget &budget) noexcept
 {
     return sumOf(budget.repeats);
 }
--- a/libs/serving/src/ServingConfig.cpp
+++ b/libs/serving/src/ServingConfig.cpp
@@ -84,7 +84,7 @@
     return found == this->workspaceByName.end() ? nullptr : &this->whole.workspaces[found->second];
 }
 
-Duration RouteTable::leastObjective(const std::string &service) const
+Duration RouteTable::minObjective(const std::string &service) const
 {
     const auto found = this->objectivesByService.find(service);
     return found == this->objectivesByService.end() ? Duration::zero() : found->second.least;
@@ -98,7 +98,7 @@
     return found->second.least;
 }
 
-Duration RouteTable::longestStream(const std::string &service) const
+Duration RouteTable::maxResumableTimeout(const std::string &service) const
 {
     const auto found = this->longestStreams.find(service);
     return found == this->longestStreams.end() ? Duration::zero() : found->second;
--- a/libs/serving/src/SoftwareVersions.cpp
+++ b/libs/serving/src/SoftwareVersions.cpp
@@ -10,7 +10,7 @@
                        [](const auto &entry) { return !entry.first.empty(); });
 }
 
-void noteSoftware(SoftwareVersions &versions, const std::string &software, Instant now)
+void recordSoftware(SoftwareVersions &versions, const std::string &software, Instant now)
 {
     if (software.empty() && namesVersions(versions))
         return;
@@ -45,7 +45,7 @@
     const auto found = versions.seen.find(software);
     if (found == versions.seen.end())
         return versions.seen.empty();
-    if (now - found->second.since >= softwareSettles)
+    if (now - found->second.since >= softwareSettleTime)
         return true;
     return std::none_of(versions.seen.begin(), versions.seen.end(), [&](const auto &other) {
         return other.second.since < found->second.since;
--- a/libs/serving/src/StreamOrigins.cpp
+++ b/libs/serving/src/StreamOrigins.cpp
@@ -21,13 +21,13 @@
     return stableHash(attemptId);
 }
 
-void noteOrigin(StreamOrigins &origins, StreamId id, StreamOrigin origin, Instant now)
+void recordOrigin(StreamOrigins &origins, StreamId id, StreamOrigin origin, Instant now)
 {
     const bool added = origins.byId.try_emplace(id, std::move(origin)).second;
     if (!added)
         return;
     origins.order.emplace_back(now, id);
-    if (origins.byId.size() > mostStreamOrigins)
+    if (origins.byId.size() > maxStreamOrigins)
         dropOldest(origins);
 }
 
@@ -49,8 +49,8 @@
     return found->second.software;
 }
 
-std::vector<std::size_t> keepersOf(StreamId id, const std::vector<std::string> &names,
-                                   std::size_t count)
+std::vector<std::size_t> chooseReplicas(StreamId id, const std::vector<std::string> &names,
+                                        std::size_t count)
 {
     std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
     ranked.reserve(names.size());
--- a/libs/serving/src/TargetHealth.cpp
+++ b/libs/serving/src/TargetHealth.cpp
@@ -18,7 +18,7 @@
 constexpr double brokenWeight = 1.0;
 constexpr double unreachableWeight = 1.5;
 
-/** Ejected at this much badness, if it also outweighs the good answers. */
+/** Ejected at this much failureScore, if it also outweighs the good answers. */
 constexpr double ejectBadness = 2.4;
 constexpr double ejectRatio = 1.0;
 
@@ -53,11 +53,11 @@
 void fade(TargetHealth &health, Instant now)
 {
     const double factor = std::exp2(-toSeconds(now - health.updatedAt) / halfLife);
-    health.badness *= factor;
+    health.failureScore *= factor;
     health.goods *= factor;
     const double lateFactor = std::exp2(-toSeconds(now - health.updatedAt) / lateHalfLife);
-    health.lateFaults *= lateFactor;
-    health.lateGoods *= lateFactor;
+    health.recentFailures *= lateFactor;
+    health.recentSuccesses *= lateFactor;
     health.updatedAt = now;
 }
 
@@ -68,25 +68,26 @@
 
 } // namespace
 
-bool noteOutcome(TargetHealth &health, SendOutcome outcome, Instant now)
+bool recordOutcome(TargetHealth &health, SendOutcome outcome, Instant now)
 {
     fade(health, now);
     if (outcome == SendOutcome::Good) {
         health.goods += 1;
-        health.lateGoods += 1;
+        health.recentSuccesses += 1;
         health.ejections = 0;
         return false;
     }
-    health.badness += weightOf(outcome);
-    health.lateFaults += weightOf(outcome);
-    const bool bad = health.badness >= ejectBadness && health.badness > ejectRatio * health.goods;
+    health.failureScore += weightOf(outcome);
+    health.recentFailures += weightOf(outcome);
+    const bool bad =
+        health.failureScore >= ejectBadness && health.failureScore > ejectRatio * health.goods;
     if (!bad || isEjected(health, now))
         return false;
     const int doublings = std::min(health.ejections, longestDoubling);
     health.ejectedUntil = now + firstEjection * (1 << doublings);
     ++health.ejections;
     // The return is a trial: one more failure of weight soon ejects it again.
-    health.badness = ejectBadness / 2;
+    health.failureScore = ejectBadness / 2;
     health.goods = 0;
     return true;
 }
@@ -96,11 +97,11 @@
     return now < health.ejectedUntil;
 }
 
-void addHealth(TargetUse &use, const TargetHealth &health, Instant now)
+void addHealth(TargetUsage &use, const TargetHealth &health, Instant now)
 {
     const double factor = std::exp2(-toSeconds(now - health.updatedAt) / lateHalfLife);
-    use.faults += inTenths(health.lateFaults * factor);
-    use.goods += inTenths(health.lateGoods * factor);
+    use.faults += inTenths(health.recentFailures * factor);
+    use.goods += inTenths(health.recentSuccesses * factor);
 }
 
 // Each of many VMs sends a target a call in seconds only: when it is gone, each would find out for
@@ -108,7 +109,7 @@
 // tenths of a second (70 VMs, a quarter of 60 engines down: 330 to 710 calls a second waited for a
 // connection in vain); and with nobody sending there, the memory fades and the target is tried
 // anew.
-bool isFailing(const TargetUse &all) noexcept
+bool isFailing(const TargetUsage &all) noexcept
 {
     return all.faults >= failingFaults && all.faults > all.goods;
 }
--- a/libs/serving/src/TargetLinks.cpp
+++ b/libs/serving/src/TargetLinks.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-LinkState linkState(const LinkSight &sight, Instant now) noexcept
+LinkState linkState(const LinkObservation &sight, Instant now) noexcept
 {
     const bool reached = sight.reachedAt != Instant{} && sight.reachedAt >= sight.failedAt;
     if (reached)
@@ -36,13 +36,13 @@
     return counts.failed >= enough && counts.failed >= failedForEachReached * counts.reached;
 }
 
-bool provesLoss(const ProbeRound &round) noexcept
+bool confirmsLoss(const ProbeRound &round) noexcept
 {
     const int failed = round.tried - round.reached;
     return failed > 0 && failed >= failedForEachReached * round.reached;
 }
 
-bool noteProbes(ServiceLinks &links, const ProbeRound &round) noexcept
+bool recordProbes(ServiceLinks &links, const ProbeRound &round) noexcept
 {
     const bool good = round.reached * 2 > round.tried;
     links.goodRounds = good ? links.goodRounds + 1 : 0;
--- a/libs/serving/src/TargetBook.cpp
+++ b/libs/serving/src/TargetTable.cpp
@@ -1,4 +1,4 @@
-#include "serving/TargetBook.h"
+#include "serving/TargetTable.h"
 
 #include <algorithm>
 #include <unordered_set>
@@ -20,18 +20,18 @@
 
 // The times come from the target's own clock and are only compared with one another, never with the
 // clock of a VM, which may jump.
-WordAge ageOfWord(std::int64_t knownBorn, std::int64_t offeredBorn) noexcept
+StartOrder compareStarts(std::int64_t knownBorn, std::int64_t offeredBorn) noexcept
 {
     const bool bothSay = knownBorn != 0 && offeredBorn != 0;
     if (!bothSay || knownBorn == offeredBorn)
-        return WordAge::Same;
-    return offeredBorn > knownBorn ? WordAge::Newer : WordAge::Older;
+        return StartOrder::Same;
+    return offeredBorn > knownBorn ? StartOrder::Newer : StartOrder::Older;
 }
 
-void noteListRead(TargetBook &book, Instant now)
+void recordListRead(TargetTable &book, Instant now)
 {
     const bool failed = book.failingSince != Instant{};
-    if (failed && now - book.failingSince > outageGap)
+    if (failed && now - book.failingSince > outageThreshold)
         book.outageEndedAt = now;
     book.failingSince = Instant{};
     book.lastRead = now;
@@ -40,14 +40,14 @@
 
 // Only failed reads are an outage. A VM that begins to read in place of another may not have read
 // for long, and must not take that for one: it would wait with removals that are real.
-void noteListFailed(TargetBook &book, Instant now)
+void recordListFailure(TargetTable &book, Instant now)
 {
     const bool known = book.lastRead != Instant{};
     if (known && book.failingSince == Instant{})
         book.failingSince = now;
 }
 
-void noteListReadByPeer(TargetBook &book, Instant readAt, Duration failing, Instant now)
+void recordPeerListRead(TargetTable &book, Instant readAt, Duration failing, Instant now)
 {
     // A peer that does not read itself knows of no failure; only a later read ends an outage.
     if (readAt > book.failingSince)
@@ -57,26 +57,26 @@
         book.failingSince = now - failing;
 }
 
-bool isListOld(const TargetBook &book, Instant now) noexcept
+bool isListStale(const TargetTable &book, Instant now) noexcept
 {
-    return book.lastRead != Instant{} && now - book.lastRead > listStaysNew;
+    return book.lastRead != Instant{} && now - book.lastRead > maxListAge;
 }
 
-void noteListed(TargetBook &book, TargetEntry entry)
+void recordListed(TargetTable &book, TargetEntry entry)
 {
     TargetRecord &record = book.records[entry.id];
-    const WordAge age = ageOfWord(record.entry.born, entry.born);
-    if (age == WordAge::Older)
+    const StartOrder age = compareStarts(record.entry.born, entry.born);
+    if (age == StartOrder::Older)
         return;
     // A target that has said it is leaving never stays after all; an older entry that arrives
     // late, from a read that lagged, must not bring it back. Only a new start of it stays.
-    const bool leaving = entry.leaving || (record.entry.leaving && age == WordAge::Same);
+    const bool leaving = entry.leaving || (record.entry.leaving && age == StartOrder::Same);
     const std::int64_t born = std::max(record.entry.born, entry.born);
     record.entry = std::move(entry);
     record.entry.born = born;
     record.entry.leaving = leaving;
     record.gone = false;
-    record.lapsedAt = Instant{};
+    record.expiredAt = Instant{};
     book.droppedAt.erase(record.entry.id);
 }
 
@@ -84,45 +84,46 @@
 // have expired although the targets are well. Taking all of them as gone would leave a service
 // empty; so a removal that is read right after an outage only counts once the time has passed in
 // which a living target would be listed again.
-void noteRemoved(TargetBook &book, const std::string &id, Instant now)
+void recordRemoved(TargetTable &book, const std::string &id, Instant now)
 {
     const auto found = book.records.find(id);
     if (found == book.records.end())
         return;
     TargetRecord &record = found->second;
-    const bool inOutage = book.failingSince != Instant{} && now - book.failingSince > outageGap;
+    const bool inOutage =
+        book.failingSince != Instant{} && now - book.failingSince > outageThreshold;
     const bool afterOutage =
         inOutage || (book.outageEndedAt != Instant{} && now - book.outageEndedAt < relistGrace);
     if (afterOutage && !record.entry.leaving) {
-        if (record.lapsedAt == Instant{})
-            record.lapsedAt = now;
+        if (record.expiredAt == Instant{})
+            record.expiredAt = now;
         return;
     }
     record.gone = true;
 }
 
-void noteWholeList(TargetBook &book, std::vector<TargetEntry> entries,
-                   const std::vector<std::string> &unreadable, Instant now)
+void recordFullList(TargetTable &book, std::vector<TargetEntry> entries,
+                    const std::vector<std::string> &unreadable, Instant now)
 {
     std::unordered_set<std::string> listed(unreadable.begin(), unreadable.end());
     for (TargetEntry &entry : entries) {
         listed.insert(entry.id);
-        noteListed(book, std::move(entry));
+        recordListed(book, std::move(entry));
     }
     for (const auto &[id, record] : book.records) {
         if (listed.count(id) == 0)
-            noteRemoved(book, id, now);
+            recordRemoved(book, id, now);
     }
 }
 
-std::vector<std::string> dropGone(TargetBook &book, Instant now)
+std::vector<std::string> dropGone(TargetTable &book, Instant now)
 {
     std::vector<std::string> dropped;
     for (const auto &[id, record] : book.records) {
         // Living targets are back that long after the outage's end, whenever the removal was read.
-        const bool afterOutage = record.lapsedAt - book.outageEndedAt < relistGrace;
-        const Instant countsFrom = afterOutage ? book.outageEndedAt : record.lapsedAt;
-        const bool lapsed = record.lapsedAt != Instant{} && now - countsFrom >= relistGrace;
+        const bool afterOutage = record.expiredAt - book.outageEndedAt < relistGrace;
+        const Instant countsFrom = afterOutage ? book.outageEndedAt : record.expiredAt;
+        const bool lapsed = record.expiredAt != Instant{} && now - countsFrom >= relistGrace;
         if (record.gone || lapsed)
             dropped.push_back(id);
     }
@@ -135,7 +136,7 @@
     return dropped;
 }
 
-bool wasDropped(const TargetBook &book, const std::string &id)
+bool wasDropped(const TargetTable &book, const std::string &id)
 {
     return book.droppedAt.count(id) > 0;
 }
--- a/libs/serving/src/TargetUse.cpp
+++ b/libs/serving/src/TargetUsage.cpp
@@ -1,13 +1,13 @@
-#include "serving/TargetUse.h"
+#include "serving/TargetUsage.h"
 
 namespace monsoonbay {
 
-bool isUnused(const TargetUse &use) noexcept
+bool isUnused(const TargetUsage &use) noexcept
 {
     return use.runs == 0 && use.busySlots == 0 && use.faults == 0 && use.goods == 0;
 }
 
-void addUse(TargetUse &sum, const TargetUse &use)
+void addUsage(TargetUsage &sum, const TargetUsage &use)
 {
     sum.waitingTokens += use.waitingTokens;
     sum.heldTokens += use.heldTokens;
@@ -18,7 +18,7 @@
     sum.shortObjectiveRuns += use.shortObjectiveRuns;
 }
 
-void subtractUse(TargetUse &sum, const TargetUse &use)
+void subtractUsage(TargetUsage &sum, const TargetUsage &use)
 {
     sum.waitingTokens -= use.waitingTokens;
     sum.heldTokens -= use.heldTokens;
--- a/libs/serving/src/ZoneRelay.cpp
+++ b/libs/serving/src/ZoneRelay.cpp
@@ -6,8 +6,8 @@
 
 bool ranksBefore(const RelayRank &left, const RelayRank &right) noexcept
 {
-    if (left.storeAway != right.storeAway)
-        return right.storeAway;
+    if (left.storeUnreachable != right.storeUnreachable)
+        return right.storeUnreachable;
     if (left.capacity != right.capacity)
         return left.capacity > right.capacity;
     return left.hash < right.hash;
@@ -16,7 +16,7 @@
 namespace {
 
 /** A mate that knows something goes before one that is starting. */
-bool teachesBefore(const RelayMate &left, const RelayMate &right) noexcept
+bool teachesBefore(const ZonePeer &left, const ZonePeer &right) noexcept
 {
     if (left.starting != right.starting)
         return right.starting;
@@ -27,20 +27,20 @@
 
 // Nobody learns from a mate that is starting, so a VM below it that stopped reading would hear of
 // nothing until it asks again.
-bool isRelay(const RelayRank &self, bool selfStarting, const std::vector<RelayMate> &mates) noexcept
+bool isRelay(const RelayRank &self, bool selfStarting, const std::vector<ZonePeer> &mates) noexcept
 {
-    return std::none_of(mates.begin(), mates.end(), [&](const RelayMate &mate) {
+    return std::none_of(mates.begin(), mates.end(), [&](const ZonePeer &mate) {
         const bool teaches = selfStarting || !mate.starting;
         return mate.reachable && teaches && ranksBefore(mate.rank, self);
     });
 }
 
 std::optional<std::size_t> chooseUpstream(const RelayRank &self, bool selfStarting,
-                                          const std::vector<RelayMate> &mates) noexcept
+                                          const std::vector<ZonePeer> &mates) noexcept
 {
     std::optional<std::size_t> best;
     for (std::size_t index = 0; index < mates.size(); ++index) {
-        const RelayMate &mate = mates[index];
+        const ZonePeer &mate = mates[index];
         if (!mate.reachable)
             continue;
         const bool above =
@@ -53,7 +53,7 @@
     return best;
 }
 
-std::vector<std::size_t> chooseHolders(const std::vector<RelayMate> &mates, std::size_t most)
+std::vector<std::size_t> chooseLeaseHolders(const std::vector<ZonePeer> &mates, std::size_t most)
 {
     std::vector<std::size_t> chosen;
     for (std::size_t index = 0; index < mates.size(); ++index) {
--- a/libs/serving/tests/Declines.cpp
+++ b/libs/serving/tests/Declines.cpp
@@ -3,8 +3,8 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
+#include "serving/AdapterScheduler.h"
 #include "serving/LoadDecline.h"
-#include "serving/OrderDesk.h"
 
 using namespace monsoonbay;
 using namespace std::chrono_literals;
@@ -19,14 +19,14 @@
         const Duration retryIn = std::chrono::microseconds(*rc::gen::inRange(0, 3'000'000));
         const Duration after = std::chrono::milliseconds(*rc::gen::inRange(0, 2'000));
         const Duration begin = std::chrono::milliseconds(*rc::gen::inRange(20, 2'000));
-        const LoadMark mark = markAfter({reason, retryIn}, start);
+        const LoadBackoff mark = backoffAfter({reason, retryIn}, start);
         // The naive version: as long as was said, from 20 ms to a second, 250 ms if nothing was.
         Duration wait = retryIn == Duration::zero() ? Duration(250ms) : retryIn;
         wait = std::min<Duration>(std::max<Duration>(wait, 20ms), 1s);
         bool asked = after >= wait || reason == DeclineReason::NotHolder;
         if (reason == DeclineReason::QueueTooLong)
             asked = asked || after + begin >= wait;
-        RC_ASSERT(holdsBack(mark, start + after, begin) == !asked);
+        RC_ASSERT(blocksLoadRequest(mark, start + after, begin) == !asked);
     }));
 }
 
@@ -34,24 +34,24 @@
 Test(declines, reasons_that_are_not_known_count_as_not_said)
 {
     cr_assert(declineReasonOf(3) == DeclineReason::EngineSilent);
-    cr_assert(declineReasonOf(6) == DeclineReason::NotSaid);
-    cr_assert(declineReasonOf(~0ULL) == DeclineReason::NotSaid);
+    cr_assert(declineReasonOf(6) == DeclineReason::Unspecified);
+    cr_assert(declineReasonOf(~0ULL) == DeclineReason::Unspecified);
     cr_assert_eq(reasonName(DeclineReason::NoSlot), "no slot");
 }
 
 // Guards against a forecast for a slot whose calls nobody knows the end of.
 Test(declines, a_slot_is_expected_when_its_last_call_has_settled)
 {
-    OrderDesk desk;
-    desk.adapterSlots = 2;
-    cr_assert(slotExpected(desk, start) == start, "an empty slot");
-    desk.slots["m/a"].runs = 1;
-    desk.slots["m/b"].loading = true;
-    cr_assert(slotExpected(desk, start) == Instant{});
-    desk.slots["m/b"].loading = false;
-    desk.slots["m/b"].usedAt = start - 20ms;
-    const Instant idle = slotExpected(desk, start);
+    AdapterScheduler scheduler;
+    scheduler.adapterSlots = 2;
+    cr_assert(nextFreeSlotTime(scheduler, start) == start, "an empty slot");
+    scheduler.slots["m/a"].runs = 1;
+    scheduler.slots["m/b"].loading = true;
+    cr_assert(nextFreeSlotTime(scheduler, start) == Instant{});
+    scheduler.slots["m/b"].loading = false;
+    scheduler.slots["m/b"].usedAt = start - 20ms;
+    const Instant idle = nextFreeSlotTime(scheduler, start);
     cr_assert(idle > start && idle <= start + 100ms);
-    cr_assert_eq(idleSlots(desk, idle - 1ms), 0);
-    cr_assert_eq(idleSlots(desk, idle), 1);
+    cr_assert_eq(idleSlots(scheduler, idle - 1ms), 0);
+    cr_assert_eq(idleSlots(scheduler, idle), 1);
 }
--- a/libs/serving/tests/Forecasts.cpp
+++ b/libs/serving/tests/Forecasts.cpp
@@ -196,18 +196,18 @@
 Test(forecasts, a_vm_that_hears_nobody_spreads_its_calls)
 {
     using namespace std::chrono_literals;
-    NewsFacts facts{300ms, 100ms, 1900ms, 83, 83};
-    cr_assert(newsAge(facts) == Duration(300ms), "all are heard");
-    facts.sinceWord = 1200ms;
-    cr_assert(newsAge(facts) == Duration(1200ms), "the relay is silent");
-    facts.vmsHeard = 1;
-    facts.sinceAll = 4s;
-    const double deaf = toSeconds(newsAge(facts));
+    UpdateAgeInputs facts{300ms, 100ms, 1900ms, 83, 83};
+    cr_assert(updateAge(facts) == Duration(300ms), "all are heard");
+    facts.sinceLastUpdate = 1200ms;
+    cr_assert(updateAge(facts) == Duration(1200ms), "the relay is silent");
+    facts.vmsReporting = 1;
+    facts.sinceAllReported = 4s;
+    const double deaf = toSeconds(updateAge(facts));
     cr_assert_gt(deaf, 2.9);
     cr_assert_leq(deaf, 3.0);
     facts.vmsKnown = 1;
-    facts.sinceWord = 0s;
-    cr_assert(newsAge(facts) == Duration(300ms), "there is no other VM");
+    facts.sinceLastUpdate = 0s;
+    cr_assert(updateAge(facts) == Duration(300ms), "there is no other VM");
 
     std::vector<EngineView> views;
     for (int index = 0; index < 10; ++index) {
--- a/libs/serving/tests/Incoming.cpp
+++ b/libs/serving/tests/Incoming.cpp
@@ -1,7 +1,7 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
-#include "serving/IncomingLoads.h"
+#include "serving/PendingLoads.h"
 
 using namespace monsoonbay;
 using namespace std::chrono_literals;
@@ -34,17 +34,18 @@
 // an engine is said to load it; the load fails, or the holder goes, and no news follows.
 Test(incoming, an_overdue_load_is_not_waited_for)
 {
-    IncomingLoads loads;
-    noteIncoming(loads, {"m/a"}, quarterSecond, start);
-    cr_assert(incomingIn(loads, "m/a", start + 100ms) == Duration(150ms));
-    cr_assert(!incomingIn(loads, "m/b", start));
-    noteIncoming(loads, {"m/a", "m/b"}, quarterSecond, start + 200ms);
-    cr_assert(incomingIn(loads, "m/a", start + 200ms) == Duration(50ms), "its time stays");
-    cr_assert(incomingIn(loads, "m/a", start + 300ms) == Duration(0ms), "the word may be late");
-    cr_assert(!incomingIn(loads, "m/a", start + 500ms));
-    noteIncoming(loads, {}, quarterSecond, start + 500ms);
-    noteIncoming(loads, {"m/a"}, quarterSecond, start + 600ms);
-    cr_assert(incomingIn(loads, "m/a", start + 600ms) == Duration(250ms), "a further load");
+    PendingLoads loads;
+    updatePendingLoads(loads, {"m/a"}, quarterSecond, start);
+    cr_assert(timeUntilLoaded(loads, "m/a", start + 100ms) == Duration(150ms));
+    cr_assert(!timeUntilLoaded(loads, "m/b", start));
+    updatePendingLoads(loads, {"m/a", "m/b"}, quarterSecond, start + 200ms);
+    cr_assert(timeUntilLoaded(loads, "m/a", start + 200ms) == Duration(50ms), "its time stays");
+    cr_assert(timeUntilLoaded(loads, "m/a", start + 300ms) == Duration(0ms),
+              "the word may be late");
+    cr_assert(!timeUntilLoaded(loads, "m/a", start + 500ms));
+    updatePendingLoads(loads, {}, quarterSecond, start + 500ms);
+    updatePendingLoads(loads, {"m/a"}, quarterSecond, start + 600ms);
+    cr_assert(timeUntilLoaded(loads, "m/a", start + 600ms) == Duration(250ms), "a further load");
 }
 
 // Guards against waiting at an engine that has no room or was tried, or longer than the patience.
@@ -55,7 +56,7 @@
         for (int index = 0; index < 6; ++index)
             views.push_back(drawnEngine(index));
         const double patienceMs = *rc::gen::inRange(20, 700);
-        const auto chosen = incomingEngine(views, EngineNeed(), {"e0"}, weights, patienceMs);
+        const auto chosen = chooseLoadingEngine(views, EngineNeed(), {"e0"}, weights, patienceMs);
         double least = 1e9;
         for (const EngineView &view : views) {
             const double wait =
--- a/libs/serving/tests/LeaseModel.cpp
+++ b/libs/serving/tests/LeaseModel.cpp
@@ -111,7 +111,7 @@
     other.heardMate = true;
     other.mate.heardAt = now;
     other.mate.generation = vm.lease.generation;
-    other.mate.storeAway = vm.renewalFailing || play.mutation.trustsAnyPeer;
+    other.mate.storeUnreachable = vm.renewalFailing || play.mutation.trustsAnyPeer;
     if (play.mutation.trustsAnyPeer)
         other.mate.generation = 0;
 }
--- a/libs/serving/tests/Links.cpp
+++ b/libs/serving/tests/Links.cpp
@@ -22,7 +22,7 @@
 
 Test(links, the_newest_attempt_tells_how_a_link_stands)
 {
-    LinkSight sight;
+    LinkObservation sight;
     cr_assert_eq(linkState(sight, start), LinkState::Unknown);
     sight.failedAt = start;
     cr_assert_eq(linkState(sight, start + 1s), LinkState::Failed);
@@ -40,9 +40,9 @@
     cr_assert(!linksSeemLost(counts(12, 1, 0)));
     cr_assert(!linksSeemLost(counts(12, 6, 3)));
     cr_assert(!linksSeemLost(counts(90, 30, 8)));
-    cr_assert(!provesLoss({6, 2}));
-    cr_assert(!provesLoss({3, 1}));
-    cr_assert(!provesLoss({0, 0}), "nobody reaches them");
+    cr_assert(!confirmsLoss({6, 2}));
+    cr_assert(!confirmsLoss({3, 1}));
+    cr_assert(!confirmsLoss({0, 0}), "nobody reaches them");
 }
 
 Test(links, a_cut_from_all_or_nearly_all_targets_is_seen)
@@ -52,9 +52,9 @@
     cr_assert(linksSeemLost(counts(3, 2, 0)));
     cr_assert(linksSeemLost(counts(1, 1, 0)));
     cr_assert(!linksSeemLost(counts(0, 0, 0)));
-    cr_assert(provesLoss({6, 1}));
-    cr_assert(provesLoss({3, 0}));
-    cr_assert(provesLoss({1, 0}));
+    cr_assert(confirmsLoss({6, 1}));
+    cr_assert(confirmsLoss({3, 0}));
+    cr_assert(confirmsLoss({1, 0}));
     LinkCounts beside = counts(3, 1, 0);
     cr_assert(!linksSeemLost(beside));
     beside.otherServiceLost = true;
@@ -66,11 +66,11 @@
 {
     ServiceLinks links;
     links.lost = true;
-    cr_assert(!noteProbes(links, {3, 3}));
-    cr_assert(!noteProbes(links, {3, 1}));
-    cr_assert(!noteProbes(links, {0, 0}));
-    cr_assert(!noteProbes(links, {3, 2}));
+    cr_assert(!recordProbes(links, {3, 3}));
+    cr_assert(!recordProbes(links, {3, 1}));
+    cr_assert(!recordProbes(links, {0, 0}));
+    cr_assert(!recordProbes(links, {3, 2}));
     cr_assert(links.lost);
-    cr_assert(noteProbes(links, {3, 3}));
+    cr_assert(recordProbes(links, {3, 3}));
     cr_assert(!links.lost);
 }
--- a/libs/serving/tests/LoadLooks.cpp
+++ b/libs/serving/tests/LoadLooks.cpp
@@ -2,7 +2,7 @@
 
 #include <criterion/criterion.h>
 
-#include "serving/OrderDesk.h"
+#include "serving/AdapterScheduler.h"
 
 using namespace monsoonbay;
 using namespace std::chrono_literals;
@@ -11,19 +11,19 @@
 
 const Instant start = Instant{} + 1h;
 
-/** A desk of an engine that was ordered to load one adapter at `start`. */
-OrderDesk loadingDesk(Duration expected)
+/** A scheduler of an engine that was ordered to load one adapter at `start`. */
+AdapterScheduler loadingScheduler(Duration expected)
 {
-    OrderDesk desk;
-    desk.adapterSlots = 4;
-    desk.sequence = 6;
+    AdapterScheduler scheduler;
+    scheduler.adapterSlots = 4;
+    scheduler.sequence = 6;
     LoadEstimate estimate;
     estimate.time = expected;
     estimate.underWay = 150;
     estimate.fetched = true;
-    noteLoadAccepted(desk, "m/a", 1, estimate, start);
-    noteSequence(desk, start);
-    return desk;
+    recordLoadAccepted(scheduler, "m/a", 1, estimate, start);
+    advanceSequence(scheduler, start);
+    return scheduler;
 }
 
 EngineReport reportOf(std::int64_t sequence, bool done)
@@ -35,12 +35,12 @@
     return report;
 }
 
-LoadBeliefs crowdedBeliefs()
+LoadEstimator crowdedBeliefs()
 {
-    LoadBeliefs beliefs;
-    noteLoadOnTime(beliefs.pace, 1, 280ms);
-    noteEarlyCall(beliefs.pace, 150, 1300ms);
-    return beliefs;
+    LoadEstimator estimator;
+    recordLoadOnTime(estimator.pace, 1, 280ms);
+    recordEarlyCall(estimator.pace, 150, 1300ms);
+    return estimator;
 }
 
 } // namespace
@@ -48,29 +48,29 @@
 // Guards against calls that wait for a load which is done, as nobody looks before it is expected.
 Test(load_looks, a_load_that_a_report_shows_as_done_is_not_waited_for)
 {
-    LoadBeliefs beliefs = crowdedBeliefs();
-    OrderDesk desk = loadingDesk(1300ms);
-    cr_assert_not(isLookDue(desk, beliefs.pace, start + 100ms));
-    cr_assert(isLookDue(desk, beliefs.pace, start + 500ms));
-    cr_assert_not(isLookDue(desk, beliefs.pace, start + 1200ms));
-    cr_assert_not(takeLoadsDone(desk, reportOf(7, false), beliefs, start + 500ms));
-    cr_assert(takeLoadsDone(desk, reportOf(7, true), beliefs, start + 500ms));
-    cr_assert_not(desk.slots.at("m/a").loading);
-    cr_assert_eq(desk.sequence, 7);
-    cr_assert_leq(fetchTime(beliefs.pace, 150).count(), Duration(500ms).count());
+    LoadEstimator estimator = crowdedBeliefs();
+    AdapterScheduler scheduler = loadingScheduler(1300ms);
+    cr_assert_not(isReportCheckDue(scheduler, estimator.pace, start + 100ms));
+    cr_assert(isReportCheckDue(scheduler, estimator.pace, start + 500ms));
+    cr_assert_not(isReportCheckDue(scheduler, estimator.pace, start + 1200ms));
+    cr_assert_not(applyCompletedLoads(scheduler, reportOf(7, false), estimator, start + 500ms));
+    cr_assert(applyCompletedLoads(scheduler, reportOf(7, true), estimator, start + 500ms));
+    cr_assert_not(scheduler.slots.at("m/a").loading);
+    cr_assert_eq(scheduler.sequence, 7);
+    cr_assert_leq(fetchTime(estimator.pace, 150).count(), Duration(500ms).count());
 }
 
 // Guards against a report of before the order, which shows the adapter from its last stay.
 Test(load_looks, a_report_of_before_the_order_shows_nothing)
 {
-    LoadBeliefs beliefs = crowdedBeliefs();
-    OrderDesk desk = loadingDesk(1300ms);
-    cr_assert_not(takeLoadsDone(desk, reportOf(6, true), beliefs, start + 500ms));
+    LoadEstimator estimator = crowdedBeliefs();
+    AdapterScheduler scheduler = loadingScheduler(1300ms);
+    cr_assert_not(applyCompletedLoads(scheduler, reportOf(6, true), estimator, start + 500ms));
     EngineReport otherStart = reportOf(9, true);
-    desk.born = 5;
+    scheduler.born = 5;
     otherStart.born = 6;
-    cr_assert_not(takeLoadsDone(desk, otherStart, beliefs, start + 500ms));
-    cr_assert(desk.slots.at("m/a").loading);
+    cr_assert_not(applyCompletedLoads(scheduler, otherStart, estimator, start + 500ms));
+    cr_assert(scheduler.slots.at("m/a").loading);
 }
 
 namespace {
@@ -80,39 +80,39 @@
 {
     constexpr Duration real = 288ms;
     constexpr Duration loadEvery = 10ms;
-    LoadBeliefs beliefs = crowdedBeliefs();
+    LoadEstimator estimator = crowdedBeliefs();
     struct Load
     {
-        OrderDesk desk;
-        Instant orderedAt;
+        AdapterScheduler scheduler;
+        Instant requestedAt;
         Instant believedAt;
         int underWay;
     };
     std::deque<Load> loads;
     for (Instant now = start; now < start + 8s; now += loadEvery) {
         for (Load &load : loads) {
-            const bool due = looking && isLookDue(load.desk, beliefs.pace, now);
-            if (!due || now - load.orderedAt < real + 100ms)
+            const bool due = looking && isReportCheckDue(load.scheduler, estimator.pace, now);
+            if (!due || now - load.requestedAt < real + 100ms)
                 continue;
-            if (takeLoadsDone(load.desk, reportOf(7, true), beliefs, now))
+            if (applyCompletedLoads(load.scheduler, reportOf(7, true), estimator, now))
                 load.believedAt = now;
         }
         while (!loads.empty() && loads.front().believedAt <= now) {
             const Load &load = loads.front();
-            noteLoadOnTime(beliefs.pace, load.underWay, load.believedAt - load.orderedAt);
+            recordLoadOnTime(estimator.pace, load.underWay, load.believedAt - load.requestedAt);
             loads.pop_front();
         }
         const int underWay = static_cast<int>(loads.size()) + 1;
-        const Duration expected = fetchTime(beliefs.pace, underWay);
-        Load load{loadingDesk(expected), now, now + expected, underWay};
-        for (auto &[adapter, slot] : load.desk.slots) {
-            slot.orderedAt = now;
+        const Duration expected = fetchTime(estimator.pace, underWay);
+        Load load{loadingScheduler(expected), now, now + expected, underWay};
+        for (auto &[adapter, slot] : load.scheduler.slots) {
+            slot.requestedAt = now;
             slot.readyAt = now + expected;
             slot.underWay = underWay;
         }
         loads.push_back(std::move(load));
     }
-    return fetchTime(beliefs.pace, static_cast<int>(loads.size()));
+    return fetchTime(estimator.pace, static_cast<int>(loads.size()));
 }
 
 } // namespace
--- a/libs/serving/tests/NamedLimits.cpp
+++ b/libs/serving/tests/NamedLimits.cpp
@@ -1,4 +1,4 @@
-#include "serving/NamedLimit.h"
+#include "serving/AdvertisedLimit.h"
 
 #include <algorithm>
 #include <deque>
@@ -19,10 +19,10 @@
 {
     std::mt19937 random(seed);
     std::uniform_real_distribution<double> draw(0, 1);
-    std::vector<NamedLimit> limits(static_cast<std::size_t>(vms));
+    std::vector<AdvertisedLimit> limits(static_cast<std::size_t>(vms));
     std::vector<Duration> offsets;
-    for (NamedLimit &limit : limits) {
-        noteLimit(limit, perSecond);
+    for (AdvertisedLimit &limit : limits) {
+        updateLimit(limit, perSecond);
         offsets.push_back(fromSeconds(4 * draw(random)));
     }
     std::deque<Instant> sent;
@@ -35,7 +35,7 @@
             noteSent(limits[vm], now + offsets[vm]);
             sent.push_back(now);
         }
-        while (!sent.empty() && now - sent.front() > NamedLimit::span)
+        while (!sent.empty() && now - sent.front() > AdvertisedLimit::span)
             sent.pop_front();
         most = std::max(most, sent.size());
     }
@@ -69,11 +69,11 @@
 // Guards against a VM that takes itself for the only one.
 Test(named_limits, a_vm_that_knows_of_no_others_sends_nothing)
 {
-    NamedLimit limit;
+    AdvertisedLimit limit;
     cr_assert(admitsCall(limit, 0, 0.9, start), "no limit is named");
-    noteLimit(limit, 10);
+    updateLimit(limit, 10);
     cr_assert(!admitsCall(limit, 0, 0.9, start));
     cr_assert(admitsCall(limit, 2, 0.9, start));
-    noteLimit(limit, std::nullopt);
+    updateLimit(limit, std::nullopt);
     cr_assert(admitsCall(limit, 0, 0.9, start));
 }
--- a/libs/serving/tests/Orders.cpp
+++ b/libs/serving/tests/Orders.cpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
-#include "serving/OrderDesk.h"
+#include "serving/AdapterScheduler.h"
 #include "serving/ServiceSpec.h"
 
 using namespace monsoonbay;
@@ -55,45 +55,45 @@
 }
 
 /** One step for `adapter`; a lost order is kept to be carried out later, or never was sent. */
-void step(OrderDesk &desk, FakeEngine &engine, std::vector<LateOrder> &late,
+void step(AdapterScheduler &scheduler, FakeEngine &engine, std::vector<LateOrder> &late,
           const std::string &adapter, Instant now, bool answerLost, bool carriedOutLate)
 {
-    if (desk.sequence < 0) {
-        takeReport(desk, reportOf(engine), now);
+    if (scheduler.sequence < 0) {
+        applyEngineReport(scheduler, reportOf(engine), now);
         return;
     }
-    settleLoads(desk, now);
-    const DeskChoice choice = nextDeskStep(desk, adapter, 0, now);
-    const bool load = choice.step == DeskStep::Load;
-    if (!load && choice.step != DeskStep::Unload)
+    completeDueLoads(scheduler, now);
+    const SchedulerDecision choice = nextCommand(scheduler, adapter, 0, now);
+    const bool load = choice.step == SchedulerStep::Load;
+    if (!load && choice.step != SchedulerStep::Unload)
         return;
     const std::string subject = load ? adapter : choice.victim;
     if (answerLost) {
         if (carriedOutLate)
-            late.push_back({load, subject, 0, desk.sequence});
+            late.push_back({load, subject, 0, scheduler.sequence});
         else
-            engine.order(load, subject, 0, desk.sequence);
-        forgetSequence(desk);
+            engine.order(load, subject, 0, scheduler.sequence);
+        invalidateSequence(scheduler);
         return;
     }
     const std::int64_t before = engine.sequence;
-    if (!engine.order(load, subject, 0, desk.sequence)) {
-        forgetSequence(desk);
+    if (!engine.order(load, subject, 0, scheduler.sequence)) {
+        invalidateSequence(scheduler);
         return;
     }
     if (load)
-        noteLoadAccepted(desk, subject, 0, {10ms}, now);
+        recordLoadAccepted(scheduler, subject, 0, {10ms}, now);
     else
-        noteUnloaded(desk, subject);
+        recordUnloaded(scheduler, subject);
     if (engine.sequence != before)
-        noteSequence(desk, now);
+        advanceSequence(scheduler, now);
 }
 
-OrderDesk freshDesk()
+AdapterScheduler freshScheduler()
 {
-    OrderDesk desk;
-    desk.adapterSlots = slotCount;
-    return desk;
+    AdapterScheduler scheduler;
+    scheduler.adapterSlots = slotCount;
+    return scheduler;
 }
 
 } // namespace
@@ -103,7 +103,7 @@
 Test(orders, lost_and_late_orders_never_overfill_an_engine)
 {
     cr_assert(rc::check("slots", [] {
-        OrderDesk desk = freshDesk();
+        AdapterScheduler scheduler = freshScheduler();
         FakeEngine engine;
         std::vector<LateOrder> late;
         Instant now = start;
@@ -118,28 +118,29 @@
                 late.pop_back();
                 engine.order(order.load, order.adapter, order.version, order.expected);
             }
-            step(desk, engine, late, "m/a" + std::to_string(adapter), now, fate == 1 || fate == 2,
-                 fate == 2);
+            step(scheduler, engine, late, "m/a" + std::to_string(adapter), now,
+                 fate == 1 || fate == 2, fate == 2);
             RC_ASSERT(engine.held.size() <= static_cast<std::size_t>(slotCount));
         }
     }));
 }
 
 // Symptom: an engine got no order for 40 s. Sequence: an unload of an adapter that was not there is
-// answered "done" without being counted; the desk counts one order too many; every report then
+// answered "done" without being counted; the scheduler counts one order too many; every report then
 // looks older than what is known. Cause: a report was only taken if it counted enough.
 Test(orders, a_count_that_ran_ahead_is_corrected)
 {
-    OrderDesk desk = freshDesk();
-    takeReport(desk, reportOf(FakeEngine{}), start);
-    noteSequence(desk, start);
-    noteSequence(desk, start);
-    forgetSequence(desk);
+    AdapterScheduler scheduler = freshScheduler();
+    applyEngineReport(scheduler, reportOf(FakeEngine{}), start);
+    advanceSequence(scheduler, start);
+    advanceSequence(scheduler, start);
+    invalidateSequence(scheduler);
     FakeEngine engine;
     engine.sequence = 1;
-    cr_assert(!takeReport(desk, reportOf(engine), start + 100ms), "it may lag");
-    cr_assert(takeReport(desk, reportOf(engine), start + 700ms), "it cannot lag any more");
-    cr_assert_eq(desk.sequence, 1);
+    cr_assert(!applyEngineReport(scheduler, reportOf(engine), start + 100ms), "it may lag");
+    cr_assert(applyEngineReport(scheduler, reportOf(engine), start + 700ms),
+              "it cannot lag any more");
+    cr_assert_eq(scheduler.sequence, 1);
 }
 
 // Symptom: an engine refused all orders for seconds. Sequence: a new version of an adapter is named
@@ -147,49 +148,49 @@
 // until that answer has ended. Answer: a version in use stays until it is idle.
 Test(orders, an_older_version_in_use_is_not_replaced)
 {
-    OrderDesk desk = freshDesk();
-    noteLoadAccepted(desk, "m/a", 1, {10ms}, start);
-    settleLoads(desk, start + 20ms);
-    noteRuns(desk, {{"m/a", 1}}, start + 1s);
-    cr_assert(nextDeskStep(desk, "m/a", 2, start + 1s).step == DeskStep::NoSlot);
-    noteRuns(desk, {}, start + 2s);
-    const DeskChoice idle = nextDeskStep(desk, "m/a", 2, start + 2s);
-    cr_assert(idle.step == DeskStep::Unload);
+    AdapterScheduler scheduler = freshScheduler();
+    recordLoadAccepted(scheduler, "m/a", 1, {10ms}, start);
+    completeDueLoads(scheduler, start + 20ms);
+    updateRuns(scheduler, {{"m/a", 1}}, start + 1s);
+    cr_assert(nextCommand(scheduler, "m/a", 2, start + 1s).step == SchedulerStep::NoSlot);
+    updateRuns(scheduler, {}, start + 2s);
+    const SchedulerDecision idle = nextCommand(scheduler, "m/a", 2, start + 2s);
+    cr_assert(idle.step == SchedulerStep::Unload);
     cr_assert_eq(idle.victim, "m/a");
 }
 
 Test(orders, the_slot_that_goes_is_the_one_idle_for_longest)
 {
-    OrderDesk desk = freshDesk();
+    AdapterScheduler scheduler = freshScheduler();
     for (const char *adapter : {"m/a", "m/b", "m/c"})
-        noteLoadAccepted(desk, adapter, 1, {10ms}, start);
-    settleLoads(desk, start + 20ms);
-    noteRuns(desk, {{"m/a", 1}}, start + 1s);
-    noteRuns(desk, {{"m/c", 1}}, start + 2s);
-    const DeskChoice choice = nextDeskStep(desk, "m/d", 0, start + 5s);
-    cr_assert(choice.step == DeskStep::Unload);
+        recordLoadAccepted(scheduler, adapter, 1, {10ms}, start);
+    completeDueLoads(scheduler, start + 20ms);
+    updateRuns(scheduler, {{"m/a", 1}}, start + 1s);
+    updateRuns(scheduler, {{"m/c", 1}}, start + 2s);
+    const SchedulerDecision choice = nextCommand(scheduler, "m/d", 0, start + 5s);
+    cr_assert(choice.step == SchedulerStep::Unload);
     cr_assert_eq(choice.victim, "m/b");
 }
 
 Test(orders, all_slots_in_use_is_said)
 {
-    OrderDesk desk = freshDesk();
+    AdapterScheduler scheduler = freshScheduler();
     for (const char *adapter : {"m/a", "m/b", "m/c"})
-        noteLoadAccepted(desk, adapter, 1, {10ms}, start);
-    settleLoads(desk, start + 20ms);
-    noteRuns(desk, {{"m/a", 1}, {"m/b", 2}, {"m/c", 1}}, start + 1s);
-    cr_assert(nextDeskStep(desk, "m/d", 0, start + 1s).step == DeskStep::NoSlot);
+        recordLoadAccepted(scheduler, adapter, 1, {10ms}, start);
+    completeDueLoads(scheduler, start + 20ms);
+    updateRuns(scheduler, {{"m/a", 1}, {"m/b", 2}, {"m/c", 1}}, start + 1s);
+    cr_assert(nextCommand(scheduler, "m/d", 0, start + 1s).step == SchedulerStep::NoSlot);
 }
 
 Test(orders, what_left_its_slot_lately_loads_fast_again)
 {
-    OrderDesk desk = freshDesk();
-    LoadBeliefs beliefs;
-    const LoadEstimate first = estimateLoad(desk, "m/a", 0, beliefs);
+    AdapterScheduler scheduler = freshScheduler();
+    LoadEstimator estimator;
+    const LoadEstimate first = estimateLoad(scheduler, "m/a", 0, estimator);
     cr_assert(first.fetched);
-    noteLoadAccepted(desk, "m/a", 1, first, start);
-    noteUnloaded(desk, "m/a");
-    const LoadEstimate again = estimateLoad(desk, "m/a", 0, beliefs);
+    recordLoadAccepted(scheduler, "m/a", 1, first, start);
+    recordUnloaded(scheduler, "m/a");
+    const LoadEstimate again = estimateLoad(scheduler, "m/a", 0, estimator);
     cr_assert(!again.fetched);
     cr_assert_lt(again.time.count(), first.time.count() / 5);
 }
@@ -212,22 +213,22 @@
 // the load is looked at again soon, without a report, whose word is older than the refusal.
 Test(orders, calls_that_come_too_early_make_loads_expected_later)
 {
-    OrderDesk desk = freshDesk();
-    desk.sequence = 1;
-    LoadBeliefs beliefs;
-    const LoadEstimate estimate = estimateLoad(desk, "m/a", 7, beliefs);
-    noteLoadAccepted(desk, "m/a", 1, estimate, start);
+    AdapterScheduler scheduler = freshScheduler();
+    scheduler.sequence = 1;
+    LoadEstimator estimator;
+    const LoadEstimate estimate = estimateLoad(scheduler, "m/a", 7, estimator);
+    recordLoadAccepted(scheduler, "m/a", 1, estimate, start);
     const Instant due = start + estimate.time;
-    cr_assert(settleLoads(desk, due));
-    noteMissing(desk, "m/a", beliefs, due + 5ms);
-    cr_assert(desk.slots.at("m/a").loading);
-    cr_assert_lt((desk.slots.at("m/a").readyAt - due).count(), (estimate.time / 4).count());
-    cr_assert(estimateLoad(desk, "m/b", 7, beliefs).time > estimate.time);
-    cr_assert_geq(desk.sequence, 0);
+    cr_assert(completeDueLoads(scheduler, due));
+    recordMissing(scheduler, "m/a", estimator, due + 5ms);
+    cr_assert(scheduler.slots.at("m/a").loading);
+    cr_assert_lt((scheduler.slots.at("m/a").readyAt - due).count(), (estimate.time / 4).count());
+    cr_assert(estimateLoad(scheduler, "m/b", 7, estimator).time > estimate.time);
+    cr_assert_geq(scheduler.sequence, 0);
     // Long after that, a refusal means that the slots are not what they were taken to be.
-    settleLoads(desk, due + 1s);
-    noteMissing(desk, "m/a", beliefs, due + 2s);
-    cr_assert_lt(desk.sequence, 0);
+    completeDueLoads(scheduler, due + 1s);
+    recordMissing(scheduler, "m/a", estimator, due + 2s);
+    cr_assert_lt(scheduler.sequence, 0);
 }
 
 // Symptom: on crowded engines a tenth of the orders was refused, and each refusal kept the holder
@@ -236,24 +237,24 @@
 // differs.
 Test(orders, a_fifth_load_refused_means_that_one_is_not_done)
 {
-    OrderDesk desk;
-    desk.adapterSlots = 9;
-    desk.sequence = 4;
-    LoadBeliefs beliefs;
+    AdapterScheduler scheduler;
+    scheduler.adapterSlots = 9;
+    scheduler.sequence = 4;
+    LoadEstimator estimator;
     for (const char *adapter : {"m/a", "m/b", "m/c"})
-        noteLoadAccepted(desk, adapter, 1, {400ms, 1, true}, start);
-    noteLoadAccepted(desk, "m/d", 1, {200ms, 1, true}, start);
-    settleLoads(desk, start + 200ms);
-    cr_assert(nextDeskStep(desk, "m/e", 1, start + 201ms).step == DeskStep::Load);
-    cr_assert(noteStillLoading(desk, beliefs, start + 205ms));
-    cr_assert(nextDeskStep(desk, "m/e", 1, start + 206ms).step == DeskStep::Wait);
-    cr_assert_gt(desk.slots.at("m/d").readyAt.time_since_epoch().count(),
+        recordLoadAccepted(scheduler, adapter, 1, {400ms, 1, true}, start);
+    recordLoadAccepted(scheduler, "m/d", 1, {200ms, 1, true}, start);
+    completeDueLoads(scheduler, start + 200ms);
+    cr_assert(nextCommand(scheduler, "m/e", 1, start + 201ms).step == SchedulerStep::Load);
+    cr_assert(recordBusyRefusal(scheduler, estimator, start + 205ms));
+    cr_assert(nextCommand(scheduler, "m/e", 1, start + 206ms).step == SchedulerStep::Wait);
+    cr_assert_gt(scheduler.slots.at("m/d").readyAt.time_since_epoch().count(),
                  (start + 206ms).time_since_epoch().count());
-    cr_assert_eq(desk.sequence, 4);
+    cr_assert_eq(scheduler.sequence, 4);
     // With less under way, something else is wrong.
-    settleLoads(desk, start + 1s);
-    judgeLoads(desk, beliefs, start + 2s);
-    cr_assert(!noteStillLoading(desk, beliefs, start + 2s));
+    completeDueLoads(scheduler, start + 1s);
+    learnFromLoads(scheduler, estimator, start + 2s);
+    cr_assert(!recordBusyRefusal(scheduler, estimator, start + 2s));
 }
 
 // Symptom: more adapters were fetched from the weight store than left the engines' memories.
@@ -262,43 +263,45 @@
 Test(orders, the_copies_that_an_engine_keeps_are_learnt)
 {
     for (const int kept : {20, 108, 400}) {
-        OrderDesk desk;
-        desk.adapterSlots = 1;
-        LoadBeliefs beliefs;
+        AdapterScheduler scheduler;
+        scheduler.adapterSlots = 1;
+        LoadEstimator estimator;
         std::list<std::string> memory; // of the engine, newest first
         Instant now = start;
         int early = 0;
         for (int load = 0; load < 4000; ++load) {
             const std::string adapter = "m/" + std::to_string((load * load + load / 3) % 997);
-            if (desk.slots.count(adapter) > 0)
+            if (scheduler.slots.count(adapter) > 0)
                 continue;
-            if (!desk.slots.empty())
-                noteUnloaded(desk, desk.slots.begin()->first);
-            const LoadEstimate estimate = estimateLoad(desk, adapter, 0, beliefs);
-            noteLoadAccepted(desk, adapter, 1, estimate, now);
+            if (!scheduler.slots.empty())
+                recordUnloaded(scheduler, scheduler.slots.begin()->first);
+            const LoadEstimate estimate = estimateLoad(scheduler, adapter, 0, estimator);
+            recordLoadAccepted(scheduler, adapter, 1, estimate, now);
             now += estimate.time;
-            settleLoads(desk, now);
+            completeDueLoads(scheduler, now);
             const auto copy = std::find(memory.begin(), memory.end(), adapter);
             const bool there = copy != memory.end();
             if (there)
                 memory.erase(copy);
             if (!there && !estimate.fetched) {
-                noteMissing(desk, adapter, beliefs, now);
-                now = desk.slots.at(adapter).readyAt;
-                settleLoads(desk, now);
-                noteMissing(desk, adapter, beliefs, now);
+                recordMissing(scheduler, adapter, estimator, now);
+                now = scheduler.slots.at(adapter).readyAt;
+                completeDueLoads(scheduler, now);
+                recordMissing(scheduler, adapter, estimator, now);
                 early += load >= 1000 ? 1 : 0;
                 now += 400ms;
-                settleLoads(desk, now);
+                completeDueLoads(scheduler, now);
             }
             memory.push_front(adapter);
             if (static_cast<int>(memory.size()) > kept)
                 memory.pop_back();
             now += 200ms;
-            judgeLoads(desk, beliefs, now);
+            learnFromLoads(scheduler, estimator, now);
         }
-        cr_assert_geq(beliefs.memory.loads, 0.5 * kept, "%d kept: %f", kept, beliefs.memory.loads);
-        cr_assert_leq(beliefs.memory.loads, 1.6 * kept, "%d kept: %f", kept, beliefs.memory.loads);
+        cr_assert_geq(estimator.memory.loads, 0.5 * kept, "%d kept: %f", kept,
+                      estimator.memory.loads);
+        cr_assert_leq(estimator.memory.loads, 1.6 * kept, "%d kept: %f", kept,
+                      estimator.memory.loads);
         cr_assert_lt(early, 150, "%d kept: %d early", kept, early);
     }
 }
@@ -310,24 +313,24 @@
 // report.
 Test(orders, an_engine_that_was_started_anew_holds_and_counts_nothing)
 {
-    OrderDesk desk;
-    desk.adapterSlots = slotCount;
+    AdapterScheduler scheduler;
+    scheduler.adapterSlots = slotCount;
     EngineReport former;
     former.born = 1000;
     former.sequence = 7;
     former.resident = {{"m/a1", 1}, {"m/a2", 1}};
-    cr_assert(takeReport(desk, former, start));
-    noteSequence(desk, start);
+    cr_assert(applyEngineReport(scheduler, former, start));
+    advanceSequence(scheduler, start);
     EngineReport reborn;
     reborn.born = 5000;
-    cr_assert(takeReport(desk, reborn, start + 50ms));
-    cr_assert_eq(desk.sequence, 0);
-    cr_assert(desk.slots.empty());
-    cr_assert_lt(loadsSinceTouch(desk.copies, "m/a1"), 0);
-    cr_assert_eq(desk.adapterSlots, slotCount);
+    cr_assert(applyEngineReport(scheduler, reborn, start + 50ms));
+    cr_assert_eq(scheduler.sequence, 0);
+    cr_assert(scheduler.slots.empty());
+    cr_assert_lt(loadsSinceTouch(scheduler.copies, "m/a1"), 0);
+    cr_assert_eq(scheduler.adapterSlots, slotCount);
     former.sequence = 9;
-    cr_assert(!takeReport(desk, former, start + 5s));
-    cr_assert_eq(desk.sequence, 0);
+    cr_assert(!applyEngineReport(scheduler, former, start + 5s));
+    cr_assert_eq(scheduler.sequence, 0);
 }
 
 // Symptom: five calls of five VMs for one adapter were refused within 10 ms, each at the cost of a
@@ -335,34 +338,34 @@
 // through at the same moment.
 Test(orders, one_call_goes_first_while_the_time_of_loads_is_in_doubt)
 {
-    OrderDesk desk = freshDesk();
-    LoadBeliefs beliefs;
-    noteLoadAccepted(desk, "m/a", 1, {200ms, 1, true}, start);
+    AdapterScheduler scheduler = freshScheduler();
+    LoadEstimator estimator;
+    recordLoadAccepted(scheduler, "m/a", 1, {200ms, 1, true}, start);
     const Instant due = start + 200ms;
-    settleLoads(desk, due);
-    cr_assert(waitForTrial(desk, "m/a", beliefs.pace, due + 1ms) == Duration::zero());
-    cr_assert(waitForTrial(desk, "m/a", beliefs.pace, due + 2ms) > Duration::zero());
-    noteMissing(desk, "m/a", beliefs, due + 6ms);
-    const Instant again = desk.slots.at("m/a").readyAt;
-    settleLoads(desk, again);
-    cr_assert(waitForTrial(desk, "m/a", beliefs.pace, again) == Duration::zero());
-    cr_assert(waitForTrial(desk, "m/a", beliefs.pace, again + 100ms) == Duration::zero(),
+    completeDueLoads(scheduler, due);
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, due + 1ms) == Duration::zero());
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, due + 2ms) > Duration::zero());
+    recordMissing(scheduler, "m/a", estimator, due + 6ms);
+    const Instant again = scheduler.slots.at("m/a").readyAt;
+    completeDueLoads(scheduler, again);
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, again) == Duration::zero());
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, again + 100ms) == Duration::zero(),
               "the first one was not refused");
     for (int load = 0; load < 10; ++load)
-        noteLoadOnTime(beliefs.pace, 1, 400ms);
-    cr_assert(waitForTrial(desk, "m/a", beliefs.pace, again + 1ms) == Duration::zero());
+        recordLoadOnTime(estimator.pace, 1, 400ms);
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, again + 1ms) == Duration::zero());
 }
 
 // Sequence: two loads are ordered one after the other; the call for the first one is refused. The
 // second was expected by the same belief, and waits as long as is known by now.
 Test(orders, loads_under_way_wait_by_what_was_learnt_since)
 {
-    OrderDesk desk = freshDesk();
-    LoadBeliefs beliefs;
-    noteLoadAccepted(desk, "m/a", 1, {200ms, 1, true}, start);
-    noteLoadAccepted(desk, "m/b", 1, {200ms, 2, true}, start + 10ms);
-    settleLoads(desk, start + 200ms);
-    noteMissing(desk, "m/a", beliefs, start + 280ms);
-    stretchLoads(desk, beliefs.pace);
-    cr_assert(desk.slots.at("m/b").readyAt > start + 290ms);
+    AdapterScheduler scheduler = freshScheduler();
+    LoadEstimator estimator;
+    recordLoadAccepted(scheduler, "m/a", 1, {200ms, 1, true}, start);
+    recordLoadAccepted(scheduler, "m/b", 1, {200ms, 2, true}, start + 10ms);
+    completeDueLoads(scheduler, start + 200ms);
+    recordMissing(scheduler, "m/a", estimator, start + 280ms);
+    extendLoadEstimates(scheduler, estimator.pace);
+    cr_assert(scheduler.slots.at("m/b").readyAt > start + 290ms);
 }
--- a/libs/serving/tests/Pace.cpp
+++ b/libs/serving/tests/Pace.cpp
@@ -4,7 +4,7 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
-#include "serving/LoadPace.h"
+#include "serving/LoadTimeModel.h"
 
 using namespace monsoonbay;
 using namespace std::chrono_literals;
@@ -24,21 +24,21 @@
 };
 
 /** One load whose calls come when it is expected; returns how many came too early. */
-int playLoad(LoadPace &pace, const Store &store, int underWay)
+int playLoad(LoadTimeModel &pace, const Store &store, int underWay)
 {
     const Duration real = store.timeFor(underWay);
     Duration waited = fetchTime(pace, underWay);
     int early = 0;
     while (waited < real) {
         ++early;
-        noteEarlyCall(pace, underWay, waited);
-        waited += nextLookAfter(waited, early);
+        recordEarlyCall(pace, underWay, waited);
+        waited += recheckDelay(waited, early);
     }
-    noteLoadOnTime(pace, underWay, waited);
+    recordLoadOnTime(pace, underWay, waited);
     return early;
 }
 
-double offBy(const LoadPace &pace, const Store &store, int underWay)
+double offBy(const LoadTimeModel &pace, const Store &store, int underWay)
 {
     return toSeconds(fetchTime(pace, underWay)) / toSeconds(store.timeFor(underWay));
 }
@@ -54,7 +54,7 @@
     for (const int atOnce : {4, 16, 64, 104}) {
         for (const Duration alone : {Duration(40ms), Duration(250ms), Duration(900ms)}) {
             const Store store{alone, atOnce};
-            LoadPace pace;
+            LoadTimeModel pace;
             std::mt19937 random(7);
             const std::array crowds{1, atOnce / 2, atOnce, 2 * atOnce};
             std::uniform_int_distribution<std::size_t> any(0, crowds.size() - 1);
@@ -72,7 +72,7 @@
 // seconds on every deployment that is large enough to be crowded.
 Test(pace, a_change_of_the_store_is_followed_both_ways)
 {
-    LoadPace pace;
+    LoadTimeModel pace;
     const Store fast{250ms, 16};
     const Store slow{1200ms, 16};
     for (int load = 0; load < 100; ++load)
@@ -91,7 +91,7 @@
 Test(pace, few_calls_come_too_early_once_it_is_known)
 {
     const Store store{250ms, 16};
-    LoadPace pace;
+    LoadTimeModel pace;
     std::mt19937 random(3);
     std::uniform_int_distribution<int> crowd(1, 16);
     for (int load = 0; load < 100; ++load)
@@ -105,15 +105,15 @@
 Test(pace, more_under_way_is_never_expected_faster)
 {
     cr_assert(rc::check("monotone", [] {
-        LoadPace pace;
+        LoadTimeModel pace;
         const auto steps = *rc::gen::inRange(0, 60);
         for (int step = 0; step < steps; ++step) {
             const auto underWay = *rc::gen::inRange(1, 200);
             const Duration waited = std::chrono::milliseconds(*rc::gen::inRange(1, 2000));
             if (*rc::gen::arbitrary<bool>())
-                noteEarlyCall(pace, underWay, waited);
+                recordEarlyCall(pace, underWay, waited);
             else
-                noteLoadOnTime(pace, underWay, waited);
+                recordLoadOnTime(pace, underWay, waited);
         }
         for (int underWay = 1; underWay < 200; ++underWay)
             RC_ASSERT(fetchTime(pace, underWay) <= fetchTime(pace, underWay + 1));
@@ -126,7 +126,7 @@
 Test(pace, what_is_too_early_for_few_is_so_for_many)
 {
     const Store store{288ms, 104};
-    LoadPace pace;
+    LoadTimeModel pace;
     int early = 0;
     for (int load = 0; load < 20; ++load)
         early += playLoad(pace, store, 1);
@@ -140,10 +140,10 @@
 // time. They show that this time is enough, not that less is.
 Test(pace, loads_under_way_at_once_teach_one_lesson)
 {
-    LoadPace pace;
-    noteEarlyCall(pace, 1, 300ms);
+    LoadTimeModel pace;
+    recordEarlyCall(pace, 1, 300ms);
     const Duration expected = fetchTime(pace, 60);
     for (int load = 0; load < 60; ++load)
-        noteLoadOnTime(pace, 60, expected);
+        recordLoadOnTime(pace, 60, expected);
     cr_assert_geq(fetchTime(pace, 60).count(), (expected * 99 / 100).count());
 }
--- a/libs/serving/tests/Places.cpp
+++ b/libs/serving/tests/Places.cpp
@@ -5,7 +5,7 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
-#include "serving/PlaceQueue.h"
+#include "serving/CapacityQueue.h"
 
 using namespace monsoonbay;
 using namespace std::chrono_literals;
@@ -25,14 +25,14 @@
     return call;
 }
 
-PlacePatience patienceOf(Duration usual, Duration whole)
+WaitLimits patienceOf(Duration usual, Duration whole)
 {
     return {usual, whole};
 }
 
-PlaceQueue drawnQueue()
+CapacityQueue drawnQueue()
 {
-    PlaceQueue queue;
+    CapacityQueue queue;
     const int calls = *rc::gen::inRange(0, 12);
     for (int index = 0; index < calls; ++index) {
         const Duration waited = std::chrono::milliseconds(*rc::gen::inRange(0, 600));
@@ -67,7 +67,7 @@
 Test(places, as_many_are_woken_as_there_is_room_for_in_order)
 {
     cr_assert(rc::check("woken", [] {
-        const PlaceQueue queue = drawnQueue();
+        const CapacityQueue queue = drawnQueue();
         const int loads = *rc::gen::inRange(0, 6);
         std::vector<WaitingCall> left;
         for (const WaitingCall &call : queue.calls) {
@@ -92,50 +92,50 @@
 // Guards against a queue that grows without bound on a VM that is overloaded.
 Test(places, the_queue_is_bounded)
 {
-    PlaceQueue queue;
-    for (std::uint64_t id = 0; id < mostWaitingCalls; ++id)
-        cr_assert(joinPlaces(queue, callOf(id, 0, start, 300ms), start));
-    cr_assert(!joinPlaces(queue, callOf(9999, 0, start, 300ms), start));
-    leavePlaces(queue, 7, start);
-    cr_assert(joinPlaces(queue, callOf(9999, 0, start, 300ms), start));
+    CapacityQueue queue;
+    for (std::uint64_t id = 0; id < maxWaitingCalls; ++id)
+        cr_assert(enqueueCall(queue, callOf(id, 0, start, 300ms), start));
+    cr_assert(!enqueueCall(queue, callOf(9999, 0, start, 300ms), start));
+    dequeueCall(queue, 7, start);
+    cr_assert(enqueueCall(queue, callOf(9999, 0, start, 300ms), start));
 }
 
 Test(places, patience_is_a_share_of_the_objective_and_of_the_time_left)
 {
-    PatienceFacts facts{1s, 5s, 240, 500ms};
-    cr_assert(placePatience(facts) == patienceOf(700ms, 700ms));
+    WaitLimitInputs facts{1s, 5s, 240, 500ms};
+    cr_assert(waitLimits(facts) == patienceOf(700ms, 700ms));
     facts.timeLeft = 1s;
-    cr_assert(placePatience(facts) == patienceOf(350ms, 350ms));
+    cr_assert(waitLimits(facts) == patienceOf(350ms, 350ms));
     facts.objective = 0s;
     facts.timeLeft = 5s;
-    cr_assert(placePatience(facts).usual == Duration(300ms));
+    cr_assert(waitLimits(facts).usual == Duration(300ms));
     facts = {2s, 12s, 240, 500ms};
-    cr_assert(placePatience(facts) == patienceOf(1400ms, 6s), "a long prompt, 12 s");
+    cr_assert(waitLimits(facts) == patienceOf(1400ms, 6s), "a long prompt, 12 s");
     facts.promptMs = 20;
-    cr_assert(placePatience(facts) == patienceOf(1400ms, 1400ms), "a short one");
+    cr_assert(waitLimits(facts) == patienceOf(1400ms, 1400ms), "a short one");
 }
 
 // Guards against refusing a call while some engine may have room, and against keeping one that all
 // holders have told to come later than it can wait.
 Test(places, a_place_is_forecast_only_if_all_engines_named_a_time)
 {
-    const PlaceQueue none;
+    const CapacityQueue none;
     const WaitingCall call = callOf(1, 0, start, 300ms);
-    PlaceRoom room;
-    cr_assert(expectedPlace(none, call, room, 100ms, start) == Duration::zero());
+    ServiceCapacity room;
+    cr_assert(expectedCapacityWait(none, call, room, 100ms, start) == Duration::zero());
     room.later = {start + 500ms, start + 400ms};
-    cr_assert(expectedPlace(none, call, room, 100ms, start) == Duration(400ms));
+    cr_assert(expectedCapacityWait(none, call, room, 100ms, start) == Duration(400ms));
     room.open = true;
-    cr_assert(expectedPlace(none, call, room, 100ms, start) == Duration::zero());
+    cr_assert(expectedCapacityWait(none, call, room, 100ms, start) == Duration::zero());
     room.open = false;
-    PlaceQueue queue;
+    CapacityQueue queue;
     for (std::uint64_t id = 2; id < 5; ++id)
-        joinPlaces(queue, callOf(id, 0, start - 1ms, 300ms), start);
+        enqueueCall(queue, callOf(id, 0, start - 1ms, 300ms), start);
     // Loads at 400, 500 and 500 go first.
-    cr_assert(expectedPlace(queue, call, room, 100ms, start) == Duration(600ms));
+    cr_assert(expectedCapacityWait(queue, call, room, 100ms, start) == Duration(600ms));
     room.loads = 3;
-    cr_assert(expectedPlace(queue, call, room, 100ms, start) == Duration(400ms));
-    cr_assert(expectedPlace(queue, callOf(1, -1, start, 300ms), room, 100ms, start)
+    cr_assert(expectedCapacityWait(queue, call, room, 100ms, start) == Duration(400ms));
+    cr_assert(expectedCapacityWait(queue, callOf(1, -1, start, 300ms), room, 100ms, start)
               == Duration::zero());
 }
 
@@ -153,7 +153,7 @@
 /** One VM with slots that calls hold for a time; looked at every 10 ms. */
 struct Play
 {
-    PlaceQueue queue;
+    CapacityQueue queue;
     std::vector<Instant> freeAt = std::vector<Instant>(24, start);
     std::array<Ends, 3> ends{};
     std::vector<std::pair<std::uint64_t, int>> ranks;
@@ -183,29 +183,29 @@
             this->place(rank);
             return;
         }
-        PlaceRoom room;
+        ServiceCapacity room;
         room.open = true;
-        const bool late = expectedPlace(this->queue, call, room, 300ms, this->now) > 350ms;
+        const bool late = expectedCapacityWait(this->queue, call, room, 300ms, this->now) > 350ms;
         mine.refusedAtOnce += late ? 1 : 0;
         if (!late)
-            joinPlaces(this->queue, call, this->now);
+            enqueueCall(this->queue, call, this->now);
     }
 
     void look()
     {
-        const PlaceQueue before = this->queue;
+        const CapacityQueue before = this->queue;
         for (const WaitingCall &call : before.calls) {
             if (this->now < call.until)
                 continue;
             ++this->ends[static_cast<std::size_t>(call.rank)].refusedLate;
-            leavePlaces(this->queue, call.id, this->now);
+            dequeueCall(this->queue, call.id, this->now);
         }
         for (const std::uint64_t id : callsToWake(this->queue, this->idle(), this->now)) {
             const auto call = std::find_if(before.calls.begin(), before.calls.end(),
                                            [id](const auto &other) { return other.id == id; });
             this->place(call->rank);
-            leavePlaces(this->queue, id, this->now);
-            notePlaceFound(this->queue, this->now);
+            dequeueCall(this->queue, id, this->now);
+            recordCapacityFound(this->queue, this->now);
         }
     }
 
--- a/libs/serving/tests/PrefillQueues.cpp
+++ b/libs/serving/tests/PrefillQueues.cpp
@@ -39,8 +39,8 @@
     cr_assert_eq(waitingTokens(queue, pace, start), 0);
     cr_assert(reservePrefill(queue, {4000, 0}, pace, start).reserved);
     cr_assert_eq(waitingTokens(queue, pace, start - 1s), 4000);
-    cr_assert_eq(mostTokensAhead({100, 10000, 0, pace}), 0);
-    cr_assert_eq(mostTokensAhead({1000, 8000, 100, pace}), 28000);
+    cr_assert_eq(maxTokensAhead({100, 10000, 0, pace}), 0);
+    cr_assert_eq(maxTokensAhead({1000, 8000, 100, pace}), 28000);
 }
 
 // Guards against a count that differs from that of an engine which reads prompts in turn.
@@ -129,7 +129,7 @@
                 view.jitterMs = doubt(random);
             chosen = chooseEngine(known, need, {}, weights).engine;
             const double most =
-                0.5 * mostTokensAhead({0.85 * objectiveMs, need.promptTokens, 0, pace});
+                0.5 * maxTokensAhead({0.85 * objectiveMs, need.promptTokens, 0, pace});
             const double bound = std::max(most, known[chosen].waitingTokens);
             if (!asking || asked == 3)
                 break;
--- a/libs/serving/tests/Prefills.cpp
+++ b/libs/serving/tests/Prefills.cpp
@@ -5,7 +5,7 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
-#include "serving/PrefillPace.h"
+#include "serving/PrefillRate.h"
 
 using namespace monsoonbay;
 using namespace std::chrono_literals;
@@ -14,8 +14,8 @@
 Test(prefills, the_pace_is_the_median_of_recent_samples)
 {
     cr_assert(rc::check("like a sorted list", [] {
-        PrefillPace pace;
-        std::vector<PrefillPace::Sample> taken;
+        PrefillRate pace;
+        std::vector<PrefillRate::Sample> taken;
         Instant now = Instant{} + 100s;
         double expected = 0;
         const auto count = *rc::gen::inRange(0, 60);
@@ -25,7 +25,7 @@
             sample.unreadTokens = *rc::gen::inRange(0, 10000);
             sample.waitingTokens = *rc::gen::inRange(0, 3) == 0 ? 5000 : 0;
             sample.untilFirstEvent = std::chrono::milliseconds(*rc::gen::inRange(1, 900));
-            notePrefill(pace, sample, now);
+            addPrefillSample(pace, sample, now);
             if (sample.unreadTokens < 2000 || sample.waitingTokens > 0)
                 continue;
             taken.push_back(
@@ -41,7 +41,7 @@
                 expected = recent[recent.size() / 2];
         }
         RC_ASSERT(pace.tokensPerMs == expected);
-        const double used = prefillPace(pace, 38.4);
+        const double used = prefillRate(pace, 38.4);
         RC_ASSERT(used == (expected == 0 ? 38.4 : std::clamp(expected, 9.6, 153.6)));
     }));
 }
@@ -50,13 +50,13 @@
 Test(prefills, prefixes_read_for_other_vms_do_not_count_as_pace)
 {
     std::mt19937 random(3);
-    PrefillPace pace;
+    PrefillRate pace;
     for (int call = 0; call < 200; ++call) {
         const double read = random() % 100 < 28 ? 2890 : 9190;
         const double queued = random() % 100 < 20 ? random() % 300 : 0;
         const PrefillSample sample{9190, 0, fromSeconds((read / 38.7 + 8 + queued) / 1000)};
-        notePrefill(pace, sample, Instant{} + 100s + call * 500ms);
+        addPrefillSample(pace, sample, Instant{} + 100s + call * 500ms);
     }
-    const double used = prefillPace(pace, 30);
+    const double used = prefillRate(pace, 30);
     cr_assert(used > 34 && used < 40, "%f", used);
 }
--- a/libs/serving/tests/Prefixes.cpp
+++ b/libs/serving/tests/Prefixes.cpp
@@ -5,7 +5,7 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
-#include "serving/PrefixBook.h"
+#include "serving/PrefixIndex.h"
 #include "serving/PrefixLog.h"
 
 using namespace monsoonbay;
@@ -18,19 +18,19 @@
 /** What is believed, in one table that every question walks through. */
 struct NaiveBook
 {
-    std::map<std::pair<std::uint64_t, std::uint64_t>, KeptPrefix> rows; ///< by engine and prefix
+    std::map<std::pair<std::uint64_t, std::uint64_t>, CachedPrefix> rows; ///< by engine and prefix
 
     /** True if it is news. */
     bool note(std::uint64_t engine, const PromptPrefix &prefix, bool own, Instant now)
     {
-        KeptPrefix &kept = this->rows[{engine, prefix.hash}];
+        CachedPrefix &kept = this->rows[{engine, prefix.hash}];
         const bool doubted = now < kept.doubtedUntil;
         if (!doubted) {
             kept.tokens = prefix.tokens;
             kept.readAt = now;
         }
-        const bool recent = kept.newsAt != Instant{} && now - kept.newsAt < toldAgainAfter;
-        if (recent || (own && (doubted || prefix.tokens < leastToldTokens)))
+        const bool recent = kept.newsAt != Instant{} && now - kept.newsAt < prefixReportInterval;
+        if (recent || (own && (doubted || prefix.tokens < minReportedTokens)))
             return false;
         kept.newsAt = now;
         return true;
@@ -44,7 +44,7 @@
         return sum;
     }
 
-    void holdTo(std::uint64_t engine, double tokens)
+    void evictToFit(std::uint64_t engine, double tokens)
     {
         const auto order = [engine](const auto &row) {
             return std::tuple(row.first.first != engine, row.second.readAt, row.first.second);
@@ -56,7 +56,7 @@
             this->rows.erase(std::min_element(this->rows.begin(), this->rows.end(), before));
     }
 
-    double keptTokens(std::uint64_t engine, const std::vector<PromptPrefix> &prompt)
+    double cachedPrefixTokens(std::uint64_t engine, const std::vector<PromptPrefix> &prompt)
     {
         double most = 0;
         for (const PromptPrefix &prefix : prompt) {
@@ -83,7 +83,7 @@
 Test(prefixes, the_book_does_as_a_naive_one)
 {
     cr_assert(rc::check("book", [] {
-        PrefixBook book;
+        PrefixIndex book;
         NaiveBook naive;
         Instant now = start;
         const auto steps = *rc::gen::inRange(1, 80);
@@ -99,23 +99,23 @@
                     if (naive.note(engine, prefix, true, now))
                         news.push_back(prefix);
                 }
-                RC_ASSERT(noteRead(book, engine, prompt, now) == news);
+                RC_ASSERT(recordRead(book, engine, prompt, now) == news);
             } else if (kind == 2) {
                 RC_ASSERT(noteHeard(book, engine, prompt.back(), now)
                           == naive.note(engine, prompt.back(), false, now));
             } else if (kind == 3) {
-                noteMissing(book, engine, prompt, now);
+                recordMissing(book, engine, prompt, now);
                 for (const PromptPrefix &prefix : prompt) {
                     const auto row = naive.rows.find({engine, prefix.hash});
                     if (row == naive.rows.end())
                         continue;
                     row->second.tokens = 0;
-                    row->second.doubtedUntil = now + doubtHolds;
+                    row->second.doubtedUntil = now + missingPrefixHold;
                 }
             } else if (kind == 4) {
                 const double tokens = *rc::gen::inRange(0, 8000);
-                holdTo(book, engine, tokens);
-                naive.holdTo(engine, tokens);
+                evictToFit(book, engine, tokens);
+                naive.evictToFit(engine, tokens);
             } else {
                 const bool whole = kind == 5;
                 const auto tag = prefixTag(prompt[0].hash);
@@ -128,7 +128,8 @@
             for (std::uint64_t asked = 1; asked < 4; ++asked) {
                 const auto any = promptOf(adapter, 3);
                 const auto of = book.engines.find(asked);
-                RC_ASSERT(keptTokens(book, asked, any) == naive.keptTokens(asked, any));
+                RC_ASSERT(cachedPrefixTokens(book, asked, any)
+                          == naive.cachedPrefixTokens(asked, any));
                 RC_ASSERT((of == book.engines.end() ? 0 : of->second.tokens)
                           == naive.tokensAt(asked));
             }
@@ -139,7 +140,7 @@
 // Guards against memory that grows with the calls or with engines that are named on the wire.
 Test(prefixes, the_book_is_bounded)
 {
-    PrefixBook book;
+    PrefixIndex book;
     std::uint64_t hash = 0;
     const auto total = [&book] {
         std::size_t sum = 0;
@@ -147,25 +148,25 @@
             sum += of.kept.size();
         return sum;
     };
-    for (std::uint64_t read = 0; read < 2 * mostPrefixesOfEngine; ++read)
+    for (std::uint64_t read = 0; read < 2 * maxPrefixesPerEngine; ++read)
         noteHeard(book, 1, {++hash, 1000}, start + read * 1ms);
-    cr_assert_eq(book.engines.at(1).kept.size(), mostPrefixesOfEngine);
-    cr_assert_eq(keptTokens(book, 1, {{hash, 1000}}), 1000);
-    cr_assert_eq(keptTokens(book, 1, {{1, 1000}}), 0, "what was read first goes first");
+    cr_assert_eq(book.engines.at(1).kept.size(), maxPrefixesPerEngine);
+    cr_assert_eq(cachedPrefixTokens(book, 1, {{hash, 1000}}), 1000);
+    cr_assert_eq(cachedPrefixTokens(book, 1, {{1, 1000}}), 0, "what was read first goes first");
     std::size_t most = 0;
     for (std::uint64_t engine = 2; engine < 600; ++engine) {
         for (int read = 0; read < 300; ++read)
             noteHeard(book, engine, {++hash, 1000}, start + 1s);
         most = std::max(most, total());
     }
-    cr_assert_leq(most, mostPrefixesInBook);
-    for (std::uint64_t engine = 600; engine < 2 * mostEnginesInBook; ++engine)
+    cr_assert_leq(most, maxPrefixesInIndex);
+    for (std::uint64_t engine = 600; engine < 2 * maxEnginesInIndex; ++engine)
         noteHeard(book, engine, {++hash, 1000}, start + 2s);
-    cr_assert_eq(book.engines.size(), mostEnginesInBook);
-    cr_assert_leq(total(), mostPrefixesInBook);
-    forgetUnused(book, start + 2s + bookHolds + 1ms);
+    cr_assert_eq(book.engines.size(), maxEnginesInIndex);
+    cr_assert_leq(total(), maxPrefixesInIndex);
+    forgetUnused(book, start + 2s + unusedEngineExpiry + 1ms);
     cr_assert(book.engines.empty());
-    cr_assert_eq(book.limit, mostPrefixesOfEngine);
+    cr_assert_eq(book.limit, maxPrefixesPerEngine);
 }
 
 // Guards against estimates for a prompt of another adapter, or one that only ends alike.
@@ -185,7 +186,7 @@
     cr_assert(promptPrefixes("m/x", {{"bad", 20'000}}, 9190).empty(), "more than the prompt");
     cr_assert(promptPrefixes("m/x", {}, 9190).empty());
     const std::vector<PromptPart> many(100, PromptPart{"p", 10});
-    cr_assert_eq(promptPrefixes("m/x", many, 9190).size(), mostPrefixes);
+    cr_assert_eq(promptPrefixes("m/x", many, 9190).size(), maxPrefixes);
 }
 
 // Guards against a belief that is never given up, and against one that is given up because the
@@ -193,7 +194,7 @@
 Test(prefixes, only_a_whole_reading_at_a_calm_engine_shows_that_a_prefix_is_missing)
 {
     const auto missing = [](Duration untilFirst, double kept, double ahead) {
-        return showsMissing({untilFirst, 8000, kept, ahead}, 40);
+        return indicatesCacheMiss({untilFirst, 8000, kept, ahead}, 40);
     };
     cr_assert(missing(210ms, 6000, 0));
     cr_assert(!missing(60ms, 6000, 0), "it was read from the cache");
@@ -201,9 +202,9 @@
     cr_assert(!missing(500ms, 6000, 0), "something else held it up");
     cr_assert(!missing(210ms, 1500, 0), "too small a part to show");
     cr_assert(!missing(210ms, 0, 0));
-    cr_assert_eq(memoryForPrefixes(200'000, 80'000), 120'000);
-    cr_assert_eq(memoryForPrefixes(200'000, 190'000), 50'000);
-    cr_assert_gt(memoryForPrefixes(0, 10), 1e12, "an engine that names no memory");
+    cr_assert_eq(prefixCacheCapacity(200'000, 80'000), 120'000);
+    cr_assert_eq(prefixCacheCapacity(200'000, 190'000), 50'000);
+    cr_assert_gt(prefixCacheCapacity(0, 10), 1e12, "an engine that names no memory");
 }
 
 // Guards against entries that are lost with one message, and against logs and messages that grow
@@ -215,7 +216,7 @@
         std::vector<LoggedPrefix> all;
         PrefixReader reader;
         reader.mate = true;
-        reader.teller = 1;
+        reader.sourceVm = 1;
         std::set<PrefixRead> had;
         std::uint64_t number = 0;
         Instant now = start;
@@ -225,18 +226,18 @@
             const auto added = *rc::gen::inRange(0, 500);
             for (int entry = 0; entry < added; ++entry) {
                 const auto source = static_cast<PrefixSource>(entry % 3);
-                const std::uint64_t teller = static_cast<std::uint64_t>(entry) % 4;
+                const std::uint64_t sourceVm = static_cast<std::uint64_t>(entry) % 4;
                 ++number;
-                logPrefix(log, {number % 7, {number, 2000}}, source, teller, now);
+                logPrefix(log, {number % 7, {number, 2000}}, source, sourceVm, now);
                 all.push_back(log.entries.back());
             }
-            RC_ASSERT(log.entries.size() <= mostPrefixesLogged);
+            RC_ASSERT(log.entries.size() <= maxPrefixLogEntries);
             std::vector<PrefixRead> wanted;
             for (auto entry = all.rbegin(); entry != all.rend(); ++entry) {
-                const bool logged = all.size() - (entry->number - 1) <= mostPrefixesLogged;
-                const bool due = entry->number > reader.seen && entry->teller != reader.teller;
-                if (logged && due && now - entry->at <= prefixToldFor
-                    && wanted.size() < mostPrefixesTold)
+                const bool logged = all.size() - (entry->number - 1) <= maxPrefixLogEntries;
+                const bool due = entry->number > reader.seen && entry->sourceVm != reader.sourceVm;
+                if (logged && due && now - entry->at <= prefixLogRetention
+                    && wanted.size() < maxPrefixesPerMessage)
                     wanted.push_back(entry->read);
             }
             std::sort(wanted.begin(), wanted.end());
--- a/libs/serving/tests/Queue.cpp
+++ b/libs/serving/tests/Queue.cpp
@@ -15,24 +15,24 @@
 constexpr Duration loadTime = 300ms;
 
 /** An engine with so many loads under way, each of which is done a load's time after `start`. */
-OrderDesk busyDesk(int loads)
+AdapterScheduler busyScheduler(int loads)
 {
-    OrderDesk desk;
-    desk.adapterSlots = 11;
+    AdapterScheduler scheduler;
+    scheduler.adapterSlots = 11;
     for (int load = 0; load < loads; ++load) {
-        SlotUse &slot = desk.slots["m/" + std::to_string(load)];
+        AdapterSlot &slot = scheduler.slots["m/" + std::to_string(load)];
         slot.loading = true;
         slot.readyAt = start + loadTime;
     }
-    return desk;
+    return scheduler;
 }
 
 } // namespace
 
 Test(load_queue, an_idle_engine_begins_at_once)
 {
-    cr_assert(expectedBegin(busyDesk(0), 0, loadTime, start) == start);
-    cr_assert(expectedBegin(busyDesk(3), 0, loadTime, start) == start);
+    cr_assert(expectedBegin(busyScheduler(0), 0, loadTime, start) == start);
+    cr_assert(expectedBegin(busyScheduler(3), 0, loadTime, start) == start);
 }
 
 // Symptom: callers with an objective of 500 ms were refused after 802 ms, when the wait for a load
@@ -43,28 +43,28 @@
 // its time was over.
 Test(load_queue, a_load_behind_a_long_queue_is_known_to_begin_late)
 {
-    const OrderDesk desk = busyDesk(maxLoadsPerEngine);
-    cr_assert(expectedBegin(desk, 0, loadTime, start) == start + loadTime);
-    cr_assert(expectedBegin(desk, maxLoadsPerEngine - 1, loadTime, start) == start + loadTime);
-    cr_assert(expectedBegin(desk, maxLoadsPerEngine, loadTime, start) == start + 2 * loadTime);
-    cr_assert(expectedBegin(busyDesk(0), 0, loadTime, start + 310ms) == start + 310ms,
+    const AdapterScheduler scheduler = busyScheduler(maxLoadsPerEngine);
+    cr_assert(expectedBegin(scheduler, 0, loadTime, start) == start + loadTime);
+    cr_assert(expectedBegin(scheduler, maxLoadsPerEngine - 1, loadTime, start) == start + loadTime);
+    cr_assert(expectedBegin(scheduler, maxLoadsPerEngine, loadTime, start) == start + 2 * loadTime);
+    cr_assert(expectedBegin(busyScheduler(0), 0, loadTime, start + 310ms) == start + 310ms,
               "an order that was not answered delays all");
 }
 
 Test(load_queue, among_equals_who_came_first_goes_first_and_an_adapter_counts_once)
 {
     LoadQueue queue;
-    const OrderDesk desk;
+    const AdapterScheduler scheduler;
     joinQueue(queue, "m/a", 0);
     joinQueue(queue, "m/b", 0);
     joinQueue(queue, "m/a", 0);
-    cr_assert_eq(loadsAhead(queue, desk, "m/a"), 0);
-    cr_assert_eq(loadsAhead(queue, desk, "m/b"), 1);
-    cr_assert_eq(loadsAhead(queue, desk, "m/c"), 2);
+    cr_assert_eq(loadsAhead(queue, scheduler, "m/a"), 0);
+    cr_assert_eq(loadsAhead(queue, scheduler, "m/b"), 1);
+    cr_assert_eq(loadsAhead(queue, scheduler, "m/c"), 2);
     leaveQueue(queue, "m/a");
-    cr_assert_eq(loadsAhead(queue, desk, "m/b"), 1);
+    cr_assert_eq(loadsAhead(queue, scheduler, "m/b"), 1);
     leaveQueue(queue, "m/a");
-    cr_assert_eq(loadsAhead(queue, desk, "m/b"), 0);
+    cr_assert_eq(loadsAhead(queue, scheduler, "m/b"), 0);
 }
 
 // Symptom: the most urgent calls were served worst. Guards against loads that are ordered as they
@@ -73,7 +73,7 @@
 {
     cr_assert(rc::check("order of loads", [] {
         LoadQueue queue;
-        OrderDesk desk;
+        AdapterScheduler scheduler;
         std::vector<std::array<int, 4>> naive; // rank, callers taken off, arrival, adapter
         for (int index = 0; index < 6; ++index) {
             const std::string adapter = "m/" + std::to_string(index);
@@ -85,14 +85,14 @@
                 least = std::min(least, rank);
             }
             if (*rc::gen::inRange(0, 4) == 0)
-                desk.slots[adapter].loading = true;
+                scheduler.slots[adapter].loading = true;
             else
                 naive.push_back({least, -callers, index, index});
         }
         std::sort(naive.begin(), naive.end());
         for (std::size_t turn = 0; turn < naive.size(); ++turn) {
             const std::string adapter = "m/" + std::to_string(naive[turn][3]);
-            RC_ASSERT(loadsAhead(queue, desk, adapter) == static_cast<int>(turn));
+            RC_ASSERT(loadsAhead(queue, scheduler, adapter) == static_cast<int>(turn));
         }
     }));
 }
--- a/libs/serving/tests/Relays.cpp
+++ b/libs/serving/tests/Relays.cpp
@@ -6,7 +6,7 @@
 
 #include "serving/ChangeLog.h"
 #include "serving/EngineRecord.h"
-#include "serving/UseLedger.h"
+#include "serving/UsageLedger.h"
 #include "serving/ZoneRelay.h"
 
 using namespace monsoonbay;
@@ -16,26 +16,26 @@
 
 const Instant start = Instant{} + 1000s;
 
-RelayMate mate(double capacity, std::uint64_t hash)
+ZonePeer mate(double capacity, std::uint64_t hash)
 {
-    RelayMate made;
+    ZonePeer made;
     made.rank.capacity = capacity;
     made.rank.hash = hash;
     return made;
 }
 
-TargetUses useOf(const std::string &target, int runs, double tokens)
+TargetUsages useOf(const std::string &target, int runs, double tokens)
 {
-    TargetUse use;
+    TargetUsage use;
     use.runs = runs;
     use.waitingTokens = tokens;
     use.heldTokens = 2 * tokens;
     return {{target, use}};
 }
 
-UseReport reportOf(TargetUses uses, Instant at)
+ReporterUsage reportOf(TargetUsages uses, Instant at)
 {
-    UseReport report;
+    ReporterUsage report;
     report.uses = std::move(uses);
     report.at = at;
     return report;
@@ -48,9 +48,9 @@
     RelayRank self;
     self.capacity = 0.25;
     self.hash = 5;
-    std::vector<RelayMate> mates{mate(0.5, 9), mate(0.25, 1)};
+    std::vector<ZonePeer> mates{mate(0.5, 9), mate(0.25, 1)};
     cr_assert_eq(chooseUpstream(self, false, mates), std::optional<std::size_t>(0));
-    mates[0].rank.storeAway = true;
+    mates[0].rank.storeUnreachable = true;
     cr_assert_eq(chooseUpstream(self, false, mates), std::optional<std::size_t>(1));
     mates[1].reachable = false;
     cr_assert(!chooseUpstream(self, false, mates));
@@ -64,7 +64,7 @@
 {
     RelayRank self;
     self.capacity = 0.5;
-    std::vector<RelayMate> mates{mate(0.25, 1)};
+    std::vector<ZonePeer> mates{mate(0.25, 1)};
     cr_assert(isRelay(self, true, mates));
     cr_assert(!chooseUpstream(self, false, mates));
     cr_assert_eq(chooseUpstream(self, true, mates), std::optional<std::size_t>(0));
@@ -77,7 +77,7 @@
 {
     RelayRank self;
     self.capacity = 0.25;
-    std::vector<RelayMate> mates{mate(0.5, 1)};
+    std::vector<ZonePeer> mates{mate(0.5, 1)};
     mates[0].starting = true;
     cr_assert(!chooseUpstream(self, false, mates));
     cr_assert(isRelay(self, false, mates));
@@ -90,17 +90,17 @@
 {
     const bool holds = rc::check("one relay", [] {
         const int count = *rc::gen::inRange(1, 12);
-        std::vector<RelayMate> all;
+        std::vector<ZonePeer> all;
         for (int vm = 0; vm < count; ++vm) {
-            RelayMate made =
+            ZonePeer made =
                 mate(*rc::gen::element(0.12, 0.25, 0.5), static_cast<std::uint64_t>(vm));
-            made.rank.storeAway = *rc::gen::arbitrary<bool>();
+            made.rank.storeUnreachable = *rc::gen::arbitrary<bool>();
             all.push_back(made);
         }
         int relays = 0;
         std::set<std::uint64_t> upstreams;
         for (int vm = 0; vm < count; ++vm) {
-            std::vector<RelayMate> others = all;
+            std::vector<ZonePeer> others = all;
             others.erase(others.begin() + vm);
             const RelayRank &self = all[static_cast<std::size_t>(vm)].rank;
             const auto upstream = chooseUpstream(self, false, others);
@@ -116,9 +116,9 @@
 
 Test(relays, holders_are_the_best_ranked_that_can_be_reached)
 {
-    std::vector<RelayMate> mates{mate(0.12, 1), mate(0.5, 2), mate(0.25, 3), mate(0.25, 4)};
+    std::vector<ZonePeer> mates{mate(0.12, 1), mate(0.5, 2), mate(0.25, 3), mate(0.25, 4)};
     mates[2].reachable = false;
-    cr_assert_eq(chooseHolders(mates, 2), (std::vector<std::size_t>{1, 3}));
+    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{1, 3}));
 }
 
 // Symptom: when another VM became the relay, engines of the zone got no orders for 3 to 6 s.
@@ -126,24 +126,24 @@
 // former one did, and the store deals all engines anew. Cause: who holds already did not count.
 Test(relays, those_that_hold_already_go_on)
 {
-    std::vector<RelayMate> mates{mate(0.5, 1), mate(0.25, 2), mate(0.12, 3), mate(0.12, 4)};
+    std::vector<ZonePeer> mates{mate(0.5, 1), mate(0.25, 2), mate(0.12, 3), mate(0.12, 4)};
     mates[2].holding = true;
     mates[3].holding = true;
-    mates[3].rank.storeAway = true;
-    cr_assert_eq(chooseHolders(mates, 2), (std::vector<std::size_t>{2, 3}));
+    mates[3].rank.storeUnreachable = true;
+    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{2, 3}));
     mates[2].reachable = false;
-    cr_assert_eq(chooseHolders(mates, 2), (std::vector<std::size_t>{3, 0}));
+    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{3, 0}));
 }
 
 // Guards against engines that nobody orders, as the VMs that may do so do not reach them.
 Test(relays, a_mate_that_reaches_no_engines_orders_none_while_others_can)
 {
-    std::vector<RelayMate> mates{mate(0.25, 1), mate(0.25, 2), mate(0.25, 3)};
+    std::vector<ZonePeer> mates{mate(0.25, 1), mate(0.25, 2), mate(0.25, 3)};
     mates[0].holding = true;
     mates[0].linksLost = true;
-    cr_assert_eq(chooseHolders(mates, 2), (std::vector<std::size_t>{1, 2}));
+    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{1, 2}));
     mates[1].linksLost = true;
-    cr_assert_eq(chooseHolders(mates, 2), (std::vector<std::size_t>{2, 0}));
+    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{2, 0}));
 }
 
 // The sum must be the same as adding all reports up anew, whatever came, went and was replaced:
@@ -151,8 +151,8 @@
 Test(relays, the_ledger_is_the_sum_of_the_newest_reports)
 {
     const bool holds = rc::check("sum", [] {
-        UseLedger ledger;
-        std::map<std::string, UseReport> naive;
+        UsageLedger ledger;
+        std::map<std::string, ReporterUsage> naive;
         Instant now = start;
         const int steps = *rc::gen::inRange(1, 40);
         for (int step = 0; step < steps; ++step) {
@@ -160,8 +160,8 @@
             const std::string reporter = "vm-" + std::to_string(*rc::gen::inRange(0, 4));
             const std::string target = "t-" + std::to_string(*rc::gen::inRange(0, 3));
             const int runs = *rc::gen::inRange(0, 5);
-            const UseReport report = reportOf(useOf(target, runs, 100.0 * runs), now);
-            noteReport(ledger, reporter, report);
+            const ReporterUsage report = reportOf(useOf(target, runs, 100.0 * runs), now);
+            applyReport(ledger, reporter, report);
             naive[reporter] = report;
             if (*rc::gen::inRange(0, 5) == 0) {
                 dropSilent(ledger, 300ms, now);
@@ -189,11 +189,11 @@
 
 Test(relays, a_reporter_is_not_told_its_own_use)
 {
-    UseLedger ledger;
-    noteReport(ledger, "a", reportOf(useOf("t", 3, 300), start));
-    noteReport(ledger, "b", reportOf(useOf("t", 2, 200), start));
-    cr_assert_eq(usesExcept(ledger, "a").at("t").runs, 2);
-    cr_assert_eq(usesExcept(ledger, "nobody").at("t").runs, 5);
+    UsageLedger ledger;
+    applyReport(ledger, "a", reportOf(useOf("t", 3, 300), start));
+    applyReport(ledger, "b", reportOf(useOf("t", 2, 200), start));
+    cr_assert_eq(usagesExcept(ledger, "a").at("t").runs, 2);
+    cr_assert_eq(usagesExcept(ledger, "nobody").at("t").runs, 5);
 }
 
 // Symptom would be calls sent to engines that lost their adapter. Sequence: a holder gives an
--- a/libs/serving/tests/Retries.cpp
+++ b/libs/serving/tests/Retries.cpp
@@ -66,18 +66,18 @@
             Vm &vm = all[static_cast<std::size_t>(happening.vm)];
             if (happening.kind == Kind::Restart) {
                 vm = Vm();
-                vm.sharing.from = slackAfterStart(policy, now);
+                vm.sharing.from = slackAvailableFrom(policy, now);
                 vm.knowsOthersAt = now + 300ms;
                 continue;
             }
             if (now >= vm.knowsOthersAt)
                 vm.sharing.vms = vms;
             if (happening.kind == Kind::Call) {
-                noteCall(vm.budget, policy, now);
+                recordCall(vm.budget, policy, now);
                 calls.push_back(now);
                 continue;
             }
-            if (!takeRepeat(vm.budget, policy, vm.sharing, now))
+            if (!tryTakeRetry(vm.budget, policy, vm.sharing, now))
                 continue;
             repeats.push_back(now);
             while (!repeats.empty() && now - repeats.front() > policy.window)
@@ -103,11 +103,11 @@
         for (int step = 0; step < 400; ++step) {
             now += std::chrono::milliseconds(*rc::gen::inRange(0, 120));
             while (!waiting.empty() && waiting.begin()->first <= now) {
-                noteRepeatSent(budget, policy, waiting.begin()->second, now);
+                recordRetrySent(budget, policy, waiting.begin()->second, now);
                 waiting.erase(waiting.begin());
                 sent.push_back(now);
             }
-            if (takeRepeat(budget, policy, among(1), now))
+            if (tryTakeRetry(budget, policy, among(1), now))
                 waiting.emplace(now + std::chrono::milliseconds(*rc::gen::inRange(0, 4200)), now);
             while (!sent.empty() && now - sent.front() > policy.window)
                 sent.pop_front();
@@ -123,11 +123,11 @@
     ServiceRetryBudget budget;
     Instant now = Instant{} + 100s;
     int taken = 0;
-    while (takeRepeat(budget, policy, among(1), now))
+    while (tryTakeRetry(budget, policy, among(1), now))
         ++taken;
     cr_assert_eq(taken, 9);
-    cr_assert(!takeRepeat(budget, policy, among(1), now + 5s));
-    cr_assert(takeRepeat(budget, policy, among(1), now + 11s));
+    cr_assert(!tryTakeRetry(budget, policy, among(1), now + 5s));
+    cr_assert(tryTakeRetry(budget, policy, among(1), now + 11s));
 }
 
 // Guards against the whole slack for each VM that does not know yet how many others there are.
@@ -136,10 +136,10 @@
     RetryPolicy policy;
     ServiceRetryBudget budget;
     const Instant now = Instant{} + 100s;
-    cr_assert(!takeRepeat(budget, policy, among(0), now));
+    cr_assert(!tryTakeRetry(budget, policy, among(0), now));
     for (int call = 0; call < 100; ++call)
-        noteCall(budget, policy, now);
-    cr_assert(takeRepeat(budget, policy, among(0), now), "its own calls' part is its own");
+        recordCall(budget, policy, now);
+    cr_assert(tryTakeRetry(budget, policy, among(0), now), "its own calls' part is its own");
 }
 
 // Guards against a part of the slack for each start of a VM instead of one for each VM.
@@ -149,7 +149,7 @@
     ServiceRetryBudget budget;
     const Instant start = Instant{} + 100s;
     SlackSharing sharing = among(1);
-    sharing.from = slackAfterStart(policy, start);
-    cr_assert(!takeRepeat(budget, policy, sharing, start + policy.window));
-    cr_assert(takeRepeat(budget, policy, sharing, start + policy.window + 1s));
+    sharing.from = slackAvailableFrom(policy, start);
+    cr_assert(!tryTakeRetry(budget, policy, sharing, start + policy.window));
+    cr_assert(tryTakeRetry(budget, policy, sharing, start + policy.window + 1s));
 }
--- a/libs/serving/tests/Routes.cpp
+++ b/libs/serving/tests/Routes.cpp
@@ -113,9 +113,9 @@
 {
     Route any = route("one", "/");
     any.kind = CallKind::Streaming;
-    cr_assert(!mayRepeat(any));
+    cr_assert(!mayRetry(any));
     any.resumable = true;
-    cr_assert(mayRepeat(any));
+    cr_assert(mayRetry(any));
     any.kind = CallKind::NonIdempotent;
-    cr_assert(!mayRepeat(any));
+    cr_assert(!mayRetry(any));
 }
--- a/libs/serving/tests/StreamOrigins.cpp
+++ b/libs/serving/tests/StreamOrigins.cpp
@@ -24,7 +24,7 @@
 std::set<std::string> keeperNames(StreamId id, const std::vector<std::string> &names)
 {
     std::set<std::string> chosen;
-    for (const std::size_t index : keepersOf(id, names, 2))
+    for (const std::size_t index : chooseReplicas(id, names, 2))
         chosen.insert(names[index]);
     return chosen;
 }
@@ -37,8 +37,8 @@
     StreamOrigins origins;
     const StreamId id = streamIdOf("attempt-1");
     cr_assert(!originOf(origins, id, start));
-    noteOrigin(origins, id, {"v1", start + 8s}, start);
-    noteOrigin(origins, id, {"v2", start + 20s}, start + 1s);
+    recordOrigin(origins, id, {"v1", start + 8s}, start);
+    recordOrigin(origins, id, {"v2", start + 20s}, start + 1s);
     cr_assert_eq(originOf(origins, id, start + 7s).value(), "v1", "what was noted first holds");
     cr_assert(!originOf(origins, id, start + 8s));
     forgetOrigins(origins, start + 8s);
@@ -50,11 +50,11 @@
 Test(stream_origins, their_number_is_bounded_and_the_oldest_go_first)
 {
     StreamOrigins origins;
-    for (StreamId id = 0; id <= mostStreamOrigins; ++id)
-        noteOrigin(origins, id, {"v1", start + 1h}, start);
-    cr_assert_eq(origins.byId.size(), mostStreamOrigins);
+    for (StreamId id = 0; id <= maxStreamOrigins; ++id)
+        recordOrigin(origins, id, {"v1", start + 1h}, start);
+    cr_assert_eq(origins.byId.size(), maxStreamOrigins);
     cr_assert(!originOf(origins, 0, start));
-    cr_assert(originOf(origins, mostStreamOrigins, start).has_value());
+    cr_assert(originOf(origins, maxStreamOrigins, start).has_value());
 }
 
 // Guards against VMs that tell some and ask others, as their lists are in another order or one
@@ -97,11 +97,11 @@
 {
     SoftwareVersions versions;
     cr_assert(!onlySoftware(versions, start));
-    noteSoftware(versions, "v1", start);
+    recordSoftware(versions, "v1", start);
     cr_assert_eq(onlySoftware(versions, start - 8s).value(), "v1");
-    noteSoftware(versions, "v2", start + 5s);
+    recordSoftware(versions, "v2", start + 5s);
     cr_assert(!onlySoftware(versions, start + 5s - 8s));
-    noteSoftware(versions, "v2", start + 9s);
+    recordSoftware(versions, "v2", start + 9s);
     cr_assert_eq(onlySoftware(versions, start + 9s - 8s).value(), "v2", "v1 took none for 9 s");
     forgetSoftware(versions, start + 1s);
     cr_assert_eq(versions.seen.size(), 1);
@@ -112,12 +112,12 @@
 Test(software_versions, what_has_no_name_beside_named_versions_is_none)
 {
     SoftwareVersions versions;
-    noteSoftware(versions, "", start);
+    recordSoftware(versions, "", start);
     cr_assert_eq(onlySoftware(versions, start).value(), "", "no target names one");
     cr_assert(!namesVersions(versions));
     SoftwareVersions named;
-    noteSoftware(named, "v1", start);
-    noteSoftware(named, "", start);
+    recordSoftware(named, "v1", start);
+    recordSoftware(named, "", start);
     cr_assert(namesVersions(named));
     cr_assert_eq(onlySoftware(named, start).value(), "v1");
     cr_assert(!isSettled(named, "", start + 1h));
@@ -129,11 +129,11 @@
 {
     SoftwareVersions versions;
     cr_assert(isSettled(versions, "v1", start), "nothing is known yet");
-    noteSoftware(versions, "v1", start);
+    recordSoftware(versions, "v1", start);
     cr_assert(isSettled(versions, "v1", start), "there is no other");
     cr_assert(!isSettled(versions, "v2", start + 5s), "it has not been looked at");
-    noteSoftware(versions, "v2", start + 5s);
-    cr_assert(!isSettled(versions, "v2", start + 5s + softwareSettles - 1ms));
-    cr_assert(isSettled(versions, "v2", start + 5s + softwareSettles));
+    recordSoftware(versions, "v2", start + 5s);
+    cr_assert(!isSettled(versions, "v2", start + 5s + softwareSettleTime - 1ms));
+    cr_assert(isSettled(versions, "v2", start + 5s + softwareSettleTime));
     cr_assert(isSettled(versions, "v1", start + 6s));
 }
--- a/libs/serving/tests/Targets.cpp
+++ b/libs/serving/tests/Targets.cpp
@@ -4,8 +4,8 @@
 #include <rapidcheck.h>
 
 #include "serving/PlainChoice.h"
-#include "serving/TargetBook.h"
 #include "serving/TargetHealth.h"
+#include "serving/TargetTable.h"
 
 using namespace monsoonbay;
 using namespace std::chrono_literals;
@@ -23,12 +23,12 @@
 }
 
 /** A book that follows a list with these targets at `start`. */
-TargetBook following(const std::vector<std::string> &ids)
+TargetTable following(const std::vector<std::string> &ids)
 {
-    TargetBook book;
-    noteListRead(book, start);
+    TargetTable book;
+    recordListRead(book, start);
     for (const std::string &id : ids)
-        noteListed(book, entry(id));
+        recordListed(book, entry(id));
     return book;
 }
 
@@ -36,9 +36,9 @@
 
 Test(targets, a_removed_target_gets_nothing_at_once)
 {
-    TargetBook book = following({"a", "b"});
-    noteListRead(book, start + 700ms);
-    noteRemoved(book, "a", start + 700ms);
+    TargetTable book = following({"a", "b"});
+    recordListRead(book, start + 700ms);
+    recordRemoved(book, "a", start + 700ms);
     cr_assert(!mayTakeWork(book.records.at("a")));
     cr_assert_eq(dropGone(book, start + 700ms), std::vector<std::string>{"a"});
     cr_assert(mayTakeWork(book.records.at("b")));
@@ -48,10 +48,10 @@
 // be missing after one.
 Test(targets, a_removal_is_waited_for_until_the_outage_is_over_for_long_enough)
 {
-    TargetBook book = following({"left"});
-    noteListFailed(book, start + 1s);
-    noteListRead(book, start + 5s);
-    noteRemoved(book, "left", start + 7s);
+    TargetTable book = following({"left"});
+    recordListFailure(book, start + 1s);
+    recordListRead(book, start + 5s);
+    recordRemoved(book, "left", start + 7s);
     cr_assert(dropGone(book, start + 7s).empty());
     cr_assert_eq(dropGone(book, start + 5s + relistGrace), std::vector<std::string>{"left"});
 }
@@ -59,13 +59,13 @@
 // Guards against calls to a target that has left, by a VM whose relay reads the list late.
 Test(targets, a_list_that_nobody_has_read_lately_is_old)
 {
-    const TargetBook never;
-    cr_assert(!isListOld(never, start), "there is none yet");
-    TargetBook book = following({"a"});
-    cr_assert(!isListOld(book, start + 1s));
-    cr_assert(isListOld(book, start + 1200ms));
-    noteListReadByPeer(book, start + 700ms, Duration::zero(), start + 1200ms);
-    cr_assert(!isListOld(book, start + 1200ms));
+    const TargetTable never;
+    cr_assert(!isListStale(never, start), "there is none yet");
+    TargetTable book = following({"a"});
+    cr_assert(!isListStale(book, start + 1s));
+    cr_assert(isListStale(book, start + 1200ms));
+    recordPeerListRead(book, start + 700ms, Duration::zero(), start + 1200ms);
+    cr_assert(!isListStale(book, start + 1200ms));
 }
 
 // Symptom: after an outage of the store a service had no targets for two seconds. Sequence: the
@@ -73,18 +73,18 @@
 // the targets could renew their entries. Cause: expiries taken for departures.
 Test(targets, entries_that_expired_in_an_outage_are_waited_for)
 {
-    TargetBook book = following({"back", "dead"});
+    TargetTable book = following({"back", "dead"});
     const Instant returned = start + 5s;
-    noteListFailed(book, start + 700ms);
-    noteListFailed(book, start + 4s);
-    noteListRead(book, returned);
-    noteRemoved(book, "back", returned);
-    noteRemoved(book, "dead", returned);
+    recordListFailure(book, start + 700ms);
+    recordListFailure(book, start + 4s);
+    recordListRead(book, returned);
+    recordRemoved(book, "back", returned);
+    recordRemoved(book, "dead", returned);
     cr_assert(dropGone(book, returned + 1s).empty());
     cr_assert(mayTakeWork(book.records.at("back")));
-    noteListRead(book, returned + 1s);
-    noteListed(book, entry("back"));
-    noteListRead(book, returned + 2300ms);
+    recordListRead(book, returned + 1s);
+    recordListed(book, entry("back"));
+    recordListRead(book, returned + 2300ms);
     cr_assert_eq(dropGone(book, returned + 2300ms), std::vector<std::string>{"dead"});
     cr_assert_eq(book.records.count("back"), 1);
 }
@@ -93,23 +93,23 @@
 // entry by a read that lags. Cause: the last entry read was believed.
 Test(targets, leaving_is_never_taken_back)
 {
-    TargetBook book = following({"a"});
+    TargetTable book = following({"a"});
     TargetEntry leaving = entry("a");
     leaving.leaving = true;
-    noteListed(book, leaving);
-    noteListed(book, entry("a"));
+    recordListed(book, leaving);
+    recordListed(book, entry("a"));
     cr_assert(!mayTakeWork(book.records.at("a")));
 }
 
 Test(targets, leaving_in_an_outage_is_not_waited_for)
 {
-    TargetBook book = following({"a"});
+    TargetTable book = following({"a"});
     TargetEntry leaving = entry("a");
     leaving.leaving = true;
-    noteListed(book, leaving);
-    noteListFailed(book, start + 700ms);
-    noteListRead(book, start + 5s);
-    noteRemoved(book, "a", start + 5s);
+    recordListed(book, leaving);
+    recordListFailure(book, start + 700ms);
+    recordListRead(book, start + 5s);
+    recordRemoved(book, "a", start + 5s);
     cr_assert_eq(dropGone(book, start + 5s).size(), 1);
 }
 
@@ -118,20 +118,20 @@
 // reads it a while later. Cause: a pause without reads taken for an outage of the store.
 Test(targets, a_pause_between_two_readers_is_no_outage)
 {
-    TargetBook book = following({"a"});
-    noteListReadByPeer(book, start + 1s, 0ms, start + 1s);
-    noteListRead(book, start + 4s);
-    noteRemoved(book, "a", start + 4s);
+    TargetTable book = following({"a"});
+    recordPeerListRead(book, start + 1s, 0ms, start + 1s);
+    recordListRead(book, start + 4s);
+    recordRemoved(book, "a", start + 4s);
     cr_assert_eq(dropGone(book, start + 4s).size(), 1);
 }
 
 // The counterpart: the former reader was failing, and told so.
 Test(targets, an_outage_that_a_peer_saw_counts_for_the_next_reader)
 {
-    TargetBook book = following({"a"});
-    noteListReadByPeer(book, start, 3s, start + 3s);
-    noteListRead(book, start + 4s);
-    noteRemoved(book, "a", start + 4s);
+    TargetTable book = following({"a"});
+    recordPeerListRead(book, start, 3s, start + 3s);
+    recordListRead(book, start + 4s);
+    recordRemoved(book, "a", start + 4s);
     cr_assert(dropGone(book, start + 4s).empty());
 }
 
@@ -141,12 +141,12 @@
 // taken like a removal that this VM had read itself, outside of an outage.
 Test(targets, a_peers_removal_in_an_outage_is_waited_for)
 {
-    TargetBook book = following({"a"});
-    noteListFailed(book, start + 700ms);
-    noteRemoved(book, "a", start + 8s);
+    TargetTable book = following({"a"});
+    recordListFailure(book, start + 700ms);
+    recordRemoved(book, "a", start + 8s);
     cr_assert(dropGone(book, start + 8s).empty());
     cr_assert(mayTakeWork(book.records.at("a")));
-    noteListRead(book, start + 8100ms);
+    recordListRead(book, start + 8100ms);
     cr_assert(dropGone(book, start + 9s).empty());
     cr_assert_eq(dropGone(book, start + 10400ms).size(), 1);
 }
@@ -155,19 +155,19 @@
 // tells what it knows. Cause: that mate knew of no failure, and its word ended the outage.
 Test(targets, the_word_of_one_that_does_not_read_ends_no_outage)
 {
-    TargetBook book = following({"a"});
-    noteListFailed(book, start + 700ms);
-    noteListReadByPeer(book, start, 0ms, start + 4s);
-    noteListRead(book, start + 5s);
-    noteRemoved(book, "a", start + 5s);
+    TargetTable book = following({"a"});
+    recordListFailure(book, start + 700ms);
+    recordPeerListRead(book, start, 0ms, start + 4s);
+    recordListRead(book, start + 5s);
+    recordRemoved(book, "a", start + 5s);
     cr_assert(dropGone(book, start + 5s).empty());
 }
 
 Test(targets, a_whole_list_removes_what_it_lacks)
 {
-    TargetBook book = following({"a", "b"});
-    noteListRead(book, start + 100ms);
-    noteWholeList(book, {entry("b"), entry("c")}, {}, start + 100ms);
+    TargetTable book = following({"a", "b"});
+    recordListRead(book, start + 100ms);
+    recordFullList(book, {entry("b"), entry("c")}, {}, start + 100ms);
     cr_assert_eq(dropGone(book, start + 100ms), std::vector<std::string>{"a"});
     cr_assert_eq(book.records.size(), 2);
 }
@@ -177,9 +177,9 @@
 // for one that was removed.
 Test(targets, an_entry_that_cannot_be_read_removes_nothing)
 {
-    TargetBook book = following({"a", "b"});
-    noteListRead(book, start + 100ms);
-    noteWholeList(book, {entry("b")}, {"a", "stranger"}, start + 100ms);
+    TargetTable book = following({"a", "b"});
+    recordListRead(book, start + 100ms);
+    recordFullList(book, {entry("b")}, {"a", "stranger"}, start + 100ms);
     cr_assert(dropGone(book, start + 100ms).empty());
     cr_assert(mayTakeWork(book.records.at("a")));
     cr_assert_eq(book.records.count("stranger"), 0);
@@ -190,38 +190,38 @@
 // for the id, not for the start that said it.
 Test(targets, a_new_start_under_the_same_id_is_not_leaving)
 {
-    TargetBook book = following({});
+    TargetTable book = following({});
     TargetEntry former = entry("a");
     former.born = 1000;
     former.leaving = true;
     TargetEntry reborn = entry("a");
     reborn.born = 5000;
-    noteListed(book, former);
+    recordListed(book, former);
     cr_assert(!mayTakeWork(book.records.at("a")));
-    noteListed(book, reborn);
+    recordListed(book, reborn);
     cr_assert(mayTakeWork(book.records.at("a")));
-    noteListed(book, former);
+    recordListed(book, former);
     cr_assert(mayTakeWork(book.records.at("a")));
     cr_assert_eq(book.records.at("a").entry.born, 5000);
 }
 
 Test(targets, words_without_a_start_are_of_the_one_that_is_known)
 {
-    cr_assert(ageOfWord(0, 5) == WordAge::Same);
-    cr_assert(ageOfWord(5, 0) == WordAge::Same);
-    cr_assert(ageOfWord(5, 5) == WordAge::Same);
-    cr_assert(ageOfWord(5, 6) == WordAge::Newer);
-    cr_assert(ageOfWord(5, 4) == WordAge::Older);
+    cr_assert(compareStarts(0, 5) == StartOrder::Same);
+    cr_assert(compareStarts(5, 0) == StartOrder::Same);
+    cr_assert(compareStarts(5, 5) == StartOrder::Same);
+    cr_assert(compareStarts(5, 6) == StartOrder::Newer);
+    cr_assert(compareStarts(5, 4) == StartOrder::Older);
 }
 
 Test(targets, a_target_that_cannot_be_reached_is_ejected_and_tried_again)
 {
     TargetHealth health;
-    cr_assert(!noteOutcome(health, SendOutcome::Unreachable, start));
-    cr_assert(noteOutcome(health, SendOutcome::Unreachable, start + 10ms));
+    cr_assert(!recordOutcome(health, SendOutcome::Unreachable, start));
+    cr_assert(recordOutcome(health, SendOutcome::Unreachable, start + 10ms));
     cr_assert(isEjected(health, start + 500ms));
     cr_assert(!isEjected(health, start + 1100ms));
-    cr_assert(!noteOutcome(health, SendOutcome::Good, start + 1200ms));
+    cr_assert(!recordOutcome(health, SendOutcome::Good, start + 1200ms));
     cr_assert(!isEjected(health, start + 1300ms));
 }
 
@@ -233,35 +233,35 @@
     for (int call = 0; call < 500; ++call) {
         now += 100ms;
         const SendOutcome outcome = call % 5 == 0 ? SendOutcome::Failed : SendOutcome::Good;
-        noteOutcome(health, outcome, now);
+        recordOutcome(health, outcome, now);
         cr_assert(!isEjected(health, now));
     }
 }
 
 Test(targets, the_own_zone_goes_first_until_it_is_busy)
 {
-    std::vector<PlainView> views{{"near", "z1", 6, 0, true}, {"far", "z2", 6, 0, true}};
-    cr_assert_eq(choosePlain(views, "z1", {}, 1), 0);
+    std::vector<PlainTargetView> views{{"near", "z1", 6, 0, true}, {"far", "z2", 6, 0, true}};
+    cr_assert_eq(choosePlainTarget(views, "z1", {}, 1), 0);
     views[0].runs = 3;
-    cr_assert_eq(choosePlain(views, "z1", {}, 0), 1);
+    cr_assert_eq(choosePlainTarget(views, "z1", {}, 0), 1);
     views[1].usable = false;
-    cr_assert_eq(choosePlain(views, "z1", {}, 0), 0);
-    cr_assert(!choosePlain(views, "z1", {"near"}, 0));
+    cr_assert_eq(choosePlainTarget(views, "z1", {}, 0), 0);
+    cr_assert(!choosePlainTarget(views, "z1", {"near"}, 0));
 }
 
 namespace {
 
 /** What `vms` VMs together tell of a target, each of which has seen these outcomes at `at`. */
-TargetUse seenByAll(int vms, const std::vector<SendOutcome> &outcomes, Instant at, Instant now)
+TargetUsage seenByAll(int vms, const std::vector<SendOutcome> &outcomes, Instant at, Instant now)
 {
-    TargetUse all;
+    TargetUsage all;
     for (int vm = 0; vm < vms; ++vm) {
         TargetHealth health;
         for (const SendOutcome outcome : outcomes)
-            noteOutcome(health, outcome, at);
-        TargetUse use;
+            recordOutcome(health, outcome, at);
+        TargetUsage use;
         addHealth(use, health, now);
-        addUse(all, use);
+        addUsage(all, use);
     }
     return all;
 }
@@ -274,11 +274,11 @@
 // calls alone, of which it needed two.
 Test(targets, what_many_vms_saw_once_each_is_known_to_all)
 {
-    const TargetUse gone = seenByAll(3, {SendOutcome::Unreachable}, start, start + 100ms);
+    const TargetUsage gone = seenByAll(3, {SendOutcome::Unreachable}, start, start + 100ms);
     cr_assert(isFailing(gone));
-    const TargetUse once = seenByAll(1, {SendOutcome::Unreachable}, start, start);
+    const TargetUsage once = seenByAll(1, {SendOutcome::Unreachable}, start, start);
     cr_assert(!isFailing(once), "one VM may be cut off itself");
-    const TargetUse later = seenByAll(8, {SendOutcome::Unreachable}, start, start + 2s);
+    const TargetUsage later = seenByAll(8, {SendOutcome::Unreachable}, start, start + 2s);
     cr_assert(!isFailing(later), "it is tried anew");
 }
 
--- a/tools/loadgen/src/VirtualRun.cpp
+++ b/tools/loadgen/src/VirtualRun.cpp
@@ -173,7 +173,7 @@
         engine.table.slots = options.slots;
         EngineReport empty;
         empty.epoch = engine.epoch;
-        noteReport(engine.table, empty, Instant{});
+        applyReport(engine.table, empty, Instant{});
         world.engines.push_back(std::move(engine));
     }
     PlacementConfig config;
@@ -590,7 +590,7 @@
         engine.table.slots = world.options.slots;
         EngineReport empty;
         empty.epoch = engine.epoch;
-        noteReport(engine.table, empty, instantOf(world.now));
+        applyReport(engine.table, empty, instantOf(world.now));
     }
     decideNow(world);
 }
