--- a/libs/gateway/include/gateway/Gateway.h
+++ b/libs/gateway/include/gateway/Gateway.h
@@ -10,7 +10,7 @@
 /** How a graceful shutdown ended. */
 struct GatewayShutdown
 {
-    int cutCalls = 0; ///< ended by the limit of the shutdown
+    int abortedCalls = 0; ///< ended by the limit of the shutdown
 
     bool operator==(const GatewayShutdown &) const = default;
 };
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -79,14 +79,14 @@
     /** The same for the list of targets, which a VM also reads that is told of it late. */
     std::function<bool()> isReadingList;
     /** True if relays of other zones are heard who would tell what this VM reads late. */
-    std::function<bool()> isBacked;
+    std::function<bool()> hasBackupRelays;
     /** What this VM has noted in the store, this boot counted. */
     std::function<void(OwnRecord)> ownRecord;
     std::function<void(bool reachable, std::string why)> storeReachable;
 };
 
 /** An order to load or unload an adapter. */
-struct EngineOrder
+struct EngineCommand
 {
     bool load = true;
     std::string model;
@@ -96,10 +96,10 @@
     std::string holder;
     std::int64_t token = 0;
 
-    auto operator<=>(const EngineOrder &) const = default;
+    auto operator<=>(const EngineCommand &) const = default;
 };
 
-enum class OrderOutcome : std::uint8_t {
+enum class CommandOutcome : std::uint8_t {
     Accepted, ///< it is being carried out
     Holds, ///< it was so already, or was done at once
     Busy, ///< another order is in progress, or the sequence differs
@@ -131,13 +131,13 @@
 };
 
 /** Partitions that this VM notes it orders. */
-struct OrdererClaims
+struct HolderClaims
 {
     std::vector<int> partitions;
     std::int64_t generation = 0;
     std::uint64_t end = 0; ///< of the read that they rest on
 
-    auto operator<=>(const OrdererClaims &) const = default;
+    auto operator<=>(const HolderClaims &) const = default;
 };
 
 /** All that the gateway needs of a platform; a plug-in fills it in. */
@@ -155,7 +155,7 @@
     bool (*readConfig)(std::string_view document, ServingConfig &);
 
     // Engines.
-    asio::awaitable<OrderOutcome> (*order)(HttpClient &, EngineAddress, EngineOrder, Duration);
+    asio::awaitable<CommandOutcome> (*order)(HttpClient &, EngineAddress, EngineCommand, Duration);
     asio::awaitable<std::optional<EngineReport>> (*report)(HttpClient &, EngineAddress, Duration);
 
     // Leases in the store.
@@ -163,13 +163,14 @@
                                                         LeaseRenewal, Duration);
     asio::awaitable<void> (*leave)(HttpClient &, const GatewaySettings &, LeaseRenewal, Duration);
     /** Reads who noted last, by partition of the zone, that it orders the engines there. */
-    asio::awaitable<std::optional<HolderRecords>> (*readOrderers)(HttpClient &,
-                                                                  const GatewaySettings &);
+    asio::awaitable<std::optional<HolderRecords>> (*readHolderClaims)(HttpClient &,
+                                                                      const GatewaySettings &);
     /** Notes that this VM does; only if no note was added since that read. True if it was added. */
-    asio::awaitable<bool> (*noteOrderer)(HttpClient &, const GatewaySettings &, OrdererClaims);
+    asio::awaitable<bool> (*recordHolderClaims)(HttpClient &, const GatewaySettings &,
+                                                HolderClaims);
 
     /** Replaces the spend note of this VM's zone; true if the store acknowledged it. */
-    asio::awaitable<bool> (*noteSpend)(HttpClient &, const GatewaySettings &, SpendNote);
+    asio::awaitable<bool> (*writeUsageSnapshot)(HttpClient &, const GatewaySettings &, SpendNote);
 };
 
 /** Makes a platform known under its name; called by plug-ins before main. */
--- a/libs/gateway/src/ConfigReading.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -1,4 +1,4 @@
-#include "ConfigReading.h"
+#include "ConfigDownload.h"
 
 #include <algorithm>
 
@@ -48,7 +48,7 @@
 Duration untilNextRead(const GatewayNode &node, Instant now)
 {
     Duration soonest = offerLook;
-    if (node.configReading.decoding)
+    if (node.configDownload.decoding)
         return soonest;
     for (const auto &[endpoint, peer] : node.peers) {
         if (offersNewer(node, peer))
@@ -65,8 +65,8 @@
                   {"version", std::to_string(peer.configVersion)},
                   {"why", std::string(why)},
                   {"waitedMs", std::to_string(toMillis(waited))},
-                  {"bytesSoFar", std::to_string(node.configReading.soFar.packed.bytes.size())},
-                  {"ofBytes", std::to_string(node.configReading.soFar.totalBytes)}});
+                  {"bytesSoFar", std::to_string(node.configDownload.soFar.packed.bytes.size())},
+                  {"ofBytes", std::to_string(node.configDownload.soFar.totalBytes)}});
     peer.configRetryAt =
         BootClock::now() + firstRetry * (1 << std::min(peer.configFailures, mostRetryDoublings));
     ++peer.configFailures;
@@ -101,8 +101,8 @@
 /** The source gives nothing: others are asked, and not to be sent on to one like it again. */
 void giveUpSource(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
 {
-    ConfigReading &reading = node.configReading;
-    reading.onlyThere = reading.onlyThere || reading.expected != 0;
+    ConfigDownload &reading = node.configDownload;
+    reading.redirectFailed = reading.redirectFailed || reading.expected != 0;
     reading.expected = 0;
     noteReadFailed(node, peer, why, waited);
 }
@@ -110,12 +110,12 @@
 void putReadConfigInForce(GatewayNode &node, const Endpoint &source,
                           std::optional<DecodedConfig> decoded, Instant readAt)
 {
-    ConfigReading &reading = node.configReading;
+    ConfigDownload &reading = node.configDownload;
     const PackedDocument read = std::move(reading.soFar.packed);
     const Duration took = readAt - reading.begunAt;
     reading.soFar = PartialDocument();
     reading.expected = 0;
-    reading.onlyThere = false;
+    reading.redirectFailed = false;
     reading.decoding = false;
     node.configOffered.notifyAll();
     PeerState &peer = node.peers[source];
@@ -125,7 +125,7 @@
         noteReadFailed(node, peer, "it cannot be read", took);
         return;
     }
-    takeConfig(node, std::move(*decoded), from);
+    applyConfig(node, std::move(*decoded), from);
     logEvent(EventId::ConfigRead,
              {{"version", std::to_string(read.version)},
               {"peer", peer.name},
@@ -146,7 +146,7 @@
 // The parts stay where they are until it is in force: VMs that read from this one go on meanwhile.
 void decodeReadConfig(GatewayNode &node, const Endpoint &source)
 {
-    ConfigReading &reading = node.configReading;
+    ConfigDownload &reading = node.configDownload;
     reading.decoding = true;
     ConfigDecode decode = [platform = node.platform, base = node.config.newest,
                            packed = reading.soFar.packed] {
@@ -161,19 +161,19 @@
 /** Has the next part asked of the VM that `answer` names. */
 void followTo(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
 {
-    ConfigReading &reading = node.configReading;
+    ConfigDownload &reading = node.configDownload;
     const Endpoint other{answer.ask_address(), static_cast<std::uint16_t>(answer.ask_port())};
-    addPeer(node, other, VmFact());
+    addPeer(node, other, SharedVm());
     const auto found = node.peers.find(other);
     if (found == node.peers.end() || BootClock::now() < found->second.configRetryAt) {
-        reading.onlyThere = true;
+        reading.redirectFailed = true;
         return;
     }
     peer.configFailures = 0;
-    noteConfigOffer(node, found->second, answer.version());
+    recordConfigOffer(node, found->second, answer.version());
     reading.source = other;
     reading.expected = answer.version();
-    reading.grownAt = BootClock::now();
+    reading.lastProgressAt = BootClock::now();
 }
 
 /** The store may have given a newer one meanwhile, or another than the changes are of. */
@@ -186,17 +186,17 @@
 asio::awaitable<void> readPartFrom(GatewayNode &node, Endpoint source)
 {
     const Instant asked = BootClock::now();
-    ConfigReading &reading = node.configReading;
+    ConfigDownload &reading = node.configDownload;
     if (reading.source != source) {
         reading.source = source;
         reading.expected = 0;
-        reading.grownAt = asked;
+        reading.lastProgressAt = asked;
     }
     if (!isOfUse(node, reading.soFar.packed))
         reading.soFar = PartialDocument();
     if (reading.soFar.packed.bytes.empty() && reading.expected == 0) {
         reading.begunAt = asked;
-        reading.grownAt = asked;
+        reading.lastProgressAt = asked;
     }
     const auto answer =
         co_await node.links.readConfig(source, nextConfigRequest(node), partTimeout);
@@ -209,7 +209,7 @@
         co_return;
     }
     noteArrived(reading.pacing);
-    takeConfigPart(node, found->second, *answer);
+    applyConfigPart(node, found->second, *answer);
     const bool waits = answer->bytes().empty() && answer->ask_address().empty();
     if (waits)
         co_await pauseFor(node, laterLook);
@@ -232,7 +232,7 @@
         return std::nullopt;
     if (hasWanted(node.config, wanted))
         return readPart(node.config, wanted, now);
-    const PartialDocument &soFar = node.configReading.soFar;
+    const PartialDocument &soFar = node.configDownload.soFar;
     const bool isRead =
         soFar.packed.version == wanted.version && soFar.packed.digest == wanted.digest;
     if (!isRead)
@@ -244,7 +244,7 @@
 std::optional<DocumentPart> firstPart(GatewayNode &node, const PartWanted &wanted,
                                       std::int64_t expected, Instant now)
 {
-    const PartialDocument &soFar = node.configReading.soFar;
+    const PartialDocument &soFar = node.configDownload.soFar;
     const bool readsNewer = soFar.packed.version > node.config.newest.version;
     if (readsNewer) {
         const std::uint64_t base = soFar.packed.baseDigest;
@@ -278,11 +278,11 @@
         part = firstPart(node, wanted, request.expected(), now);
     if (!part)
         return {};
-    const ConfigAsk ask{decodeEndpoint(request.from()), request.from().zone(), part->version,
-                        request.only_here()};
+    const ConfigPartRequest ask{decodeEndpoint(request.from()), request.from().zone(),
+                                part->version, request.only_here()};
     const bool isLong = part->totalBytes > shortDocument;
     if (!goesOn && isLong) {
-        const std::optional<Endpoint> other = sentOnTo(node.configReaders, ask, now);
+        const std::optional<Endpoint> other = redirectFor(node.configReaders, ask, now);
         if (other) {
             v1::ConfigPart answer;
             answer.set_version(part->version);
@@ -292,11 +292,11 @@
         }
     }
     const bool last = part->offset + part->bytes.size() >= part->totalBytes;
-    noteGiven(node.configReaders, ask, last, now);
+    recordPartSent(node.configReaders, ask, last, now);
     return encodePart(std::move(*part));
 }
 
-void noteConfigOffer(GatewayNode &node, PeerState &peer, std::int64_t version)
+void recordConfigOffer(GatewayNode &node, PeerState &peer, std::int64_t version)
 {
     peer.configVersion = version;
     if (offersNewer(node, peer))
@@ -305,7 +305,7 @@
 
 v1::ConfigRequest nextConfigRequest(const GatewayNode &node)
 {
-    const ConfigReading &reading = node.configReading;
+    const ConfigDownload &reading = node.configDownload;
     v1::ConfigRequest request;
     request.set_version(reading.soFar.packed.version);
     request.set_digest(reading.soFar.packed.digest);
@@ -313,17 +313,17 @@
     encodeSelf(node, *request.mutable_from());
     request.set_base_digest(node.config.newest.digest);
     request.set_expected(reading.expected);
-    request.set_only_here(reading.onlyThere);
+    request.set_only_here(reading.redirectFailed);
     request.set_most_bytes(static_cast<std::uint32_t>(reading.pacing.nextBytes));
     return request;
 }
 
-void takeConfigPart(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
+void applyConfigPart(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
 {
-    ConfigReading &reading = node.configReading;
+    ConfigDownload &reading = node.configDownload;
     // A VM that was started anew may know less than it told before.
     if (!mayReplace(node.routes->config().version, answer.version())) {
-        reading.onlyThere = reading.onlyThere || reading.expected != 0;
+        reading.redirectFailed = reading.redirectFailed || reading.expected != 0;
         reading.expected = 0;
         peer.configVersion = answer.version();
         return;
@@ -341,15 +341,15 @@
     switch (outcome) {
     case PartOutcome::More:
         peer.configFailures = 0;
-        reading.grownAt = now;
+        reading.lastProgressAt = now;
         return;
     case PartOutcome::Whole:
         peer.configFailures = 0;
         decodeReadConfig(node, peer.endpoint);
         return;
     case PartOutcome::Later:
-        if (now - reading.grownAt > growthPatience)
-            giveUpSource(node, peer, "it has no more of it yet", now - reading.grownAt);
+        if (now - reading.lastProgressAt > growthPatience)
+            giveUpSource(node, peer, "it has no more of it yet", now - reading.lastProgressAt);
         return;
     case PartOutcome::Useless:
         giveUpSource(node, peer, "its part does not go on where the last one ended", {});
@@ -365,7 +365,7 @@
     for (const auto &[endpoint, peer] : node.peers) {
         if (!offersNewer(node, peer) || now < peer.configRetryAt)
             continue;
-        if (endpoint == node.configReading.source)
+        if (endpoint == node.configDownload.source)
             return &peer;
         if (best == nullptr || goesBefore(node, peer, *best))
             best = &peer;
@@ -383,7 +383,7 @@
     while (!node.stopped) {
         const Instant now = BootClock::now();
         const PeerState *source =
-            node.configReading.decoding ? nullptr : chooseConfigSource(node, now);
+            node.configDownload.decoding ? nullptr : chooseConfigSource(node, now);
         if (source != nullptr)
             co_await readPartFrom(node, source->endpoint);
         else
--- a/libs/gateway/src/ConfigReading.h
+++ b/libs/gateway/src/ConfigDownload.h
@@ -10,7 +10,7 @@
                                             const gateway::v1::ConfigRequest &request);
 
 /** A peer says that it has this version in force. */
-void noteConfigOffer(GatewayNode &node, PeerState &peer, std::int64_t version);
+void recordConfigOffer(GatewayNode &node, PeerState &peer, std::int64_t version);
 
 /** True if another VM has a newer configuration than this one. */
 bool isNewerConfigOffered(const GatewayNode &node);
@@ -19,7 +19,7 @@
 gateway::v1::ConfigRequest nextConfigRequest(const GatewayNode &node);
 
 /** Adds a part that a peer sent; the last one has the configuration decoded and put in force. */
-void takeConfigPart(GatewayNode &node, PeerState &peer, const gateway::v1::ConfigPart &answer);
+void applyConfigPart(GatewayNode &node, PeerState &peer, const gateway::v1::ConfigPart &answer);
 
 /** The peer to read from next; null: none that may be asked now has a newer configuration. */
 const PeerState *chooseConfigSource(const GatewayNode &node, Instant now);
--- a/libs/gateway/src/ConfigReaders.cpp
+++ b/libs/gateway/src/ConfigReaders.cpp
@@ -31,11 +31,12 @@
 }
 
 /** One that reads here, or has read to the end; nothing if there is none. */
-std::optional<Endpoint> nextToSendTo(ConfigReaders &readers, const ConfigAsk &ask, Instant now)
+std::optional<Endpoint> nextToSendTo(ConfigReaders &readers, const ConfigPartRequest &ask,
+                                     Instant now)
 {
     for (std::size_t tried = 0; tried < readers.served.size(); ++tried) {
-        const ConfigReader &next = readers.served[readers.nextSentTo % readers.served.size()];
-        ++readers.nextSentTo;
+        const ConfigReader &next = readers.served[readers.nextRedirect % readers.served.size()];
+        ++readers.nextRedirect;
         const bool isOther = next.vm != ask.reader && next.zone == ask.zone;
         if (isOther && (next.done || reads(next, now)))
             return next.vm;
@@ -45,7 +46,8 @@
 
 } // namespace
 
-std::optional<Endpoint> sentOnTo(ConfigReaders &readers, const ConfigAsk &ask, Instant now)
+std::optional<Endpoint> redirectFor(ConfigReaders &readers, const ConfigPartRequest &ask,
+                                    Instant now)
 {
     if (readers.version != ask.version) {
         readers = ConfigReaders();
@@ -53,7 +55,7 @@
     }
     ConfigReader *const known = find(readers, ask.reader);
     const bool isServed = known != nullptr && reads(*known, now);
-    if (!isServed && !ask.onlyHere && readingNow(readers, now) >= servedAtOnce) {
+    if (!isServed && !ask.noRedirect && readingNow(readers, now) >= servedAtOnce) {
         std::optional<Endpoint> other = nextToSendTo(readers, ask, now);
         if (other)
             return other;
@@ -65,7 +67,7 @@
     return std::nullopt;
 }
 
-void noteGiven(ConfigReaders &readers, const ConfigAsk &ask, bool last, Instant now)
+void recordPartSent(ConfigReaders &readers, const ConfigPartRequest &ask, bool last, Instant now)
 {
     if (readers.version != ask.version)
         return;
--- a/libs/gateway/src/ConfigReaders.h
+++ b/libs/gateway/src/ConfigReaders.h
@@ -33,24 +33,25 @@
 {
     std::int64_t version = 0;
     std::vector<ConfigReader> served;
-    std::size_t nextSentTo = 0; ///< index in `served`; readers are sent on by turns
+    std::size_t nextRedirect = 0; ///< index in `served`; readers are sent on by turns
 };
 
 /** A VM asks for a part. */
-struct ConfigAsk
+struct ConfigPartRequest
 {
     Endpoint reader;
     std::string zone;
     std::int64_t version = 0; ///< that it would be given
-    bool onlyHere = false; ///< it was sent on before, and got nothing there
+    bool noRedirect = false; ///< it was sent on before, and got nothing there
 
-    auto operator<=>(const ConfigAsk &) const = default;
+    auto operator<=>(const ConfigPartRequest &) const = default;
 };
 
 /** The VM of its zone that a reader is to ask instead; nothing: it is served here, and noted. */
-std::optional<Endpoint> sentOnTo(ConfigReaders &readers, const ConfigAsk &ask, Instant now);
+std::optional<Endpoint> redirectFor(ConfigReaders &readers, const ConfigPartRequest &ask,
+                                    Instant now);
 
 /** A reader that is served here has been given a part; `last`: it has all now. */
-void noteGiven(ConfigReaders &readers, const ConfigAsk &ask, bool last, Instant now);
+void recordPartSent(ConfigReaders &readers, const ConfigPartRequest &ask, bool last, Instant now);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/EngineOrders.cpp
+++ b/libs/gateway/src/EngineOrders.cpp
@@ -39,17 +39,17 @@
 /** Window in which loads of models from the weight store are bounded. */
 constexpr Duration modelLoadWindow = std::chrono::seconds(5);
 
-HeldDesk &deskOf(GatewayNode &node, const std::string &target)
+HeldEngine &deskOf(GatewayNode &node, const std::string &target)
 {
-    std::unique_ptr<HeldDesk> &scheduler = node.desks[target];
+    std::unique_ptr<HeldEngine> &scheduler = node.desks[target];
     if (!scheduler)
-        scheduler = std::make_unique<HeldDesk>(node.context);
+        scheduler = std::make_unique<HeldEngine>(node.context);
     return *scheduler;
 }
 
 /** An engine that refuses orders is left alone for a while, or all who wait for it would storm it.
  */
-void backOff(HeldDesk &held, Instant now)
+void backOff(HeldEngine &held, Instant now)
 {
     held.retryAt = now + afterRefusal * (1 << std::min(held.refusals, mostDoublings));
     ++held.refusals;
@@ -68,7 +68,7 @@
         else
             resident[adapter] = slot.version;
     }
-    noteResident(node, target, std::move(resident));
+    setResident(node, target, std::move(resident));
     node.engineChanged.notifyAll();
     publishEngine(node, target);
 }
@@ -81,17 +81,17 @@
 
 asio::awaitable<bool> readReport(GatewayNode &node, std::string target)
 {
-    HeldDesk &held = deskOf(node, target);
+    HeldEngine &held = deskOf(node, target);
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr)
         co_return false;
     held.ordering = true;
-    held.orderingSince = BootClock::now();
+    held.commandSince = BootClock::now();
     const EngineAddress address{target, entry->endpoint};
     const auto report = co_await node.platform->report(node.http, address, reportTimeout);
     held.ordering = false;
     if (report)
-        noteStartOf(node, target, report->born);
+        recordStartTime(node, target, report->born);
     const bool taken = report && applyEngineReport(held.scheduler, *report, BootClock::now());
     if (taken)
         publishDesk(node, target);
@@ -109,13 +109,13 @@
 }
 
 /** Gives one order and notes its outcome; the lease is looked at right before it is written. */
-asio::awaitable<OrderOutcome> giveOrder(GatewayNode &node, std::string target, EngineOrder order,
-                                        std::string adapter)
+asio::awaitable<CommandOutcome> giveOrder(GatewayNode &node, std::string target,
+                                          EngineCommand order, std::string adapter)
 {
-    HeldDesk &held = deskOf(node, target);
+    HeldEngine &held = deskOf(node, target);
     const TargetEntry *entry = entryOf(node, target);
-    if (entry == nullptr || !mayOrderNow(node, target))
-        co_return OrderOutcome::NotSent;
+    if (entry == nullptr || !mayCommandNow(node, target))
+        co_return CommandOutcome::NotSent;
     order.holder = node.settings.vm;
     order.token = node.lease.generation;
     order.expectedSequence = held.scheduler.sequence;
@@ -130,8 +130,8 @@
         : Duration::zero();
     const std::int64_t bornBefore = held.scheduler.born;
     held.ordering = true;
-    held.orderingSince = BootClock::now();
-    const OrderOutcome outcome =
+    held.commandSince = BootClock::now();
+    const CommandOutcome outcome =
         co_await node.platform->order(node.http, address, order, orderTimeout);
     held.ordering = false;
     const Instant now = BootClock::now();
@@ -140,27 +140,27 @@
     if (held.scheduler.born != bornBefore) {
         invalidateSequence(held.scheduler);
         held.changed.notifyAll();
-        co_return OrderOutcome::Unknown;
+        co_return CommandOutcome::Unknown;
     }
-    const bool done = outcome == OrderOutcome::Accepted || outcome == OrderOutcome::Holds;
+    const bool done = outcome == CommandOutcome::Accepted || outcome == CommandOutcome::Holds;
     const bool ofModel = order.adapter.empty();
     if (done && ofModel)
         held.scheduler.modelReadyAt = now + expectedForModel;
     else if (done && order.load)
         recordLoadAccepted(held.scheduler, adapter, order.version, expected, now);
-    else if (outcome == OrderOutcome::Accepted)
+    else if (outcome == CommandOutcome::Accepted)
         recordDeferredUnload(held.scheduler, adapter);
     else if (done)
         recordUnloaded(held.scheduler, adapter);
-    if (done && !(order.load && outcome == OrderOutcome::Holds))
+    if (done && !(order.load && outcome == CommandOutcome::Holds))
         advanceSequence(held.scheduler, now);
-    const bool deferred = !order.load && outcome == OrderOutcome::Accepted;
+    const bool deferred = !order.load && outcome == CommandOutcome::Accepted;
     if (deferred) {
         backOff(held, now);
         invalidateSequence(held.scheduler);
     } else if (done) {
         held.refusals = 0;
-    } else if (outcome == OrderOutcome::Busy && order.load
+    } else if (outcome == CommandOutcome::Busy && order.load
                && recordBusyRefusal(held.scheduler, node.loadEstimator, now)) {
         // Nothing else is in doubt.
     } else {
@@ -219,9 +219,9 @@
     return found != scheduler.slots.end() && found->second.loading;
 }
 
-EngineOrder unloadOrder(const std::string &key)
+EngineCommand unloadOrder(const std::string &key)
 {
-    EngineOrder order;
+    EngineCommand order;
     order.load = false;
     const std::size_t slash = key.find('/');
     order.model = key.substr(0, slash);
@@ -230,16 +230,16 @@
 }
 
 /** True if an order or report that is under way is likely lost. */
-bool isUnanswered(const HeldDesk &held, Instant now)
+bool isUnanswered(const HeldEngine &held, Instant now)
 {
-    return held.ordering && now - held.orderingSince > usualAnswer;
+    return held.ordering && now - held.commandSince > usualAnswer;
 }
 
 /** When the engine can be ordered next, as far as can be foreseen. */
-Instant ordersFrom(const HeldDesk &held, Instant now)
+Instant ordersFrom(const HeldEngine &held, Instant now)
 {
     if (isUnanswered(held, now))
-        return std::max(now, held.orderingSince + orderTimeout + afterRefusal);
+        return std::max(now, held.commandSince + orderTimeout + afterRefusal);
     return std::max(now, held.retryAt);
 }
 
@@ -272,7 +272,7 @@
  * engine at once instead, or is refused while it can still come back. See the test of load_queue
  * for what happens without.
  */
-Instant loadBegin(const GatewayNode &node, const HeldDesk &held, const std::string &key,
+Instant loadBegin(const GatewayNode &node, const HeldEngine &held, const std::string &key,
                   Instant now)
 {
     if (held.scheduler.slots.count(key) > 0)
@@ -284,16 +284,16 @@
 
 } // namespace
 
-bool isOrderable(const GatewayNode &node, const std::string &target)
+bool canCommand(const GatewayNode &node, const std::string &target)
 {
-    return mayOrderNow(node, target) || holderOf(node, target) != nullptr;
+    return mayCommandNow(node, target) || holderOf(node, target) != nullptr;
 }
 
-bool mayAskLoad(GatewayNode &node, const std::string &target, Duration begin)
+bool mayRequestLoad(GatewayNode &node, const std::string &target, Duration begin)
 {
     const bool heldBack = node.settings.placement.keepDeclines
         && blocksLoadRequest(runtimeOf(node, target).loadMark, BootClock::now(), begin);
-    return !heldBack && isOrderable(node, target);
+    return !heldBack && canCommand(node, target);
 }
 
 std::optional<Duration> loadUnderWay(GatewayNode &node, const std::string &target,
@@ -301,13 +301,13 @@
 {
     const auto incoming =
         timeUntilLoaded(runtimeOf(node, target).incoming, adapter, BootClock::now());
-    const bool asked = node.loadsAsked.count({target, adapter}) > 0;
-    if ((!incoming && !asked) || !isOrderable(node, target))
+    const bool asked = node.loadsInFlight.count({target, adapter}) > 0;
+    if ((!incoming && !asked) || !canCommand(node, target))
         return std::nullopt;
     return incoming ? incoming : loadTime;
 }
 
-asio::awaitable<v1::LoadReply> loadHere(GatewayNode &node, v1::LoadRequest request)
+asio::awaitable<v1::LoadReply> performLoad(GatewayNode &node, v1::LoadRequest request)
 {
     const Instant begun = BootClock::now();
     const std::string &target = request.target();
@@ -323,9 +323,9 @@
     while (BootClock::now() - begun < loadPatience) {
         const TargetEntry *entry = entryOf(node, target);
         const EngineSpec *spec = entry != nullptr ? specOf(node, *entry) : nullptr;
-        if (spec == nullptr || !mayOrderNow(node, target))
+        if (spec == nullptr || !mayCommandNow(node, target))
             co_return declineReply(DeclineReason::NotHolder);
-        HeldDesk &held = deskOf(node, target);
+        HeldEngine &held = deskOf(node, target);
         const ModelSpec *model = baseModel(*spec);
         held.scheduler.adapterSlots = model != nullptr ? adapterCapacity(*spec, *model) : 0;
         const Instant begin = loadBegin(node, held, key, BootClock::now());
@@ -396,17 +396,17 @@
             co_await held.changed.wait(slotLook);
             break;
         case SchedulerStep::Unload: {
-            EngineOrder order = unloadOrder(choice.victim);
+            EngineCommand order = unloadOrder(choice.victim);
             co_await giveOrder(node, target, std::move(order), choice.victim);
             break;
         }
         case SchedulerStep::Load: {
-            EngineOrder order;
+            EngineCommand order;
             order.model = request.model();
             order.adapter = request.adapter();
             order.version = request.version();
-            const OrderOutcome outcome = co_await giveOrder(node, target, std::move(order), key);
-            if (outcome == OrderOutcome::Invalid)
+            const CommandOutcome outcome = co_await giveOrder(node, target, std::move(order), key);
+            if (outcome == CommandOutcome::Invalid)
                 co_return loadReply(v1::LOAD_OUTCOME_REFUSED);
             break;
         }
@@ -448,7 +448,7 @@
     // The engine takes no such order; it may take those of other adapters.
     const bool invalid = reply && reply->outcome() == v1::LOAD_OUTCOME_REFUSED;
     // Of the slots of an engine that this VM orders it knows itself when one is idle.
-    const bool slotKnown = decline.reason == DeclineReason::NoSlot && mayOrderNow(node, target);
+    const bool slotKnown = decline.reason == DeclineReason::NoSlot && mayCommandNow(node, target);
     // A holder that does not answer is left alone with all its engines, see holderOf().
     if (reply && !invalid && !slotKnown)
         runtimeOf(node, target).loadMark = backoffAfter(decline, BootClock::now());
@@ -458,23 +458,23 @@
 
 } // namespace
 
-asio::awaitable<bool> askLoad(GatewayNode &node, std::string target, std::string model,
-                              std::string adapter, std::int64_t version, bool missed,
-                              LoadPatience limits)
+asio::awaitable<bool> requestLoad(GatewayNode &node, std::string target, std::string model,
+                                  std::string adapter, std::int64_t version, bool missed,
+                                  LoadLimits limits)
 {
     const Duration most = std::min(limits.whole, loadPatience);
     const auto key = std::make_pair(target, adapter);
-    const auto underWay = node.loadsAsked.find(key);
-    if (underWay != node.loadsAsked.end()) {
-        const std::shared_ptr<LoadAsk> other = underWay->second;
+    const auto underWay = node.loadsInFlight.find(key);
+    if (underWay != node.loadsInFlight.end()) {
+        const std::shared_ptr<LoadInFlight> other = underWay->second;
         ++other->callers;
         co_await other->done.wait(most);
         const ResidentVersions &resident = runtimeOf(node, target).resident;
         const auto found = resident.find(adapter);
         co_return found != resident.end() && found->second >= version;
     }
-    const auto ask = std::make_shared<LoadAsk>(node.context);
-    node.loadsAsked[key] = ask;
+    const auto ask = std::make_shared<LoadInFlight>(node.context);
+    node.loadsInFlight[key] = ask;
     v1::LoadRequest request;
     request.set_target(target);
     request.set_model(model);
@@ -485,8 +485,8 @@
     request.set_begin_within_ms(static_cast<std::uint32_t>(toMillis(limits.begin)));
     const Instant begun = BootClock::now();
     std::optional<v1::LoadReply> reply;
-    if (mayOrderNow(node, target)) {
-        reply = co_await loadHere(node, request);
+    if (mayCommandNow(node, target)) {
+        reply = co_await performLoad(node, request);
     } else {
         const PeerState *holder = holderOf(node, target);
         if (holder != nullptr) {
@@ -496,7 +496,7 @@
             if (!reply && asked != node.peers.end())
                 asked->second.loadFailedAt = BootClock::now();
             if (reply && reply->outcome() == v1::LOAD_OUTCOME_NOT_HOLDER)
-                noteNotHolder(node, target, peer);
+                recordNotHolder(node, target, peer);
         }
     }
     const bool ready = reply && reply->outcome() == v1::LOAD_OUTCOME_READY;
@@ -507,7 +507,7 @@
         if (ask->callers > 1)
             node.metrics.add(Counter::LoadsShared);
     }
-    node.loadsAsked.erase(key);
+    node.loadsInFlight.erase(key);
     ask->done.notifyAll();
     node.engineChanged.notifyAll();
     if (ready)
@@ -523,7 +523,7 @@
     co_return false;
 }
 
-void noteAdapterVersion(GatewayNode &node, const std::string &adapter, std::int64_t version)
+void applyAdapterVersion(GatewayNode &node, const std::string &adapter, std::int64_t version)
 {
     if (version <= versionInForce(node, adapter))
         return;
@@ -532,7 +532,7 @@
         const ResidentVersions &resident = runtimeOf(node, id).resident;
         const auto held = resident.find(adapter);
         const bool older = held != resident.end() && held->second < version;
-        if (!older || !mayOrderNow(node, id))
+        if (!older || !mayCommandNow(node, id))
             continue;
         v1::LoadRequest request;
         request.set_target(id);
@@ -542,7 +542,7 @@
         request.set_version(version);
         spawn(node, "replace version",
               [](GatewayNode &here, v1::LoadRequest load) -> asio::awaitable<void> {
-                  const v1::LoadReply reply = co_await loadHere(here, std::move(load));
+                  const v1::LoadReply reply = co_await performLoad(here, std::move(load));
                   static_cast<void>(reply);
               }(node, std::move(request)));
     }
@@ -563,7 +563,7 @@
 /** Looks whether loads that are expected to go on for long are done already. */
 asio::awaitable<void> lookAtLoads(GatewayNode &node, std::string target)
 {
-    HeldDesk &held = deskOf(node, target);
+    HeldEngine &held = deskOf(node, target);
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr || held.looking)
         co_return;
@@ -581,7 +581,7 @@
 /** One step towards an engine that holds its base model. */
 asio::awaitable<void> tendEngine(GatewayNode &node, std::string target)
 {
-    HeldDesk &held = deskOf(node, target);
+    HeldEngine &held = deskOf(node, target);
     const TargetEntry *entry = entryOf(node, target);
     const EngineSpec *spec = entry != nullptr ? specOf(node, *entry) : nullptr;
     const ModelSpec *model = spec != nullptr ? baseModel(*spec) : nullptr;
@@ -605,21 +605,21 @@
     }
     if (held.scheduler.models.count(model->name) > 0 || !mayLoadModel(node, *spec, now))
         co_return;
-    EngineOrder order;
+    EngineCommand order;
     order.model = model->name;
-    const OrderOutcome outcome = co_await giveOrder(node, target, std::move(order), model->name);
-    if (outcome == OrderOutcome::Accepted)
+    const CommandOutcome outcome = co_await giveOrder(node, target, std::move(order), model->name);
+    if (outcome == CommandOutcome::Accepted)
         node.modelLoads.push_back(now);
 }
 
 } // namespace
 
-asio::awaitable<void> tendLoop(GatewayNode &node)
+asio::awaitable<void> modelLoadLoop(GatewayNode &node)
 {
     while (!node.stopped) {
         std::vector<std::string> mine;
         for (const auto &[id, record] : node.book.records) {
-            if (mayOrderNow(node, id))
+            if (mayCommandNow(node, id))
                 mine.push_back(id);
         }
         for (const std::string &id : mine)
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -35,13 +35,13 @@
     if (!isListStale(node.book, now))
         return false;
     const Instant lastOwn = std::max(node.book.ownRead, node.bootedAt);
-    return now - lastOwn > maxListAge * std::max(countMates(node), 1);
+    return now - lastOwn > maxListAge * std::max(countZonePeers(node), 1);
 }
 
 void takeTarget(GatewayNode &node, TargetEntry entry)
 {
     const std::string id = entry.id;
-    if (noteStartOf(node, id, entry.born) == StartOrder::Older)
+    if (recordStartTime(node, id, entry.born) == StartOrder::Older)
         return;
     const auto known = node.book.records.find(id);
     const bool wasLeaving = known != node.book.records.end() && known->second.entry.leaving;
@@ -55,7 +55,7 @@
         ResidentVersions resident;
         for (const HeldAdapter &held : entry.adapters)
             resident[held.adapter] = held.version;
-        noteResident(node, id, std::move(resident));
+        setResident(node, id, std::move(resident));
         runtime.models = std::set<std::string>(entry.models.begin(), entry.models.end());
     }
     const bool wasLapsed = !isNew && known->second.expiredAt != Instant{};
@@ -73,7 +73,7 @@
     recordListed(node.book, std::move(entry));
     if (leaving && !wasLeaving) {
         logEvent(EventId::TargetLeaving, {{"target", id}, {"source", "list"}});
-        node.newsDue.notifyAll();
+        node.reportDue.notifyAll();
     }
     if (isNew)
         node.engineChanged.notifyAll();
@@ -89,11 +89,11 @@
         node.prefill.told.erase(id);
         node.prefill.ordered.erase(id);
         logEvent(EventId::TargetGone, {{"target", id}});
-        noteEndByList(node, id, 0);
+        recordEndByList(node, id, 0);
         node.facts.targets.set(id, {TargetEntry(), true}, node.facts.counter);
         node.facts.engines.erase(id);
-        node.enginesBelow.erase(id);
-        node.toldRuns.erase(id);
+        node.reportedEngines.erase(id);
+        node.reportedRuns.erase(id);
         const auto runtime = node.targets.find(id);
         // Calls that are under way there still hold on to its counts.
         if (runtime != node.targets.end() && runtime->second->own.runs == 0)
@@ -125,13 +125,13 @@
               {"plainBytes", std::to_string(decoded->whole.plainBytes)},
               {"changesOnly", "no"},
               {"decodingMs", std::to_string(toMillis(BootClock::now() - readAt))}});
-    takeConfig(node, std::move(*decoded), "store");
+    applyConfig(node, std::move(*decoded), "store");
     co_return facts;
 }
 
 } // namespace
 
-void takeConfig(GatewayNode &node, DecodedConfig decoded, const std::string &source)
+void applyConfig(GatewayNode &node, DecodedConfig decoded, const std::string &source)
 {
     const std::int64_t before = node.routes->config().version;
     const std::int64_t version = decoded.routes->config().version;
@@ -159,24 +159,24 @@
               {"source", source}});
 }
 
-bool takePackedConfig(GatewayNode &node, const PackedDocument &packed, const std::string &source)
+bool applyPackedConfig(GatewayNode &node, const PackedDocument &packed, const std::string &source)
 {
     std::optional<DecodedConfig> decoded = decodeConfig(*node.platform, node.config.newest, packed);
     if (!decoded) {
         logEvent(EventId::DocumentUnreadable, {{"what", "configuration"}, {"source", source}});
         return false;
     }
-    takeConfig(node, std::move(*decoded), source);
+    applyConfig(node, std::move(*decoded), source);
     return true;
 }
 
-void takeTargetsByPeer(GatewayNode &node, std::vector<TargetEntry> entries)
+void applyPeerTargets(GatewayNode &node, std::vector<TargetEntry> entries)
 {
     for (TargetEntry &entry : entries)
         takeTarget(node, std::move(entry));
 }
 
-void dropUnlistedByPeer(GatewayNode &node, const std::set<std::string> &listed)
+void dropTargetsUnlistedByPeer(GatewayNode &node, const std::set<std::string> &listed)
 {
     for (auto &[id, record] : node.book.records)
         record.gone = record.gone || listed.count(id) == 0;
@@ -208,7 +208,7 @@
         node.confirmed.notifyAll();
     };
     sink.adapterVersion = [&node](const std::string &adapter, std::int64_t version) {
-        noteAdapterVersion(node, adapter, version);
+        applyAdapterVersion(node, adapter, version);
     };
     sink.listRead = [&node] {
         recordListRead(node.book, BootClock::now());
@@ -240,10 +240,10 @@
         addPeer(node, vm.peers, {std::move(vm.name), std::move(vm.zone), vm.capacity});
     };
     sink.spendNotes = [&node](std::vector<SpendNote> notes) {
-        takeNotesOfStore(node, std::move(notes));
+        applyStoredSnapshots(node, std::move(notes));
     };
     sink.peersRead = [&node] {
-        node.vmsRead = true;
+        node.vmListRead = true;
     };
     sink.isReading = [&node] {
         return node.relaying;
@@ -251,7 +251,7 @@
     sink.isReadingList = [&node] {
         return node.relaying || readsListItself(node, BootClock::now());
     };
-    sink.isBacked = [&node] {
+    sink.hasBackupRelays = [&node] {
         const auto zones = std::count_if(
             node.reported.reports.begin(), node.reported.reports.end(),
             [&](const auto &report) { return report.first.starts_with(zoneReporter); });
@@ -261,7 +261,7 @@
         node.starts = own.starts;
     };
     sink.storeReachable = [&node](bool reachable, const std::string &why) {
-        noteStoreAnswer(node, reachable, BootClock::now());
+        recordStoreAnswer(node, reachable, BootClock::now());
         if (reachable == node.storeUp)
             return;
         node.storeUp = reachable;
--- a/libs/gateway/src/Feeds.h
+++ b/libs/gateway/src/Feeds.h
@@ -12,16 +12,16 @@
 asio::awaitable<void> followPlatform(GatewayNode &node);
 
 /** Takes a configuration unless one as new is in force. `source` is for the log. */
-void takeConfig(GatewayNode &node, DecodedConfig decoded, const std::string &source);
+void applyConfig(GatewayNode &node, DecodedConfig decoded, const std::string &source);
 
 /** Decodes a configuration and takes it; false if it cannot be read. */
-bool takePackedConfig(GatewayNode &node, const PackedDocument &packed, const std::string &source);
+bool applyPackedConfig(GatewayNode &node, const PackedDocument &packed, const std::string &source);
 
 /** Takes entries of the list from a VM that reads it. */
-void takeTargetsByPeer(GatewayNode &node, std::vector<TargetEntry> entries);
+void applyPeerTargets(GatewayNode &node, std::vector<TargetEntry> entries);
 
 /** A VM that reads the list has told all of it: other targets are gone. */
-void dropUnlistedByPeer(GatewayNode &node, const std::set<std::string> &listed);
+void dropTargetsUnlistedByPeer(GatewayNode &node, const std::set<std::string> &listed);
 
 /** A VM that reads the list says that this target is gone. */
 void dropTargetByPeer(GatewayNode &node, const std::string &target, bool ownRelay);
--- a/libs/gateway/src/FleetCount.cpp
+++ b/libs/gateway/src/FleetCount.cpp
@@ -22,45 +22,45 @@
 
 } // namespace
 
-bool hearsRelay(const GatewayNode &node, Instant now)
+bool isRelayLive(const GatewayNode &node, Instant now)
 {
-    return node.upstream.at != Instant{} && now - node.upstream.at <= reporterSilence;
+    return node.upstream.at != Instant{} && now - node.upstream.at <= reporterTimeout;
 }
 
-int vmsInTouch(const GatewayNode &node, Instant now)
+int reachableVms(const GatewayNode &node, Instant now)
 {
     const int below = 1 + vmsReported(node.reported);
-    return hearsRelay(node, now) ? std::max(node.upstream.vmsInTouch, below) : below;
+    return isRelayLive(node, now) ? std::max(node.upstream.reachableVms, below) : below;
 }
 
-int vmsKnown(const GatewayNode &node, Instant now)
+int knownVms(const GatewayNode &node, Instant now)
 {
     const bool counted = node.fleet.heardAt != Instant{};
     const int listed = counted ? 0 : 1 + namedPeers(node);
-    return std::max({node.fleet.known, vmsInTouch(node, now), listed});
+    return std::max({node.fleet.known, reachableVms(node, now), listed});
 }
 
 // A relay may have just started as well, and know of few: without the store's list its word counts
 // only after a while.
-bool knowsOthers(const GatewayNode &node, Instant now)
+bool knowsFleetSize(const GatewayNode &node, Instant now)
 {
     const bool heardForLong = node.upstream.at != Instant{} && now - node.bootedAt > othersHeard;
-    return node.vmsRead || heardForLong;
+    return node.vmListRead || heardForLong;
 }
 
 // Use is told by workspace, so it needs a configuration as well.
-bool tellsUse(const GatewayNode &node, Instant now)
+bool reportsUsage(const GatewayNode &node, Instant now)
 {
     if (node.settings.firstStart)
         return true;
-    return knowsOthers(node, now) && node.routes->config().version > 0;
+    return knowsFleetSize(node, now) && node.routes->config().version > 0;
 }
 
-void countVms(GatewayNode &node, Instant now)
+void recountVms(GatewayNode &node, Instant now)
 {
     const std::optional<Instant> confirmed = configConfirmedAt(node);
     VmCount count;
-    count.inTouch = vmsInTouch(node, now);
+    count.inTouch = reachableVms(node, now);
     count.listed = 1 + namedPeers(node);
     count.storeHeard = confirmed && now - *confirmed < storeHeard;
     noteVms(node.fleet, count, now);
--- a/libs/gateway/src/FleetCount.h
+++ b/libs/gateway/src/FleetCount.h
@@ -10,24 +10,24 @@
  */
 
 /** VMs that are heard now, this one among them. */
-int vmsInTouch(const GatewayNode &node, Instant now);
+int reachableVms(const GatewayNode &node, Instant now);
 
 /** VMs that may let calls run, whether they are heard or not. */
-int vmsKnown(const GatewayNode &node, Instant now);
+int knownVms(const GatewayNode &node, Instant now);
 
 /** False while a VM that has just started cannot know how many others there are. */
-bool knowsOthers(const GatewayNode &node, Instant now);
+bool knowsFleetSize(const GatewayNode &node, Instant now);
 
 /**
  * This VM tells what it may have used of the limits before its start; one that does not is not
  * counted among those whose use is told.
  */
-bool tellsUse(const GatewayNode &node, Instant now);
+bool reportsUsage(const GatewayNode &node, Instant now);
 
 /** Looks how many are in touch; called all the time. */
-void countVms(GatewayNode &node, Instant now);
+void recountVms(GatewayNode &node, Instant now);
 
 /** The VM's relay told something lately. */
-bool hearsRelay(const GatewayNode &node, Instant now);
+bool isRelayLive(const GatewayNode &node, Instant now);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/Forwarding.cpp
+++ b/libs/gateway/src/Forwarding.cpp
@@ -4,7 +4,7 @@
 
 #include "CallAnswer.h"
 #include "CallerAccess.h"
-#include "ConfigReading.h"
+#include "ConfigDownload.h"
 #include "FleetCount.h"
 #include "HarmfulWatch.h"
 #include "LinkWatch.h"
@@ -80,8 +80,8 @@
 SlackSharing slackSharing(const GatewayNode &node, Instant now)
 {
     SlackSharing sharing;
-    if (knowsOthers(node, now))
-        sharing.vms = vmsKnown(node, now);
+    if (knowsFleetSize(node, now))
+        sharing.vms = knownVms(node, now);
     if (!node.settings.firstStart)
         sharing.from = slackAvailableFrom(node.settings.retries, node.bootedAt);
     return sharing;
@@ -199,7 +199,7 @@
                     bool again)
     {
         const ServiceRetryBudget &budget = this->node.retryBudgets[this->run.service];
-        const TargetUsage others = othersAt(this->node, target);
+        const TargetUsage others = othersUsageAt(this->node, target);
         logEvent(EventId::CallBounced,
                  {{"call", this->run.facts.attemptId},
                   {"target", target},
@@ -274,7 +274,7 @@
                 this->noteBroken(exchange, target);
             co_return AttemptResult::Broken;
         }
-        takeTargetWords(this->node, target.id, exchange.facts());
+        applyAnswerHints(this->node, target.id, exchange.facts());
         if (exchange.facts().notRun) {
             this->run.mayHaveRun = mayHaveRunBefore;
             if (mayHaveRunBefore)
@@ -307,18 +307,18 @@
     {
         noteEnd(this->run, target, SendOutcome::Unreachable);
         runtimeOf(this->node, target.id).pool.lostAt = BootClock::now();
-        noteLinkFailed(this->node, target.id);
-        if (isLinkToBlame(this->node, target.id, BootClock::now()))
+        recordLinkFailure(this->node, target.id);
+        if (isOwnLinkFault(this->node, target.id, BootClock::now()))
             ++this->run.unreachableHere;
     }
 
     void noteBroken(const TargetExchange &exchange, const TargetEntry &target)
     {
         if (exchange.error() == asio::error::timed_out)
-            noteLinkFailed(this->node, target.id);
+            recordLinkFailure(this->node, target.id);
         noteEnd(this->run, target, SendOutcome::Broken);
         runtimeOf(this->node, target.id).pool.lostAt = BootClock::now();
-        noteLostCall(this->run, target.id);
+        recordLostCall(this->run, target.id);
     }
 
     asio::awaitable<void> takeNotRun(TargetExchange &exchange, const TargetEntry &target)
@@ -336,7 +336,7 @@
         }
         if (facts.misdirected) {
             runtimeOf(this->node, target.id).resident.erase(this->run.facts.adapter);
-            forgetPrefixesOf(this->node, target.id, this->run.facts.adapter);
+            dropPrefixesOf(this->node, target.id, this->run.facts.adapter);
             this->run.adapterMissingAt = target.id;
             this->run.tried.pop_back();
             co_return;
--- a/libs/gateway/src/Gateway.cpp
+++ b/libs/gateway/src/Gateway.cpp
@@ -1,18 +1,18 @@
 #include "gateway/Gateway.h"
 
 #include "CallListener.h"
-#include "ConfigReading.h"
+#include "ConfigDownload.h"
 #include "EngineOrders.h"
 #include "Feeds.h"
 #include "GatewayNode.h"
 #include "LeaseKeeping.h"
-#include "NewsBytes.h"
 #include "PeerExchange.h"
 #include "PlaceWaiting.h"
 #include "PrefillReserving.h"
 #include "RelayLoops.h"
 #include "SpendNotes.h"
 #include "StreamResuming.h"
+#include "UpdateBytes.h"
 #include "UseNotes.h"
 #include "observe/Events.h"
 #include "transport/HttpServer.h"
@@ -80,13 +80,13 @@
             return part;
         };
         handlers.word = [this](const gateway::v1::WordRequest &request) {
-            return answerWord(this->node, request);
+            return answerLeaseConfirmation(this->node, request);
         };
-        handlers.noteUse = [this](const gateway::v1::UseNote &note) {
-            return takeUseNote(this->node, note);
+        handlers.reportUsage = [this](const gateway::v1::UseNote &note) {
+            return applyUsageReport(this->node, note);
         };
         handlers.load = [this](gateway::v1::LoadRequest request) {
-            return loadHere(this->node, std::move(request));
+            return performLoad(this->node, std::move(request));
         };
         handlers.reservePrefill = [this](const gateway::v1::PrefillRequest &request) {
             return handlePrefillRequest(this->node, request);
@@ -106,18 +106,18 @@
         spawn(this->node, "follow platform", followPlatform(this->node));
         spawn(this->node, "lease", leaseLoop(this->node));
         spawn(this->node, "extend lease", extendLoop(this->node));
-        spawn(this->node, "tend", tendLoop(this->node));
+        spawn(this->node, "tend", modelLoadLoop(this->node));
         spawn(this->node, "wake calls", wakeWaitingCallsLoop(this->node));
-        spawn(this->node, "tell holders", useNoteLoop(this->node));
+        spawn(this->node, "tell holders", usageReportLoop(this->node));
         spawn(this->node, "stream origins", streamOriginLoop(this->node));
-        spawn(this->node, "words", wordLoop(this->node));
+        spawn(this->node, "words", leaseConfirmationLoop(this->node));
         spawn(this->node, "report to relay", upstreamLoop(this->node));
         spawn(this->node, "exchange with zones", otherZonesLoop(this->node));
         spawn(this->node, "read configuration", readConfigLoop(this->node));
-        spawn(this->node, "look for mates", matesLoop(this->node));
+        spawn(this->node, "look for mates", zonePeersLoop(this->node));
         spawn(this->node, "sweep", sweepLoop(this->node));
-        spawn(this->node, "note use", spendNoteLoop(this->node));
-        spawn(this->node, "log news", newsLogLoop(this->node));
+        spawn(this->node, "note use", usageSnapshotLoop(this->node));
+        spawn(this->node, "log news", updateLogLoop(this->node));
     }
 
     asio::awaitable<void> shutDown()
@@ -127,7 +127,7 @@
         logEvent(EventId::ShutdownBegun,
                  {{"inFlight", std::to_string(this->node.callsInFlight)},
                   {"connections", std::to_string(this->node.connections)}});
-        this->node.newsDue.notifyAll();
+        this->node.reportDue.notifyAll();
         const Instant limit = begun + this->node.settings.shutdownLimit;
         while (BootClock::now() < begun + readinessNoticed)
             co_await pauseFor(this->node, shutdownLook);
@@ -140,11 +140,11 @@
         while (this->node.connections > 0 && BootClock::now() < limit)
             co_await pauseFor(this->node, shutdownLook);
         co_await leaveLease(this->node);
-        this->node.newsDue.notifyAll();
+        this->node.reportDue.notifyAll();
         co_await pauseFor(this->node, releaseTold);
-        this->report.cutCalls = this->node.callsInFlight;
-        logEvent(this->report.cutCalls == 0 ? EventId::ShutdownDone : EventId::ShutdownCut,
-                 {{"requests", std::to_string(this->report.cutCalls)}});
+        this->report.abortedCalls = this->node.callsInFlight;
+        logEvent(this->report.abortedCalls == 0 ? EventId::ShutdownDone : EventId::ShutdownCut,
+                 {{"requests", std::to_string(this->report.abortedCalls)}});
         this->node.stopped = true;
         this->node.context.stop();
     }
--- a/libs/gateway/src/GatewayNode.cpp
+++ b/libs/gateway/src/GatewayNode.cpp
@@ -57,7 +57,7 @@
     , started(this->context)
     , engineChanged(this->context)
     , callWaits(this->context)
-    , newsDue(this->context)
+    , reportDue(this->context)
 { }
 
 TargetRuntime &runtimeOf(GatewayNode &node, const std::string &target)
@@ -76,7 +76,7 @@
     return found == node.book.records.end() ? nullptr : &found->second.entry;
 }
 
-void noteResident(GatewayNode &node, const std::string &target, ResidentVersions resident)
+void setResident(GatewayNode &node, const std::string &target, ResidentVersions resident)
 {
     TargetRuntime &runtime = runtimeOf(node, target);
     for (const auto &[adapter, version] : resident) {
@@ -88,25 +88,25 @@
         if (kept == resident.end())
             recordTouch(runtime.copies, adapter);
         if (kept == resident.end() || kept->second != version)
-            forgetPrefixesOf(node, target, adapter);
+            dropPrefixesOf(node, target, adapter);
     }
     runtime.resident = std::move(resident);
 }
 
 int liveGateways(const GatewayNode &node)
 {
-    return node.vmsCounted;
+    return node.recentVms;
 }
 
-void countGateways(GatewayNode &node, Instant now)
+void updateLiveGateways(GatewayNode &node, Instant now)
 {
     const int above = node.upstream.at == Instant{} ? 0 : node.upstream.vms;
     const int heard = std::max(1 + vmsReported(node.reported), above);
-    const bool forgotten = now - node.vmsCountedAt > silentCounts;
-    if (heard < node.vmsCounted && !forgotten)
+    const bool forgotten = now - node.recentVmsAt > silentCounts;
+    if (heard < node.recentVms && !forgotten)
         return;
-    node.vmsCounted = heard;
-    node.vmsCountedAt = now;
+    node.recentVms = heard;
+    node.recentVmsAt = now;
 }
 
 std::int64_t versionInForce(const GatewayNode &node, const std::string &adapter)
@@ -120,7 +120,7 @@
     return confirmedAt(node.confirmations, node.routes->config().version);
 }
 
-void noteStoreAnswer(GatewayNode &node, bool answered, Instant now)
+void recordStoreAnswer(GatewayNode &node, bool answered, Instant now)
 {
     if (answered) {
         node.storeReachedAt = now;
@@ -151,12 +151,12 @@
     return node.routes->config().version == 0 || node.book.lastRead == Instant{};
 }
 
-Instant wantsNothingUntil(const GatewayNode &node, const std::string &target, Instant now)
+Instant pausedUntil(const GatewayNode &node, const std::string &target, Instant now)
 {
     const auto found = node.targets.find(target);
-    if (found == node.targets.end() || found->second->wantsNothingUntil <= now)
+    if (found == node.targets.end() || found->second->pausedUntil <= now)
         return Instant{};
-    return found->second->wantsNothingUntil;
+    return found->second->pausedUntil;
 }
 
 std::vector<const TargetRecord *> targetsOf(const GatewayNode &node, const std::string &service)
@@ -169,7 +169,7 @@
     return found;
 }
 
-TargetUsage othersAt(const GatewayNode &node, const std::string &target)
+TargetUsage othersUsageAt(const GatewayNode &node, const std::string &target)
 {
     TargetUsage others;
     const auto below = node.reported.total.find(target);
@@ -183,7 +183,7 @@
 
 TargetUsage totalLoad(const GatewayNode &node, const std::string &target)
 {
-    TargetUsage total = othersAt(node, target);
+    TargetUsage total = othersUsageAt(node, target);
     const auto own = node.targets.find(target);
     if (own == node.targets.end())
         return total;
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -19,8 +19,8 @@
 #include "GatewayPeers.h"
 #include "ResumeState.h"
 #include "Signal.h"
-#include "SpendState.h"
 #include "TargetPool.h"
+#include "UsageSnapshotState.h"
 #include "access/Confirmation.h"
 #include "access/KeyTable.h"
 #include "gateway/GatewaySettings.h"
@@ -84,7 +84,7 @@
     TargetPool pool;
     Instant startKnownAt{}; ///< it was asked, and was the start that its entry tells of
     LostCalls lost;
-    Instant wantsNothingUntil{}; ///< by its own word to this VM
+    Instant pausedUntil{}; ///< by its own word to this VM
     AdvertisedLimit limit;
     bool leaves = false; ///< it has said so; also once the list has dropped it
     TargetUsage own;
@@ -97,13 +97,13 @@
 };
 
 /** The last word of a VM on whether it may order engines of its zone. */
-struct PeerWord
+struct PeerLeaseConfirmation
 {
     Instant triedAt{}; ///< when it was asked last
     Instant askedAt{}; ///< when it was asked for its last answer; zero: it never answered
     PeerLeaseState word;
 
-    auto operator<=>(const PeerWord &) const = default;
+    auto operator<=>(const PeerLeaseConfirmation &) const = default;
 };
 
 /** Another gateway. */
@@ -120,7 +120,7 @@
     Instant reportedAt{}; ///< its newest report
     bool starting = false;
     bool stopping = false;
-    bool leaseLeft = false; ///< by its last word, this boot orders no engines any more
+    bool leftLeaseGroup = false; ///< by its last word, this boot orders no engines any more
     bool storeUnreachable = false;
     bool holding = false; ///< it is one of those that order engines of its zone
     bool linksLost = false; ///< it does not reach engines that others reach
@@ -133,20 +133,20 @@
     Instant retryAt{}; ///< not before this, after a failure
     std::uint64_t seenBoot = 0; ///< its boot of which `seenChange` counts
     std::uint64_t seenChange = 0;
-    bool moreToTell = false; ///< its last answer did not hold all that changed there
-    bool inWhole = false; ///< it is telling all that it knows, and has not come to the end
-    std::set<std::string> toldInWhole; ///< targets that it has told so far in that
-    std::uint64_t toldBoot = 0; ///< its boot that was told of engines up to `toldChange`
-    std::uint64_t toldChange = 0; ///< of this VM's own changes
+    bool hasMoreUpdates = false; ///< its last answer did not hold all that changed there
+    bool fullSyncRunning = false; ///< it is telling all that it knows, and has not come to the end
+    std::set<std::string> fullSyncTargets; ///< targets that it has told so far in that
+    std::uint64_t sentBoot = 0; ///< its boot that was told of engines up to `sentChange`
+    std::uint64_t sentChange = 0; ///< of this VM's own changes
     std::uint64_t seenPrefix = 0; ///< last of its log of prefixes, in the boot `seenBoot`
-    std::set<std::string> enginesUnknown; ///< it told changes of records that this VM has not
-    std::set<std::string> enginesAsked; ///< whose whole records it has asked for
-    std::uint64_t toldPrefix = 0; ///< last of the own log that its boot `toldBoot` was told
+    std::set<std::string> missingEngines; ///< it told changes of records that this VM has not
+    std::set<std::string> requestedEngines; ///< whose whole records it has asked for
+    std::uint64_t sentPrefix = 0; ///< last of the own log that its boot `sentBoot` was told
 
     int configFailures = 0; ///< reads of its configuration that failed, in a row
     Instant configRetryAt{}; ///< no further one before this
 
-    PeerWord word;
+    PeerLeaseConfirmation word;
     Instant loadFailedAt{}; ///< it did not answer when asked for a load
 };
 
@@ -159,9 +159,9 @@
 };
 
 /** A load that a call of this VM has asked for. */
-struct LoadAsk
+struct LoadInFlight
 {
-    explicit LoadAsk(asio::io_context &context)
+    explicit LoadInFlight(asio::io_context &context)
         : done(context)
     { }
 
@@ -170,15 +170,15 @@
 };
 
 /** An engine that this VM orders. */
-struct HeldDesk
+struct HeldEngine
 {
-    explicit HeldDesk(asio::io_context &context)
+    explicit HeldEngine(asio::io_context &context)
         : changed(context)
     { }
 
     AdapterScheduler scheduler;
     bool ordering = false; ///< an order or report is under way
-    Instant orderingSince{}; ///< of the last one
+    Instant commandSince{}; ///< of the last one
     bool looking = false; ///< a report is read to see whether loads are done
     Instant retryAt{}; ///< no order or report before this
     int refusals = 0; ///< in a row
@@ -187,34 +187,34 @@
 };
 
 /** A target as it is told to other gateways. */
-struct TargetFact
+struct SharedTarget
 {
     TargetEntry entry;
     bool gone = false;
     bool lapsed = false; ///< its entry has expired in an outage; it may be listed again
 
-    auto operator<=>(const TargetFact &) const = default;
+    auto operator<=>(const SharedTarget &) const = default;
 };
 
 /** Another VM as it is told to other gateways. */
-struct VmFact
+struct SharedVm
 {
     std::string name;
     std::string zone;
     double capacity = 0;
 
-    auto operator<=>(const VmFact &) const = default;
+    auto operator<=>(const SharedVm &) const = default;
 };
 
 /** Another VM's calls at an engine that this VM orders. */
-struct ToldRuns
+struct ReportedRuns
 {
     std::map<std::string, int> byAdapter; ///< empty: it has none any more
     std::uint64_t boot = 0; ///< of the VM
     std::uint64_t sequence = 0; ///< of the note; an older one that arrives late is dropped
     Instant at{};
 
-    auto operator<=>(const ToldRuns &) const = default;
+    auto operator<=>(const ReportedRuns &) const = default;
 };
 
 /** Evidence on calls, and whether this VM saw it itself. */
@@ -227,13 +227,13 @@
 };
 
 /** What this VM has learnt and passes on; readers ask for what changed since they last did. */
-struct SharedFacts
+struct SharedState
 {
     ChangeCounter counter;
     EngineLog engines;
-    ChangeLog<std::string, TargetFact> targets;
+    ChangeLog<std::string, SharedTarget> targets;
     ChangeLog<std::string, std::int64_t> adapterVersions; ///< in force, by adapter key
-    ChangeLog<Endpoint, VmFact> vms;
+    ChangeLog<Endpoint, SharedVm> vms;
     ChangeLog<std::uint64_t, KnownEvidence> evidence; ///< by an id that its VM drew
 };
 
@@ -253,15 +253,15 @@
 }
 
 /** What the relay told last. */
-struct UpstreamWord
+struct RelayState
 {
     Endpoint relay;
     Instant at{}; ///< zero: none is heard
     TargetUsages others; ///< calls of all VMs but those that this VM reports for
     int vms = 1; ///< all that are heard of, in all zones
-    int linkedMates = 0; ///< others of the zone that reach engines
+    int linkedZonePeers = 0; ///< others of the zone that reach engines
     WorkspaceUses otherWorkspaces; ///< of all VMs in touch but those that this one reports for
-    int vmsInTouch = 1; ///< that these are of, this VM and those it reports for among them
+    int reachableVms = 1; ///< that these are of, this VM and those it reports for among them
 };
 
 /** Whose whole list of targets this VM holds, to follow the changes of. */
@@ -282,16 +282,16 @@
 };
 
 /** A configuration that is being read from peers, part after part. */
-struct ConfigReading
+struct ConfigDownload
 {
     PartialDocument soFar;
     PartPacing pacing;
     Endpoint source; ///< of the last part
     std::int64_t expected = 0; ///< version that a peer said `source` has, or is reading; 0: none
-    bool onlyThere = false; ///< a VM that this one was sent on to gave nothing
+    bool redirectFailed = false; ///< a VM that this one was sent on to gave nothing
     bool decoding = false; ///< all has come
     Instant begunAt{};
-    Instant grownAt{}; ///< a part came last, or it was begun, or another source was taken
+    Instant lastProgressAt{}; ///< a part came last, or it was begun, or another source was taken
 };
 
 /** All state of one gateway. One thread. */
@@ -311,7 +311,7 @@
 
     std::shared_ptr<const RouteTable> routes; ///< never null
     DocumentShelf config; ///< as others read it
-    ConfigReading configReading;
+    ConfigDownload configDownload;
     ConfigReaders configReaders;
     KeyTable keys; ///< of the configuration in force
     Confirmations confirmations;
@@ -321,9 +321,9 @@
     int keysAwaited = 0; ///< calls that wait to learn whether their key is a new one
     std::unordered_map<std::string, SpendRecord> spending; ///< of own calls, by workspace
     FleetSize fleet;
-    SpendState spend;
+    UsageSnapshotState spend;
     Signal configOffered; ///< a peer has a newer one
-    SharedFacts facts;
+    SharedState facts;
     SharedPrefixes prefixes;
     TargetTable book;
     std::unordered_map<std::string, std::unique_ptr<TargetRuntime>> targets;
@@ -336,36 +336,36 @@
     std::map<Endpoint, PeerState> peers;
     std::uint64_t reportSequence = 0;
     UsageLedger reported; ///< by VMs that report here, and by the relays of other zones
-    UpstreamWord upstream;
+    RelayState upstream;
     ListSource listSource;
     /** Adapters in use at engines that this VM orders, by engine and by the VM that told. */
-    std::unordered_map<std::string, std::map<Endpoint, ToldRuns>> toldRuns;
+    std::unordered_map<std::string, std::map<Endpoint, ReportedRuns>> reportedRuns;
     std::set<std::string> runsChanged; ///< engines whose holder is to be told of own calls
     Signal runsDue;
     std::uint64_t advanceSequence = 0;
     std::map<std::string, Endpoint> zoneRelays; ///< of other zones, as their VMs say
-    std::set<std::string> enginesBelow; ///< held by VMs that report here
+    std::set<std::string> reportedEngines; ///< held by VMs that report here
     bool relaying = false; ///< this VM reads the store for its zone
-    bool vmsRead = false; ///< the store's list of VMs was read
+    bool vmListRead = false; ///< the store's list of VMs was read
     std::int64_t starts = 0; ///< of this VM, by the store; 0: not known yet
-    int vmsCounted = 1; ///< most VMs heard of lately
-    Instant vmsCountedAt{};
+    int recentVms = 1; ///< most VMs heard of lately
+    Instant recentVmsAt{};
     GatewayPeers links;
 
     PartitionLease lease;
     Instant bootedAt;
     bool mayHold = false; ///< joins those that order engines of the zone
     Instant joinedAt{}; ///< when it first did; zero: not yet
-    bool ordersYielded = false; ///< to mates, until this VM reaches the engines again
+    bool leaseYielded = false; ///< to mates, until this VM reaches the engines again
     bool renewed = false; ///< the last renewal was granted
     bool renewalFailing = false;
-    bool orderedBefore = false; ///< a boot before this one noted that it orders engines
-    std::vector<PartitionRelease> releasesHeard; ///< of other VMs of the zone, told on
-    bool notingOrders = false; ///< notes in the store are being read or added
-    Instant noteRetryAt{}; ///< no further attempt before this
-    std::unordered_map<std::string, std::unique_ptr<HeldDesk>> desks;
+    bool heldBefore = false; ///< a boot before this one noted that it orders engines
+    std::vector<PartitionRelease> peerReleases; ///< of other VMs of the zone, told on
+    bool recordingClaims = false; ///< notes in the store are being read or added
+    Instant claimRetryAt{}; ///< no further attempt before this
+    std::unordered_map<std::string, std::unique_ptr<HeldEngine>> desks;
     /** By engine and adapter. */
-    std::map<std::pair<std::string, std::string>, std::shared_ptr<LoadAsk>> loadsAsked;
+    std::map<std::pair<std::string, std::string>, std::shared_ptr<LoadInFlight>> loadsInFlight;
     LoadEstimator loadEstimator;
     std::unordered_map<std::string, PrefillRate> prefillPaces; ///< by service
     PrefillCounts prefill;
@@ -377,13 +377,13 @@
     Signal started; ///< a first configuration, or a first list of targets, is there
     Signal engineChanged; ///< residents or loads of engines changed
     Signal callWaits; ///< a call has begun to wait for a place
-    Signal newsDue; ///< something that the relay should hear before the next regular report
+    Signal reportDue; ///< something that the relay should hear before the next regular report
     bool storeUp = false;
     Instant storeFailedAt{}; ///< last attempt to read the store that failed; zero: none
     Instant storeFailingSince{}; ///< the first that failed since it last answered; zero: none
     Instant storeReachedAt{}; ///< the store answered this VM last; zero: never
     bool shuttingDown = false;
-    bool leaseLeft = false; ///< it has left those that order engines, and does not come back
+    bool leftLeaseGroup = false; ///< it has left those that order engines, and does not come back
     bool stopped = false;
     int callsInFlight = 0;
     int forwardedInFlight = 0; ///< of these, that other VMs forwarded
@@ -397,13 +397,13 @@
 const TargetEntry *entryOf(const GatewayNode &node, const std::string &target);
 
 /** Sets what an engine holds, and remembers what it held. */
-void noteResident(GatewayNode &node, const std::string &target, ResidentVersions resident);
+void setResident(GatewayNode &node, const std::string &target, ResidentVersions resident);
 
 /** Gateways heard of lately, this one among them; counts those that fell silent for a while on. */
 int liveGateways(const GatewayNode &node);
 
 /** The fewest that liveGateways() may say from now on, by what is heard now. */
-void countGateways(GatewayNode &node, Instant now);
+void updateLiveGateways(GatewayNode &node, Instant now);
 
 /** The version of an adapter that is in force; 0 if none was named. */
 std::int64_t versionInForce(const GatewayNode &node, const std::string &adapter);
@@ -412,7 +412,7 @@
 std::optional<Instant> configConfirmedAt(const GatewayNode &node);
 
 /** The store has answered this VM, or has failed to. */
-void noteStoreAnswer(GatewayNode &node, bool answered, Instant now);
+void recordStoreAnswer(GatewayNode &node, bool answered, Instant now);
 
 /** What this VM tells others of its own standing. */
 RelayRank ownRank(const GatewayNode &node);
@@ -421,7 +421,7 @@
 bool isStarting(const GatewayNode &node) noexcept;
 
 /** When the target will take calls of this VM again, by its own word; zero: it does now. */
-Instant wantsNothingUntil(const GatewayNode &node, const std::string &target, Instant now);
+Instant pausedUntil(const GatewayNode &node, const std::string &target, Instant now);
 
 /** Targets of a service that may take work, whether they take calls of this VM now or not. */
 std::vector<const TargetRecord *> targetsOf(const GatewayNode &node, const std::string &service);
@@ -430,7 +430,7 @@
 TargetUsage totalLoad(const GatewayNode &node, const std::string &target);
 
 /** The same of all other gateways' calls, and how they ended lately. */
-TargetUsage othersAt(const GatewayNode &node, const std::string &target);
+TargetUsage othersUsageAt(const GatewayNode &node, const std::string &target);
 
 bool isReady(const GatewayNode &node) noexcept;
 
--- a/libs/gateway/src/GatewayPeers.cpp
+++ b/libs/gateway/src/GatewayPeers.cpp
@@ -57,7 +57,7 @@
     grpc::ServerUnaryReactor *NoteUse(grpc::CallbackServerContext *call, const v1::UseNote *note,
                                       v1::UseNoted *noted) override
     {
-        return this->answerAtOnce(call, note, noted, this->handlers.noteUse);
+        return this->answerAtOnce(call, note, noted, this->handlers.reportUsage);
     }
 
     grpc::ServerUnaryReactor *ReservePrefill(grpc::CallbackServerContext *call,
@@ -253,7 +253,7 @@
 }
 
 asio::awaitable<std::optional<v1::Word>>
-GatewayPeers::askWord(Endpoint peer, v1::WordRequest request, Duration timeout)
+GatewayPeers::askLeaseConfirmation(Endpoint peer, v1::WordRequest request, Duration timeout)
 {
     auto shared = std::make_shared<const v1::WordRequest>(std::move(request));
     return this->impl->unary<v1::WordRequest, v1::Word>(
@@ -263,8 +263,8 @@
            auto done) { stub.async()->AskWord(&context, &request, &reply, done); });
 }
 
-asio::awaitable<std::optional<v1::UseNoted>> GatewayPeers::noteUse(Endpoint peer, v1::UseNote note,
-                                                                   Duration timeout)
+asio::awaitable<std::optional<v1::UseNoted>>
+GatewayPeers::reportUsage(Endpoint peer, v1::UseNote note, Duration timeout)
 {
     auto shared = std::make_shared<const v1::UseNote>(std::move(note));
     return this->impl->unary<v1::UseNote, v1::UseNoted>(
--- a/libs/gateway/src/GatewayPeers.h
+++ b/libs/gateway/src/GatewayPeers.h
@@ -21,7 +21,7 @@
     std::function<gateway::v1::Digest(const gateway::v1::Report &)> exchange;
     std::function<gateway::v1::ConfigPart(const gateway::v1::ConfigRequest &)> readConfig;
     std::function<gateway::v1::Word(const gateway::v1::WordRequest &)> word;
-    std::function<gateway::v1::UseNoted(const gateway::v1::UseNote &)> noteUse;
+    std::function<gateway::v1::UseNoted(const gateway::v1::UseNote &)> reportUsage;
     std::function<asio::awaitable<gateway::v1::LoadReply>(gateway::v1::LoadRequest)> load;
     std::function<gateway::v1::PrefillReply(const gateway::v1::PrefillRequest &)> reservePrefill;
     std::function<gateway::v1::OriginsNoted(const gateway::v1::OriginNote &)> noteOrigins;
@@ -52,10 +52,10 @@
     readConfig(Endpoint peer, gateway::v1::ConfigRequest request, Duration timeout);
 
     asio::awaitable<std::optional<gateway::v1::Word>>
-    askWord(Endpoint peer, gateway::v1::WordRequest request, Duration timeout);
+    askLeaseConfirmation(Endpoint peer, gateway::v1::WordRequest request, Duration timeout);
 
     asio::awaitable<std::optional<gateway::v1::UseNoted>>
-    noteUse(Endpoint peer, gateway::v1::UseNote note, Duration timeout);
+    reportUsage(Endpoint peer, gateway::v1::UseNote note, Duration timeout);
 
     asio::awaitable<std::optional<gateway::v1::LoadReply>>
     load(Endpoint peer, gateway::v1::LoadRequest request, Duration timeout);
--- a/libs/gateway/src/HarmfulWatch.cpp
+++ b/libs/gateway/src/HarmfulWatch.cpp
@@ -36,7 +36,7 @@
         addEvidence(node, node.random(), std::move(piece));
     }
     evaluateEvidence(node);
-    node.newsDue.notifyAll();
+    node.reportDue.notifyAll();
 }
 
 void dropEvidence(GatewayNode &node, std::uint64_t id)
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -58,7 +58,7 @@
 {
     // Before it was started anew it ordered, so the others have heard of it and go on asking it at
     // its address. They forget a VM only after it has been down for `goneAfter`.
-    if (node.orderedBefore)
+    if (node.heldBefore)
         return false;
     if (now - node.joinedAt >= newcomerWait)
         return false;
@@ -71,10 +71,10 @@
 
 } // namespace
 
-bool mayOrderNow(const GatewayNode &node, const std::string &target)
+bool mayCommandNow(const GatewayNode &node, const std::string &target)
 {
     const TargetEntry *entry = entryOf(node, target);
-    if (entry == nullptr || entry->zone != node.settings.zone || node.leaseLeft)
+    if (entry == nullptr || entry->zone != node.settings.zone || node.leftLeaseGroup)
         return false;
     if (mayBeUnknownToHolder(node, BootClock::now()))
         return false;
@@ -99,7 +99,7 @@
     std::vector<PeerLeaseState> words;
     for (const auto &[endpoint, peer] : node.peers) {
         const bool mate =
-            peer.zone == node.settings.zone && peer.heardAt != Instant{} && !peer.leaseLeft;
+            peer.zone == node.settings.zone && peer.heardAt != Instant{} && !peer.leftLeaseGroup;
         if (mate && !isForgotten(peer))
             words.push_back(peer.word.word);
     }
@@ -125,30 +125,30 @@
 /** Notes in the store what this VM is about to order; see claimsToRecord(). */
 asio::awaitable<void> noteOrders(GatewayNode &node)
 {
-    node.notingOrders = true;
-    const auto notes = co_await node.platform->readOrderers(node.http, node.settings);
+    node.recordingClaims = true;
+    const auto notes = co_await node.platform->readHolderClaims(node.http, node.settings);
     std::vector<HolderClaim> claims;
     if (notes) {
-        node.orderedBefore = node.orderedBefore || isNotedBy(*notes, node.settings.vm);
+        node.heldBefore = node.heldBefore || isNotedBy(*notes, node.settings.vm);
         claims = claimsToRecord(node.lease, *notes, node.settings.vm, node.settings.lease,
                                 BootClock::now());
     }
-    node.noteRetryAt = BootClock::now() + afterFailedNote;
+    node.claimRetryAt = BootClock::now() + afterFailedNote;
     if (claims.empty()) {
-        node.notingOrders = false;
+        node.recordingClaims = false;
         co_return;
     }
-    OrdererClaims told;
+    HolderClaims told;
     told.generation = node.lease.generation;
     told.end = notes->end;
     for (const HolderClaim &claim : claims)
         told.partitions.push_back(claim.partition);
-    const bool added = co_await node.platform->noteOrderer(node.http, node.settings, told);
-    node.notingOrders = false;
+    const bool added = co_await node.platform->recordHolderClaims(node.http, node.settings, told);
+    node.recordingClaims = false;
     const Instant now = BootClock::now();
     if (added) {
         confirmClaims(node.lease, claims, now);
-        node.noteRetryAt = Instant{};
+        node.claimRetryAt = Instant{};
     }
     const auto again = std::count_if(claims.begin(), claims.end(),
                                      [](const HolderClaim &claim) { return claim.again; });
@@ -157,7 +157,7 @@
               {"partitions", std::to_string(claims.size())},
               {"orderedLastByThisVm", std::to_string(again)},
               {"added", added ? "yes" : "no"}});
-    node.newsDue.notifyAll();
+    node.reportDue.notifyAll();
 }
 
 } // namespace
@@ -175,8 +175,8 @@
                       {"before", std::to_string(before)},
                       {"why", "the store is away, and not all VMs of the zone say so"}});
         const Instant now = BootClock::now();
-        const bool mayNote = !node.notingOrders && !node.renewalFailing && !node.leaseLeft
-            && now >= node.noteRetryAt;
+        const bool mayNote = !node.recordingClaims && !node.renewalFailing && !node.leftLeaseGroup
+            && now >= node.claimRetryAt;
         if (mayNote && isNoteDue(node.lease, now))
             spawn(node, "note orders", noteOrders(node));
         retractEngines(node);
@@ -184,13 +184,13 @@
     }
 }
 
-bool shouldYieldOrders(const GatewayNode &node, Instant now)
+bool shouldYieldLease(const GatewayNode &node, Instant now)
 {
     const std::optional<Instant> lostSince = engineLinksLostSince(node);
     if (!lostSince || now - *lostSince < ordersKept)
         return false;
-    const int linked =
-        hearsRelay(node, now) ? node.upstream.linkedMates : linkedVms(node, node.settings.peers);
+    const int linked = isRelayLive(node, now) ? node.upstream.linkedZonePeers
+                                              : linkedVms(node, node.settings.peers);
     return linked > 0;
 }
 
@@ -206,12 +206,12 @@
               {"partitions", "0"},
               {"before", std::to_string(node.lease.activeFrom.size())},
               {"why", "the links to engines are lost, and a VM of the zone reaches them"}});
-    node.ordersYielded = true;
+    node.leaseYielded = true;
     node.renewed = false;
     node.renewalFailing = false;
     dropLease(node.lease, BootClock::now());
     retractEngines(node);
-    node.newsDue.notifyAll();
+    node.reportDue.notifyAll();
     co_await node.platform->leave(node.http, node.settings, renewal, renewTimeout);
 }
 
@@ -220,19 +220,19 @@
 asio::awaitable<void> leaseLoop(GatewayNode &node)
 {
     Instant dealtAt{};
-    while (!node.stopped && !node.leaseLeft) {
+    while (!node.stopped && !node.leftLeaseGroup) {
         // Without its own record in the store it could not tell its boots apart; see EngineRecord.
         if (!node.mayHold || node.starts == 0) {
             co_await pauseFor(node, extendEvery);
             continue;
         }
-        if (shouldYieldOrders(node, BootClock::now())) {
-            if (!node.ordersYielded)
+        if (shouldYieldLease(node, BootClock::now())) {
+            if (!node.leaseYielded)
                 co_await yieldOrders(node);
             co_await pauseFor(node, extendEvery);
             continue;
         }
-        node.ordersYielded = false;
+        node.leaseYielded = false;
         if (node.joinedAt == Instant{})
             node.joinedAt = BootClock::now();
         const LeaseRenewal renewal = renewalOf(node);
@@ -241,8 +241,8 @@
         node.renewed = grant.has_value();
         node.renewalFailing = !grant;
         if (grant)
-            noteStoreAnswer(node, true, BootClock::now());
-        if (grant && !node.leaseLeft) {
+            recordStoreAnswer(node, true, BootClock::now());
+        if (grant && !node.leftLeaseGroup) {
             const std::size_t before = node.lease.activeFrom.size();
             renewLease(node.lease, *grant, node.settings.lease, sentAt, BootClock::now());
             if (before != node.lease.activeFrom.size())
@@ -254,7 +254,7 @@
         }
         // What another gateway may have ordered meanwhile is not known here any more.
         for (const auto &[target, scheduler] : node.desks) {
-            if (!mayOrderNow(node, target))
+            if (!mayCommandNow(node, target))
                 invalidateSequence(scheduler->scheduler);
         }
         const Instant now = BootClock::now();
@@ -267,18 +267,19 @@
 
 namespace {
 
-asio::awaitable<void> askWord(GatewayNode &node, Endpoint endpoint)
+asio::awaitable<void> askLeaseConfirmation(GatewayNode &node, Endpoint endpoint)
 {
     v1::WordRequest request;
     encodeSelf(node, *request.mutable_from());
     const Instant askedAt = BootClock::now();
-    const auto word = co_await node.links.askWord(endpoint, std::move(request), wordTimeout);
+    const auto word =
+        co_await node.links.askLeaseConfirmation(endpoint, std::move(request), wordTimeout);
     const auto found = node.peers.find(endpoint);
     if (!word || found == node.peers.end())
         co_return;
     PeerState &peer = found->second;
     peer.heardAt = BootClock::now();
-    peer.leaseLeft = word->left();
+    peer.leftLeaseGroup = word->left();
     // It counts from the question: the answer may have been under way for long.
     peer.word.askedAt = askedAt;
     peer.word.word = {askedAt, word->generation(), !word->may_hold()};
@@ -293,14 +294,14 @@
 
 } // namespace
 
-asio::awaitable<void> wordLoop(GatewayNode &node)
+asio::awaitable<void> leaseConfirmationLoop(GatewayNode &node)
 {
     while (!node.stopped) {
         const Instant now = BootClock::now();
         std::vector<Endpoint> due;
         for (auto &[endpoint, peer] : node.peers) {
             const bool mate = peer.zone == node.settings.zone && !peer.name.empty();
-            if (!mate || node.joinedAt == Instant{} || node.leaseLeft)
+            if (!mate || node.joinedAt == Instant{} || node.leftLeaseGroup)
                 continue;
             if (now - peer.word.triedAt < wordSpacing(node, peer))
                 continue;
@@ -308,12 +309,12 @@
             due.push_back(endpoint);
         }
         for (const Endpoint &endpoint : due)
-            spawn(node, "ask word", askWord(node, endpoint));
+            spawn(node, "ask word", askLeaseConfirmation(node, endpoint));
         co_await pauseFor(node, wordEvery);
     }
 }
 
-v1::Word answerWord(GatewayNode &node, const v1::WordRequest &request)
+v1::Word answerLeaseConfirmation(GatewayNode &node, const v1::WordRequest &request)
 {
     const Endpoint asker = decodeEndpoint(request.from());
     if (asker != node.settings.peers) {
@@ -324,8 +325,8 @@
     encodeSelf(node, *word.mutable_from());
     word.set_generation(node.lease.generation);
     // One that does not take part waits like any other before it orders, should it join.
-    word.set_may_hold(node.renewed && !node.leaseLeft);
-    word.set_left(node.leaseLeft);
+    word.set_may_hold(node.renewed && !node.leftLeaseGroup);
+    word.set_left(node.leftLeaseGroup);
     return word;
 }
 
@@ -334,7 +335,7 @@
 asio::awaitable<void> leaveLease(GatewayNode &node)
 {
     const LeaseRenewal renewal = renewalOf(node);
-    node.leaseLeft = true;
+    node.leftLeaseGroup = true;
     dropLease(node.lease, BootClock::now());
     retractEngines(node);
     if (node.joinedAt == Instant{})
--- a/libs/gateway/src/LeaseKeeping.h
+++ b/libs/gateway/src/LeaseKeeping.h
@@ -7,7 +7,7 @@
 namespace monsoonbay {
 
 /** True if this gateway may order it now. */
-bool mayOrderNow(const GatewayNode &node, const std::string &target);
+bool mayCommandNow(const GatewayNode &node, const std::string &target);
 
 /** Renews the lease for as long as the gateway runs. */
 asio::awaitable<void> leaseLoop(GatewayNode &node);
@@ -16,16 +16,17 @@
 asio::awaitable<void> extendLoop(GatewayNode &node);
 
 /** Asks the other VMs of the zone whether they may hold what this VM holds, as often as needed. */
-asio::awaitable<void> wordLoop(GatewayNode &node);
+asio::awaitable<void> leaseConfirmationLoop(GatewayNode &node);
 
 /** What this VM answers to that. */
-gateway::v1::Word answerWord(GatewayNode &node, const gateway::v1::WordRequest &request);
+gateway::v1::Word answerLeaseConfirmation(GatewayNode &node,
+                                          const gateway::v1::WordRequest &request);
 
 /**
  * True if this VM is to let mates order its engines: it does not reach them, and a mate does. All
  * who want a load there would wait in vain for as long as it holds on to them.
  */
-bool shouldYieldOrders(const GatewayNode &node, Instant now);
+bool shouldYieldLease(const GatewayNode &node, Instant now);
 
 /** Gives the lease back, so that another gateway need not wait for its end. */
 asio::awaitable<void> leaveLease(GatewayNode &node);
--- a/libs/gateway/src/LinkWatch.cpp
+++ b/libs/gateway/src/LinkWatch.cpp
@@ -27,7 +27,7 @@
 // cut off as well.
 bool othersReach(const GatewayNode &node, const std::string &target)
 {
-    return othersAt(node, target).goods > 0;
+    return othersUsageAt(node, target).goods > 0;
 }
 
 LinkCounts countLinks(const GatewayNode &node, const std::string &service, Instant now)
@@ -126,7 +126,7 @@
         forgetSights(node, service);
         logEvent(EventId::LinksBack,
                  {{"service", service}, {"lostMs", millisText(BootClock::now() - links.since)}});
-        node.newsDue.notifyAll();
+        node.reportDue.notifyAll();
     }
 }
 
@@ -163,7 +163,7 @@
               {"failed", std::to_string(counts.failed)},
               {"probed", std::to_string(round.tried)},
               {"reached", std::to_string(round.reached)}});
-    node.newsDue.notifyAll();
+    node.reportDue.notifyAll();
     spawn(node, "probe targets", probeLoop(node, service));
     // A cut seldom parts a VM from one service alone, and calls of the others may be few.
     for (const ServiceSpec &other : node.routes->config().services)
@@ -172,7 +172,7 @@
 
 } // namespace
 
-void noteLinkFailed(GatewayNode &node, const std::string &target)
+void recordLinkFailure(GatewayNode &node, const std::string &target)
 {
     const Instant now = BootClock::now();
     runtimeOf(node, target).link.failedAt = now;
@@ -184,7 +184,7 @@
         beginCheck(node, service);
 }
 
-void noteLinkReached(GatewayNode &node, const std::string &target)
+void recordLinkSuccess(GatewayNode &node, const std::string &target)
 {
     runtimeOf(node, target).link.reachedAt = BootClock::now();
 }
@@ -214,15 +214,15 @@
     if (besides != node.settings.peers && !engineLinksLostSince(node))
         ++linked;
     for (const auto &[endpoint, peer] : node.peers) {
-        const bool heard = isMate(node, peer) && !peer.starting && !peer.stopping
-            && now - peer.reportedAt < reporterSilence;
+        const bool heard = isZonePeer(node, peer) && !peer.starting && !peer.stopping
+            && now - peer.reportedAt < reporterTimeout;
         if (heard && !peer.linksLost && endpoint != besides)
             ++linked;
     }
     return linked;
 }
 
-bool isLinkToBlame(const GatewayNode &node, const std::string &target, Instant now)
+bool isOwnLinkFault(const GatewayNode &node, const std::string &target, Instant now)
 {
     const auto runtime = node.targets.find(target);
     if (runtime == node.targets.end())
@@ -230,7 +230,7 @@
     return linkState(runtime->second->link, now) == LinkState::Failed && othersReach(node, target);
 }
 
-bool isSightDoubtful(const GatewayNode &node, const std::string &target)
+bool isObservationDoubtful(const GatewayNode &node, const std::string &target)
 {
     const TargetEntry *entry = isAnyLost(node) ? entryOf(node, target) : nullptr;
     return entry != nullptr && areLinksLost(node, entry->service);
--- a/libs/gateway/src/LinkWatch.h
+++ b/libs/gateway/src/LinkWatch.h
@@ -15,10 +15,10 @@
  */
 
 /** A connection to the target failed, or was given up as silent. */
-void noteLinkFailed(GatewayNode &node, const std::string &target);
+void recordLinkFailure(GatewayNode &node, const std::string &target);
 
 /** The target accepted a connection. */
-void noteLinkReached(GatewayNode &node, const std::string &target);
+void recordLinkSuccess(GatewayNode &node, const std::string &target);
 
 bool areLinksLost(const GatewayNode &node, const std::string &service);
 
@@ -29,9 +29,9 @@
 int linkedVms(const GatewayNode &node, const Endpoint &besides);
 
 /** True if this VM does not reach the target, though others do. */
-bool isLinkToBlame(const GatewayNode &node, const std::string &target, Instant now);
+bool isOwnLinkFault(const GatewayNode &node, const std::string &target, Instant now);
 
 /** True if what this VM sees of the target tells of its links; others must not hear of it. */
-bool isSightDoubtful(const GatewayNode &node, const std::string &target);
+bool isObservationDoubtful(const GatewayNode &node, const std::string &target);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/NewsCodec.cpp
+++ b/libs/gateway/src/NewsCodec.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 void encodeVm(const std::string &name, const Endpoint &endpoint, std::uint64_t boot,
-              const VmFact &fact, v1::Vm &vm)
+              const SharedVm &fact, v1::Vm &vm)
 {
     vm.set_name(name);
     vm.set_address(endpoint.address);
@@ -51,9 +51,9 @@
     return {vm.address(), portOf(vm.port())};
 }
 
-VmFact decodeVm(const v1::Vm &vm)
+SharedVm decodeVm(const v1::Vm &vm)
 {
-    VmFact fact;
+    SharedVm fact;
     fact.name = vm.name();
     fact.zone = vm.zone();
     fact.capacity = vm.capacity();
@@ -233,7 +233,7 @@
     return use;
 }
 
-void encodeTarget(const std::string &target, const TargetFact &fact, v1::Target &told)
+void encodeTarget(const std::string &target, const SharedTarget &fact, v1::Target &told)
 {
     told.set_id(target);
     told.set_gone(fact.gone);
@@ -258,9 +258,9 @@
     }
 }
 
-TargetFact decodeTarget(const v1::Target &told)
+SharedTarget decodeTarget(const v1::Target &told)
 {
-    TargetFact fact;
+    SharedTarget fact;
     fact.gone = told.gone();
     fact.lapsed = told.lapsed();
     fact.entry.id = told.id();
--- a/libs/gateway/src/NewsCodec.h
+++ b/libs/gateway/src/NewsCodec.h
@@ -11,11 +11,11 @@
 /** Types of the serving libraries to and from the messages between gateways. */
 
 void encodeVm(const std::string &name, const Endpoint &endpoint, std::uint64_t boot,
-              const VmFact &fact, gateway::v1::Vm &vm);
+              const SharedVm &fact, gateway::v1::Vm &vm);
 /** This VM. */
 void encodeSelf(const GatewayNode &node, gateway::v1::Vm &vm);
 Endpoint decodeEndpoint(const gateway::v1::Vm &vm);
-VmFact decodeVm(const gateway::v1::Vm &vm);
+SharedVm decodeVm(const gateway::v1::Vm &vm);
 
 void encodeEngine(const std::string &target, const EngineRecord &record,
                   gateway::v1::EngineState &state);
@@ -45,8 +45,8 @@
 
 TargetUsage decodeUse(const gateway::v1::EngineUse &told);
 
-void encodeTarget(const std::string &target, const TargetFact &fact, gateway::v1::Target &told);
-TargetFact decodeTarget(const gateway::v1::Target &told);
+void encodeTarget(const std::string &target, const SharedTarget &fact, gateway::v1::Target &told);
+SharedTarget decodeTarget(const gateway::v1::Target &told);
 
 void encodeRelease(const PartitionRelease &release, Instant now, gateway::v1::Released &told);
 PartitionRelease decodeRelease(const gateway::v1::Released &told, Instant now);
--- a/libs/gateway/src/NewsTelling.cpp
+++ b/libs/gateway/src/NewsTelling.cpp
@@ -30,7 +30,7 @@
 constexpr Duration answerUnderWay = std::chrono::milliseconds(500);
 
 /** The last change that is told of those after `seen`. */
-std::uint64_t lastTold(const SharedFacts &facts, std::uint64_t seen)
+std::uint64_t lastTold(const SharedState &facts, std::uint64_t seen)
 {
     std::vector<std::uint64_t> numbers;
     facts.engines.numbersSince(seen, numbers);
@@ -88,17 +88,17 @@
     const bool follows = !node.relaying || !node.storeUp;
     std::vector<TargetEntry> listed;
     for (const v1::Target &told : digest.targets()) {
-        TargetFact fact = decodeTarget(told);
+        SharedTarget fact = decodeTarget(told);
         if (fact.gone) {
-            peer.toldInWhole.erase(told.id());
+            peer.fullSyncTargets.erase(told.id());
             if (follows)
                 dropTargetByPeer(node, told.id(), ownRelay);
             continue;
         }
         if (fact.entry.leaving)
-            noteLeavingByPeer(node, fact.entry.id, fact.entry.born);
+            markLeavingByPeer(node, fact.entry.id, fact.entry.born);
         if (digest.complete())
-            peer.toldInWhole.insert(fact.entry.id);
+            peer.fullSyncTargets.insert(fact.entry.id);
         // It is gone, by what this VM has heard, and the peer only waits whether it comes back.
         const bool keepOut = fact.lapsed && wasDropped(node.book, fact.entry.id);
         if (follows && !keepOut)
@@ -106,10 +106,10 @@
     }
     if (!follows)
         return;
-    takeTargetsByPeer(node, std::move(listed));
+    applyPeerTargets(node, std::move(listed));
     const bool allTold = digest.complete() && !digest.more();
     if (allTold && ownRelay && tellsNewerList(node, digest)) {
-        dropUnlistedByPeer(node, peer.toldInWhole);
+        dropTargetsUnlistedByPeer(node, peer.fullSyncTargets);
         node.listSource = {peer.endpoint, digest.from().boot()};
     }
     takeListAge(node, digest);
@@ -144,7 +144,7 @@
     node.facts.engines.between(seen, through, [&](const std::string &target, const EngineRecord &) {
         tellEngine(target, known);
     });
-    node.facts.vms.between(seen, through, [&](const Endpoint &known, const VmFact &fact) {
+    node.facts.vms.between(seen, through, [&](const Endpoint &known, const SharedVm &fact) {
         encodeVm(fact.name, known, 0, fact, *digest.add_known());
     });
     node.facts.adapterVersions.between(seen, through,
@@ -154,7 +154,7 @@
                                            told->set_version(version);
                                        });
     node.facts.targets.between(seen, through,
-                               [&](const std::string &target, const TargetFact &fact) {
+                               [&](const std::string &target, const SharedTarget &fact) {
                                    const bool neverTold = fromTheBeginning && fact.gone;
                                    if (!neverTold)
                                        encodeTarget(target, fact, *digest.add_targets());
@@ -174,9 +174,9 @@
 {
     peer.seenBoot = 0;
     peer.seenChange = 0;
-    peer.moreToTell = true;
-    peer.inWhole = false;
-    peer.toldInWhole.clear();
+    peer.hasMoreUpdates = true;
+    peer.fullSyncRunning = false;
+    peer.fullSyncTargets.clear();
 }
 
 } // namespace
@@ -184,31 +184,31 @@
 void takeNews(GatewayNode &node, PeerState &peer, const v1::Digest &digest, bool ownRelay)
 {
     if (peer.seenBoot != digest.from().boot() || !digest.complete())
-        peer.toldInWhole.clear();
+        peer.fullSyncTargets.clear();
     for (const v1::AdapterVersion &told : digest.versions())
-        noteAdapterVersion(node, told.adapter(), told.version());
+        applyAdapterVersion(node, told.adapter(), told.version());
     takeTargets(node, peer, digest, ownRelay);
     // This digest answers a report that asked for these.
-    peer.enginesUnknown.clear();
+    peer.missingEngines.clear();
     for (const v1::EngineState &state : digest.engines())
-        takeEngineChange(node, peer.enginesUnknown, state.target(), decodeChange(state));
+        applyEngineChange(node, peer.missingEngines, state.target(), decodeChange(state));
     const auto &asked = digest.engines_wanted();
-    peer.enginesAsked = std::set<std::string>(asked.begin(), asked.end());
+    peer.requestedEngines = std::set<std::string>(asked.begin(), asked.end());
     peer.seenBoot = digest.from().boot();
     peer.seenChange = digest.change();
-    peer.moreToTell = digest.more();
-    peer.inWhole = digest.complete() && digest.more();
-    if (!peer.inWhole)
-        peer.toldInWhole.clear();
+    peer.hasMoreUpdates = digest.more();
+    peer.fullSyncRunning = digest.complete() && digest.more();
+    if (!peer.fullSyncRunning)
+        peer.fullSyncTargets.clear();
     const ListSource source{peer.endpoint, digest.from().boot()};
     if (ownRelay && tellsNewerList(node, digest) && node.listSource != source)
         hearInWhole(peer);
     takeVms(node, digest);
-    takeEvidenceTold(node, digest.evidence());
+    applyPeerEvidence(node, digest.evidence());
 }
 
-void takeEvidenceTold(GatewayNode &node,
-                      const google::protobuf::RepeatedPtrField<v1::CallEvidence> &told)
+void applyPeerEvidence(GatewayNode &node,
+                       const google::protobuf::RepeatedPtrField<v1::CallEvidence> &told)
 {
     const Instant now = BootClock::now();
     for (const v1::CallEvidence &item : told)
--- a/libs/gateway/src/NewsTelling.h
+++ b/libs/gateway/src/NewsTelling.h
@@ -16,7 +16,7 @@
 void takeNews(GatewayNode &node, PeerState &peer, const gateway::v1::Digest &digest, bool ownRelay);
 
 /** Takes what another VM saw become of calls. */
-void takeEvidenceTold(GatewayNode &node,
-                      const google::protobuf::RepeatedPtrField<gateway::v1::CallEvidence> &told);
+void applyPeerEvidence(GatewayNode &node,
+                       const google::protobuf::RepeatedPtrField<gateway::v1::CallEvidence> &told);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -2,19 +2,19 @@
 
 #include <algorithm>
 
-#include "ConfigReading.h"
+#include "ConfigDownload.h"
 #include "EngineOrders.h"
 #include "Feeds.h"
 #include "FleetCount.h"
 #include "LeaseKeeping.h"
 #include "LinkWatch.h"
-#include "NewsBytes.h"
 #include "NewsCodec.h"
 #include "NewsTelling.h"
 #include "PrefixSharing.h"
 #include "SharedEngines.h"
 #include "SpendNotes.h"
 #include "TargetWords.h"
+#include "UpdateBytes.h"
 #include "UseNotes.h"
 #include "WorkspaceQuota.h"
 #include "ZoneView.h"
@@ -50,7 +50,7 @@
     const Instant now = BootClock::now();
     for (const auto &[target, runtime] : node.targets) {
         TargetUsage use = runtime->own;
-        if (!isSightDoubtful(node, target))
+        if (!isObservationDoubtful(node, target))
             addHealth(use, runtime->health, now);
         use.busySlots = busySlots(node, target);
         if (!isUnused(use))
@@ -72,7 +72,7 @@
 
 int ownVms(const GatewayNode &node)
 {
-    return tellsUse(node, BootClock::now()) ? 1 : 0;
+    return reportsUsage(node, BootClock::now()) ? 1 : 0;
 }
 
 int zoneVms(const GatewayNode &node)
@@ -90,14 +90,14 @@
 {
     for (const PartitionRelease &release : node.lease.releases)
         encodeRelease(release, now, *told.Add());
-    for (const PartitionRelease &release : node.releasesHeard)
+    for (const PartitionRelease &release : node.peerReleases)
         encodeRelease(release, now, *told.Add());
 }
 
 void takeReleases(GatewayNode &node, const google::protobuf::RepeatedPtrField<v1::Released> &told)
 {
     const Instant now = BootClock::now();
-    std::erase_if(node.releasesHeard,
+    std::erase_if(node.peerReleases,
                   [now](const PartitionRelease &old) { return now - old.at > releaseTold; });
     for (const v1::Released &message : told) {
         const PartitionRelease release = decodeRelease(message, now);
@@ -105,10 +105,10 @@
         const auto same = [&release](const PartitionRelease &known) {
             return known.partition == release.partition && known.generation == release.generation;
         };
-        const bool known = std::any_of(node.releasesHeard.begin(), node.releasesHeard.end(), same)
+        const bool known = std::any_of(node.peerReleases.begin(), node.peerReleases.end(), same)
             || std::any_of(node.lease.releases.begin(), node.lease.releases.end(), same);
         if (!known && now - release.at <= releaseTold)
-            node.releasesHeard.push_back(release);
+            node.peerReleases.push_back(release);
     }
 }
 
@@ -120,30 +120,30 @@
 
 } // namespace
 
-std::shared_ptr<v1::Report> reportTo(GatewayNode &node, const PeerState &peer, bool withUse)
+std::shared_ptr<v1::Report> buildReport(GatewayNode &node, const PeerState &peer, bool withUse)
 {
     auto report = std::make_shared<v1::Report>();
     encodeSelf(node, *report->mutable_from());
     report->set_sequence(++node.reportSequence);
     report->set_known_boot(peer.seenBoot);
     report->set_known_change(peer.seenChange);
-    report->set_in_whole(peer.inWhole);
+    report->set_in_whole(peer.fullSyncRunning);
     report->set_config_version(node.routes->config().version);
     report->set_stopping(node.shuttingDown);
     report->set_starting(isStarting(node));
     report->set_store_away(ownRank(node).storeUnreachable);
-    report->set_holding(node.mayHold && !node.leaseLeft && !node.ordersYielded);
+    report->set_holding(node.mayHold && !node.leftLeaseGroup && !node.leaseYielded);
     report->set_links_lost(engineLinksLostSince(node).has_value());
     if (node.storeReachedAt != Instant{})
         report->set_store_reached_ago_ms(sinceMs(node.storeReachedAt));
-    for (const std::string &target : peer.enginesUnknown)
+    for (const std::string &target : peer.missingEngines)
         report->add_engines_wanted(target);
     if (!withUse)
         return report;
     const bool mate = peer.zone == node.settings.zone;
     const Instant now = BootClock::now();
     report->set_carries_use(true);
-    reportPrefixes(node, peer, mate, now, *report);
+    addPrefixesToReport(node, peer, mate, now, *report);
     // To a mate, this VM speaks for itself alone. While many start, their views of who relays
     // differ, and two that passed on what they heard would add each other's sums again with each
     // report.
@@ -159,19 +159,19 @@
         const bool held =
             entry.value.holderLive && zoneOfTarget(node, target) == node.settings.zone;
         const bool ours =
-            entry.value.holder == node.settings.peers || node.enginesBelow.count(target) > 0;
+            entry.value.holder == node.settings.peers || node.reportedEngines.count(target) > 0;
         if (held && (ours || !mate))
             report->add_holds(target);
     }
     if (!mate)
         return report;
     // The receiver's boot is not known before its answer; a new one is told all again.
-    const std::uint64_t told = peer.toldBoot == peer.boot ? peer.toldChange : 0;
+    const std::uint64_t told = peer.sentBoot == peer.boot ? peer.sentChange : 0;
     const auto isOurs = [&](const std::string &target, const EngineRecord &record) {
-        return record.holder == node.settings.peers || node.enginesBelow.count(target) > 0;
+        return record.holder == node.settings.peers || node.reportedEngines.count(target) > 0;
     };
     std::set<std::string> wholeTold;
-    for (const std::string &target : peer.enginesAsked) {
+    for (const std::string &target : peer.requestedEngines) {
         const EngineRecord *record = node.facts.engines.find(target);
         if (record == nullptr || !isOurs(target, *record))
             continue;
@@ -188,7 +188,7 @@
             encodeEvidence(id, known.evidence, now, *report->add_evidence());
     });
     // The relay may have no other way to learn what a target said to this VM alone.
-    node.facts.targets.since(told, [&](const std::string &target, const TargetFact &fact) {
+    node.facts.targets.since(told, [&](const std::string &target, const SharedTarget &fact) {
         if (fact.gone || !fact.entry.leaving)
             return;
         v1::Target *leaving = report->add_leaving();
@@ -248,14 +248,14 @@
 {
     if (peer.boot != boot) {
         peer.sequence = 0;
-        peer.leaseLeft = false;
+        peer.leftLeaseGroup = false;
     }
     peer.boot = boot;
 }
 
 bool mayHoldBeside(GatewayNode &node, const Endpoint &asker)
 {
-    const ZoneMates zone = matesOf(node, node.settings.zone);
+    const ZonePeers zone = zonePeersOf(node, node.settings.zone);
     for (const std::size_t index : chooseLeaseHolders(zone.mates, holdersPerZone - 1)) {
         if (zone.peers[index]->endpoint == asker)
             return true;
@@ -265,7 +265,7 @@
 
 } // namespace
 
-void addPeer(GatewayNode &node, const Endpoint &endpoint, const VmFact &fact)
+void addPeer(GatewayNode &node, const Endpoint &endpoint, const SharedVm &fact)
 {
     if (endpoint == node.settings.peers)
         return;
@@ -326,7 +326,7 @@
     peer.storeUnreachable = report.store_away();
     peer.holding = report.holding();
     peer.linksLost = report.links_lost();
-    noteConfigOffer(node, peer, report.config_version());
+    recordConfigOffer(node, peer, report.config_version());
     if (report.store_reached_ago_ms() > 0)
         peer.storeReachedAt = now - std::chrono::milliseconds(report.store_reached_ago_ms());
     const bool mate = report.from().zone() == node.settings.zone;
@@ -346,24 +346,24 @@
     }
     std::set<std::string> unknown;
     for (const v1::EngineState &state : report.engines()) {
-        node.enginesBelow.insert(state.target());
-        takeEngineChange(node, unknown, state.target(), decodeChange(state));
+        node.reportedEngines.insert(state.target());
+        applyEngineChange(node, unknown, state.target(), decodeChange(state));
     }
     for (const std::string &target : unknown)
         digest.add_engines_wanted(target);
     for (const std::string &target : report.holds())
-        takeHolds(node, report.from().zone(), target);
+        applyHolderLiveness(node, report.from().zone(), target);
     for (const v1::Target &leaving : report.leaving())
-        noteLeavingByPeer(node, leaving.id(), leaving.born());
-    takeEvidenceTold(node, report.evidence());
+        markLeavingByPeer(node, leaving.id(), leaving.born());
+    applyPeerEvidence(node, report.evidence());
     if (mate) {
-        takePrefixesReported(node, report);
+        applyReportedPrefixes(node, report);
         takeReleases(node, report.released());
     }
 
     tellNews(node, report, mate, digest);
-    tellPrefixes(node, report, mate, digest);
-    tellSpendNews(node, report, mate, digest);
+    addPrefixesToDigest(node, report, mate, digest);
+    addUsageUpdates(node, report, mate, digest);
     if (mate)
         fillReleases(node, now, *digest.mutable_released());
     if (mate && report.carries_use()) {
@@ -389,8 +389,8 @@
 
 } // namespace
 
-void takeDigest(GatewayNode &node, const Endpoint &endpoint, const v1::Digest &digest,
-                bool upstream)
+void applyDigest(GatewayNode &node, const Endpoint &endpoint, const v1::Digest &digest,
+                 bool upstream)
 {
     const Instant now = BootClock::now();
     addPeer(node, endpoint, decodeVm(digest.from()));
@@ -403,8 +403,8 @@
     peer.storeUnreachable = digest.store_away();
     if (peer.zone != node.settings.zone)
         noteZoneRelay(node, peer, digest);
-    noteConfigOffer(node, peer, digest.config_version());
-    takePrefixesTold(node, peer, digest);
+    recordConfigOffer(node, peer, digest.config_version());
+    applyDigestPrefixes(node, peer, digest);
     takeNews(node, peer, digest, upstream);
     if (peer.zone == node.settings.zone)
         takeReleases(node, digest.released());
@@ -416,11 +416,11 @@
     node.upstream.relay = endpoint;
     node.upstream.at = now;
     node.upstream.vms = static_cast<int>(digest.vms());
-    node.upstream.linkedMates = static_cast<int>(digest.linked_mates());
+    node.upstream.linkedZonePeers = static_cast<int>(digest.linked_mates());
     node.upstream.others.clear();
     for (const v1::EngineUse &told : digest.others())
         node.upstream.others[told.target()] = decodeUse(told);
-    node.upstream.vmsInTouch = static_cast<int>(digest.vms_in_touch());
+    node.upstream.reachableVms = static_cast<int>(digest.vms_in_touch());
     node.upstream.otherWorkspaces = decodeWorkspaceUses(digest.other_workspaces(), digest.from());
 }
 
@@ -431,7 +431,7 @@
     peer.asking = true;
     const std::uint64_t told = node.facts.counter.last;
     const std::uint64_t prefixTold = node.prefixes.log.last;
-    const std::shared_ptr<const v1::Report> report = reportTo(node, peer, withUse);
+    const std::shared_ptr<const v1::Report> report = buildReport(node, peer, withUse);
     countSent(node, peer.zone, bytesOf(*report));
     const Instant asked = BootClock::now();
     const auto digest = co_await node.links.exchange(endpoint, report, reportTimeout);
@@ -453,13 +453,13 @@
         co_return false;
     }
     const std::uint64_t bootBefore = answered.boot;
-    takeDigest(node, endpoint, *digest, upstream);
+    applyDigest(node, endpoint, *digest, upstream);
     takeConfirmation(node, *digest, asked);
-    takeSpendNews(node, *digest, upstream, asked);
+    applyUsageUpdates(node, *digest, upstream, asked);
     if (withUse && bootBefore == digest->from().boot()) {
-        answered.toldBoot = bootBefore;
-        answered.toldChange = told;
-        answered.toldPrefix = prefixTold;
+        answered.sentBoot = bootBefore;
+        answered.sentChange = told;
+        answered.sentPrefix = prefixTold;
     }
     co_return true;
 }
--- a/libs/gateway/src/PlaceWaiting.cpp
+++ b/libs/gateway/src/PlaceWaiting.cpp
@@ -74,7 +74,7 @@
 int loadsAskedAt(const GatewayNode &node, const std::string &target)
 {
     return static_cast<int>(
-        std::count_if(node.loadsAsked.begin(), node.loadsAsked.end(),
+        std::count_if(node.loadsInFlight.begin(), node.loadsInFlight.end(),
                       [&target](const auto &ask) { return ask.first.first == target; }));
 }
 
@@ -111,7 +111,7 @@
         }
         const TargetRuntime &runtime = runtimeOf(node, target);
         noteThere(node, places.queue, places, runtime, now);
-        if (!isOrderable(node, target))
+        if (!canCommand(node, target))
             continue;
         if (blocksLoadRequest(runtime.loadMark, now, Duration::zero())) {
             room.open = room.open || !runtime.loadMark.forecast;
@@ -154,7 +154,7 @@
 {
     const auto scheduler = node.desks.find(entry.id);
     if (scheduler != node.desks.end() && scheduler->second->scheduler.sequence >= 0
-        && mayOrderNow(node, entry.id))
+        && mayCommandNow(node, entry.id))
         return idleSlots(scheduler->second->scheduler, BootClock::now());
     return capacity - use.busySlots;
 }
--- a/libs/gateway/src/Placing.cpp
+++ b/libs/gateway/src/Placing.cpp
@@ -71,8 +71,8 @@
     if (wasDeclined(run, target))
         return false;
     // Its holder has to hear that the adapter is not there, whatever it said before.
-    return run.adapterMissingAt == target ? isOrderable(run.node, target)
-                                          : mayAskLoad(run.node, target, beginPatience(run));
+    return run.adapterMissingAt == target ? canCommand(run.node, target)
+                                          : mayRequestLoad(run.node, target, beginPatience(run));
 }
 
 /** Time until the call's adapter is there by a load under way; below 0: none is waited for. */
@@ -104,7 +104,7 @@
     const Instant now = BootClock::now();
     Instant first{};
     for (const TargetRecord *record : targetsOf(run.node, run.service)) {
-        const Instant until = wantsNothingUntil(run.node, record->entry.id, now);
+        const Instant until = pausedUntil(run.node, record->entry.id, now);
         if (until != Instant{} && (first == Instant{} || until < first))
             first = until;
     }
@@ -123,7 +123,7 @@
 /** Age of what this VM knows of the load of engines, for the choice. */
 Duration loadAge(const ActiveCall &run, Instant now)
 {
-    return shortestObjective(run) ? knownLoadAge(run.node, now) : loadNewsAge(run.node);
+    return shortestObjective(run) ? knownLoadAge(run.node, now) : loadReportAge(run.node);
 }
 
 /** The weights of the choice, by the pace that own calls have shown. */
@@ -231,7 +231,7 @@
         if (BootClock::now() >= run.place.by && choice.step != EngineStep::Send) {
             const bool anyOrderable =
                 std::any_of(views.begin(), views.end(), [&node](const EngineView &view) {
-                    return view.usable && isOrderable(node, view.id);
+                    return view.usable && canCommand(node, view.id);
                 });
             placement.refusal = anyOrderable
                 ? refuseForCapacity(run, "no engine has room")
@@ -261,12 +261,12 @@
             if (!bearable)
                 continue;
             ++run.loads;
-            LoadPatience patience;
+            LoadLimits patience;
             patience.whole = timeLeft(run);
             patience.begin = beginPatience(run);
             patience.rank = run.route->priority;
-            const bool loaded = co_await askLoad(node, id, run.facts.model, need.adapter,
-                                                 need.version, missed, patience);
+            const bool loaded = co_await requestLoad(node, id, run.facts.model, need.adapter,
+                                                     need.version, missed, patience);
             if (missed)
                 run.adapterMissingAt.clear();
             if (!loaded) {
@@ -358,7 +358,7 @@
     if (this->adapter.empty())
         return;
     if (++this->runtime.ownAdapterRuns[this->adapter] == 1)
-        noteRunsChanged(run.node, this->target);
+        markRunsChanged(run.node, this->target);
 }
 
 InFlightGuard::~InFlightGuard()
@@ -373,7 +373,7 @@
     if (--runs->second > 0)
         return;
     this->runtime.ownAdapterRuns.erase(runs);
-    noteRunsChanged(this->run.node, this->target);
+    markRunsChanged(this->run.node, this->target);
 }
 
 void InFlightGuard::noteFirstEvent()
--- a/libs/gateway/src/Placing.h
+++ b/libs/gateway/src/Placing.h
@@ -35,7 +35,7 @@
     std::string target;
     TargetRuntime &runtime;
     std::string adapter;
-    PromptReading prompt;
+    PrefillObservation prompt;
     double waiting;
     bool firstEventSeen = false;
     double held;
--- a/libs/gateway/src/PrefillReserving.cpp
+++ b/libs/gateway/src/PrefillReserving.cpp
@@ -123,20 +123,20 @@
 bool shouldAskLeaseHolders(const GatewayNode &node, const Route &route)
 {
     return node.settings.placement.reservePrefill
-        && toSeconds(loadNewsAge(node)) > newsShare * toSeconds(route.latencyObjective);
+        && toSeconds(loadReportAge(node)) > newsShare * toSeconds(route.latencyObjective);
 }
 
 std::optional<double> reservedPrefillTokens(GatewayNode &node, const std::string &target,
                                             Instant now)
 {
     const double pace = node.settings.weights.promptTokensPerMs;
-    if (mayOrderNow(node, target)) {
+    if (mayCommandNow(node, target)) {
         const auto own = node.prefill.ordered.find(target);
         if (own != node.prefill.ordered.end())
             return waitingTokens(own->second, pace, now);
     }
     const auto told = node.prefill.told.find(target);
-    if (told == node.prefill.told.end() || now - told->second.at > loadNewsAge(node))
+    if (told == node.prefill.told.end() || now - told->second.at > loadReportAge(node))
         return std::nullopt;
     return waitingTokens(told->second, pace, now);
 }
@@ -149,7 +149,7 @@
     const PrefillRequest wanted = requestOf(run, engine, step);
     if (step != PrefillStep::SendLoaded)
         run.prefillAsked.push_back(engine.id);
-    if (mayOrderNow(node, engine.id))
+    if (mayCommandNow(node, engine.id))
         co_return reserveHere(node, engine.id, wanted).reserved;
     const PeerState *holder = askableHolder(node, engine.id, BootClock::now());
     if (holder == nullptr)
@@ -163,7 +163,7 @@
 v1::PrefillReply handlePrefillRequest(GatewayNode &node, const v1::PrefillRequest &request)
 {
     v1::PrefillReply answer;
-    answer.set_holder(mayOrderNow(node, request.target()));
+    answer.set_holder(mayCommandNow(node, request.target()));
     if (!answer.holder())
         return answer;
     const PrefillRequest wanted{static_cast<double>(request.tokens()),
--- a/libs/gateway/src/PrefixSharing.cpp
+++ b/libs/gateway/src/PrefixSharing.cpp
@@ -33,13 +33,13 @@
     return cachedPrefixTokens(book, key, run.prefixes);
 }
 
-void forgetPrefixesOf(GatewayNode &node, const std::string &target, const std::string &adapter)
+void dropPrefixesOf(GatewayNode &node, const std::string &target, const std::string &adapter)
 {
     if (!node.prefixes.book.engines.empty())
         forgetAdapter(node.prefixes.book, keyOf(node, target), prefixTagOf(adapter));
 }
 
-PromptReading::PromptReading(ActiveCall &run, const std::string &target, Instant now)
+PrefillObservation::PrefillObservation(ActiveCall &run, const std::string &target, Instant now)
     : run(run)
 {
     run.cachedTokens = 0;
@@ -53,7 +53,7 @@
 }
 
 // What was believed when the call was sent is no evidence; only its first event is.
-void PromptReading::noteFirstEvent(Instant now)
+void PrefillObservation::noteFirstEvent(Instant now)
 {
     if (!this->waiting)
         return;
@@ -75,22 +75,23 @@
         logPrefix(node.prefixes.log, {this->engine, prefix}, PrefixSource::Own, 0, now);
 }
 
-void reportPrefixes(const GatewayNode &node, const PeerState &peer, bool mate, Instant now,
-                    v1::Report &report)
+void addPrefixesToReport(const GatewayNode &node, const PeerState &peer, bool mate, Instant now,
+                         v1::Report &report)
 {
     PrefixNews news;
     news.seen = peer.seenPrefix;
     if (mate) {
         PrefixReader reader;
         reader.relay = true;
-        reader.seen = peer.toldBoot == peer.boot ? peer.toldPrefix : 0;
+        reader.seen = peer.sentBoot == peer.boot ? peer.sentPrefix : 0;
         news.reads = prefixesFor(node.prefixes.log, reader, now);
     }
     if (news != PrefixNews())
         *report.mutable_prefixes() = encodePrefixNews(news);
 }
 
-void tellPrefixes(const GatewayNode &node, const v1::Report &report, bool mate, v1::Digest &digest)
+void addPrefixesToDigest(const GatewayNode &node, const v1::Report &report, bool mate,
+                         v1::Digest &digest)
 {
     const PrefixLog &log = node.prefixes.log;
     if (!report.carries_use() || log.entries.empty())
@@ -127,13 +128,13 @@
 
 } // namespace
 
-void takePrefixesReported(GatewayNode &node, const v1::Report &report)
+void applyReportedPrefixes(GatewayNode &node, const v1::Report &report)
 {
     takeReads(node, decodeEndpoint(report.from()), PrefixSource::Zone,
               decodePrefixNews(report.prefixes()).reads);
 }
 
-void takePrefixesTold(GatewayNode &node, PeerState &peer, const v1::Digest &digest)
+void applyDigestPrefixes(GatewayNode &node, PeerState &peer, const v1::Digest &digest)
 {
     if (peer.seenBoot != digest.from().boot())
         peer.seenPrefix = 0;
--- a/libs/gateway/src/PrefixSharing.h
+++ b/libs/gateway/src/PrefixSharing.h
@@ -11,14 +11,14 @@
                       double kvTokens);
 
 /** An engine has unloaded an adapter, or replaced it: it has read no prompt with it. */
-void forgetPrefixesOf(GatewayNode &node, const std::string &target, const std::string &adapter);
+void dropPrefixesOf(GatewayNode &node, const std::string &target, const std::string &adapter);
 
 /** The reading of a call's prompt by the target that the call is sent to. */
-class PromptReading
+class PrefillObservation
 {
 public:
     /** Sets the call's `cachedTokens`. */
-    PromptReading(ActiveCall &run, const std::string &target, Instant now);
+    PrefillObservation(ActiveCall &run, const std::string &target, Instant now);
 
     /** The first event has come: the prompt is read. Does nothing after the first time. */
     void noteFirstEvent(Instant now);
@@ -35,17 +35,17 @@
  * Adds to a report how much of the peer's log of prefixes this VM has, and to a mate what own calls
  * have shown since it was told last.
  */
-void reportPrefixes(const GatewayNode &node, const PeerState &peer, bool mate, Instant now,
-                    gateway::v1::Report &report);
+void addPrefixesToReport(const GatewayNode &node, const PeerState &peer, bool mate, Instant now,
+                         gateway::v1::Report &report);
 
 /** Adds to the answer of a report what its sender has not seen. `mate`: it is of this zone. */
-void tellPrefixes(const GatewayNode &node, const gateway::v1::Report &report, bool mate,
-                  gateway::v1::Digest &digest);
+void addPrefixesToDigest(const GatewayNode &node, const gateway::v1::Report &report, bool mate,
+                         gateway::v1::Digest &digest);
 
 /** Takes what a mate's calls have shown, and logs what is new for those that ask this VM. */
-void takePrefixesReported(GatewayNode &node, const gateway::v1::Report &report);
+void applyReportedPrefixes(GatewayNode &node, const gateway::v1::Report &report);
 
 /** The same of the answer to a report; before the peer's boot is noted from it. */
-void takePrefixesTold(GatewayNode &node, PeerState &peer, const gateway::v1::Digest &digest);
+void applyDigestPrefixes(GatewayNode &node, PeerState &peer, const gateway::v1::Digest &digest);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -35,7 +35,7 @@
 bool knowsMates(const GatewayNode &node, Instant now)
 {
     const bool listMayGrow = node.settings.firstStart;
-    return (node.vmsRead && !listMayGrow) || now - node.bootedAt > listPatience;
+    return (node.vmListRead && !listMayGrow) || now - node.bootedAt > listPatience;
 }
 
 } // namespace
@@ -58,7 +58,7 @@
 
 Duration reportSpacing(const GatewayNode &node)
 {
-    return std::max(leastReportSpacing, reportSpacingPerMate * countMates(node));
+    return std::max(leastReportSpacing, reportSpacingPerMate * countZonePeers(node));
 }
 
 Duration zoneSpacing(const GatewayNode &node)
@@ -88,7 +88,7 @@
 
 // News wait for the next report of their VM, and half as long on average for the next exchange of
 // the relays of two zones.
-Duration loadNewsAge(const GatewayNode &node)
+Duration loadReportAge(const GatewayNode &node)
 {
     return reportSpacing(node) + zoneSpacing(node) / 2;
 }
@@ -100,11 +100,11 @@
         word = std::max(word, report.at);
     const Instant all = node.fleet.heardAt == Instant{} ? node.bootedAt : node.fleet.heardAt;
     UpdateAgeInputs facts;
-    facts.regular = loadNewsAge(node);
+    facts.regular = loadReportAge(node);
     facts.sinceLastUpdate = word == Instant{} ? Duration::zero() : now - word;
     facts.sinceAllReported = now - all;
-    facts.vmsReporting = vmsInTouch(node, now);
-    facts.vmsKnown = vmsKnown(node, now);
+    facts.vmsReporting = reachableVms(node, now);
+    facts.knownVms = knownVms(node, now);
     return updateAge(facts);
 }
 
@@ -114,7 +114,8 @@
 bool moreToHear(const GatewayNode &node)
 {
     const auto relay = node.peers.find(node.upstream.relay);
-    return node.upstream.at != Instant{} && relay != node.peers.end() && relay->second.moreToTell;
+    return node.upstream.at != Instant{} && relay != node.peers.end()
+        && relay->second.hasMoreUpdates;
 }
 
 } // namespace
@@ -127,12 +128,12 @@
             co_await pauseFor(node, reportGather);
             continue;
         }
-        const ZoneMates zone = matesOf(node, node.settings.zone);
+        const ZonePeers zone = zonePeersOf(node, node.settings.zone);
         const RelayRank self = ownRank(node);
         setRelaying(node, isRelay(self, isStarting(node), zone.mates));
         const auto upstream = chooseUpstream(self, isStarting(node), zone.mates);
         if (!upstream) {
-            node.upstream = UpstreamWord();
+            node.upstream = RelayState();
             const bool listSettled =
                 !node.settings.firstStart || now - node.bootedAt > 2 * listPatience;
             node.mayHold = node.mayHold || listSettled;
@@ -148,7 +149,7 @@
             }
         }
         if (!moreToHear(node))
-            co_await node.newsDue.wait(reportSpacing(node));
+            co_await node.reportDue.wait(reportSpacing(node));
         co_await pauseFor(node, reportGather);
     }
 }
@@ -165,7 +166,7 @@
         if (peer != node.peers.end() && isReachable(peer->second, now))
             return &peer->second;
     }
-    const ZoneMates zone = matesOf(node, name);
+    const ZonePeers zone = zonePeersOf(node, name);
     const PeerState *best = nullptr;
     for (std::size_t index = 0; index < zone.mates.size(); ++index) {
         if (!zone.mates[index].reachable)
@@ -200,26 +201,26 @@
 
 // Mates above this VM that failed are looked for, or the zone would go on with a weaker relay; and
 // a relay looks for all that do not report to it: they may not know of it.
-asio::awaitable<void> matesLoop(GatewayNode &node)
+asio::awaitable<void> zonePeersLoop(GatewayNode &node)
 {
     while (!node.stopped) {
         const Instant now = BootClock::now();
         for (const Endpoint &seed : node.settings.seeds)
-            addPeer(node, seed, VmFact());
-        dropSilent(node.reported, reporterSilence, now);
-        if (node.upstream.at != Instant{} && now - node.upstream.at > reporterSilence)
-            node.upstream = UpstreamWord();
-        markHolders(node, now);
-        countGateways(node, now);
-        countVms(node, now);
+            addPeer(node, seed, SharedVm());
+        dropSilent(node.reported, reporterTimeout, now);
+        if (node.upstream.at != Instant{} && now - node.upstream.at > reporterTimeout)
+            node.upstream = RelayState();
+        markSilentHolders(node, now);
+        updateLiveGateways(node, now);
+        recountVms(node, now);
         const RelayRank self = ownRank(node);
         std::vector<Endpoint> wanted;
         for (const auto &[endpoint, peer] : node.peers) {
             if (peer.asking || now < peer.retryAt || peer.name.empty())
                 continue;
-            const bool mate = isMate(node, peer);
+            const bool mate = isZonePeer(node, peer);
             const bool silentBelow = node.relaying && mate && now - peer.reportedAt > listPatience
-                && now - peer.heardAt > reporterSilence;
+                && now - peer.heardAt > reporterTimeout;
             const bool failed =
                 peer.failures > 0 && (mate ? ranksBefore(rankOf(peer), self) : node.relaying);
             // Until it has started, this VM reads the store beside it.
@@ -230,7 +231,7 @@
             if (silentBelow || failed || aboveStarts || maybeBack)
                 wanted.push_back(endpoint);
         }
-        if (knowsMates(node, now) && (isStarting(node) || !node.vmsRead)) {
+        if (knowsMates(node, now) && (isStarting(node) || !node.vmListRead)) {
             for (const Endpoint &stranger : strangers(node, now))
                 wanted.push_back(stranger);
         }
--- a/libs/gateway/src/RelayLoops.h
+++ b/libs/gateway/src/RelayLoops.h
@@ -8,7 +8,7 @@
 void setRelaying(GatewayNode &node, bool relaying);
 
 /** How old what this VM knows of the load of engines is, about: it grows with the VMs. */
-Duration loadNewsAge(const GatewayNode &node);
+Duration loadReportAge(const GatewayNode &node);
 
 /** How old it really is, if some or all other VMs are not heard; see NewsAge.h. */
 Duration knownLoadAge(const GatewayNode &node, Instant now);
@@ -20,6 +20,6 @@
 asio::awaitable<void> otherZonesLoop(GatewayNode &node);
 
 /** Looks for mates that were silent, and drops what silent ones had reported. */
-asio::awaitable<void> matesLoop(GatewayNode &node);
+asio::awaitable<void> zonePeersLoop(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -40,9 +40,10 @@
 
 } // namespace
 
-void takeEngineRecord(GatewayNode &node, const std::string &target, EngineRecord record)
+void applyEngineRecord(GatewayNode &node, const std::string &target, EngineRecord record)
 {
-    if (noteStartOf(node, target, record.born) == StartOrder::Older || mayOrderNow(node, target))
+    if (recordStartTime(node, target, record.born) == StartOrder::Older
+        || mayCommandNow(node, target))
         return;
     const EngineRecord *known = node.facts.engines.find(target);
     if (known != nullptr && !mayReplaceRecord(*known, record))
@@ -52,9 +53,9 @@
     if (otherHolder)
         runtime.loadMark = LoadBackoff();
     if (otherHolder && !runtime.ownAdapterRuns.empty())
-        noteRunsChanged(node, target);
+        markRunsChanged(node, target);
     runtime.models = record.models;
-    noteResident(node, target, record.resident);
+    setResident(node, target, record.resident);
     const auto expected = [&](const std::string &adapter) {
         const bool copy = hasHostCopy(runtime.copies, adapter, HostRetention{record.copiesKept});
         return fromSeconds((copy ? record.copyMs : record.fetchMs) / 1000);
@@ -64,20 +65,20 @@
     node.engineChanged.notifyAll();
 }
 
-void takeEngineChange(GatewayNode &node, std::set<std::string> &unknown, const std::string &target,
-                      const EngineChange &change)
+void applyEngineChange(GatewayNode &node, std::set<std::string> &unknown, const std::string &target,
+                       const EngineChange &change)
 {
     const EngineRecord *known = node.facts.engines.find(target);
     if (!change.whole && known != nullptr) {
         EngineRecord offered = change.record;
         if (change.sameHeader)
             offered.born = known->born;
-        if (mayOrderNow(node, target) || !mayReplaceRecord(*known, offered))
+        if (mayCommandNow(node, target) || !mayReplaceRecord(*known, offered))
             return;
     }
     std::optional<EngineRecord> record = applyChange(known, change);
     if (record)
-        takeEngineRecord(node, target, std::move(*record));
+        applyEngineRecord(node, target, std::move(*record));
     else
         unknown.insert(target);
 }
@@ -86,7 +87,7 @@
 {
     const auto held = node.desks.find(target);
     if (held == node.desks.end() || held->second->scheduler.sequence < 0
-        || !mayOrderNow(node, target))
+        || !mayCommandNow(node, target))
         return;
     const AdapterScheduler &scheduler = held->second->scheduler;
     EngineRecord record;
@@ -117,7 +118,7 @@
         return;
     ++record.revision.count;
     node.facts.engines.set(target, std::move(record), node.facts.counter);
-    node.newsDue.notifyAll();
+    node.reportDue.notifyAll();
 }
 
 // The generation stays the one in which the engine was held: the next holder's word, in a later
@@ -127,7 +128,7 @@
     std::vector<std::string> lost;
     for (const auto &[target, entry] : node.facts.engines.all()) {
         const bool own = entry.value.holderLive && entry.value.holder == node.settings.peers;
-        if (own && !mayOrderNow(node, target))
+        if (own && !mayCommandNow(node, target))
             lost.push_back(target);
     }
     for (const std::string &target : lost) {
@@ -137,7 +138,7 @@
         node.facts.engines.set(target, std::move(record), node.facts.counter);
     }
     if (!lost.empty())
-        node.newsDue.notifyAll();
+        node.reportDue.notifyAll();
 }
 
 namespace {
@@ -167,7 +168,7 @@
 
 // The holder's own word stays as it is; a relay only adds whether it can be reached. The others of
 // its zone learn that from it.
-void markHolders(GatewayNode &node, Instant now)
+void markSilentHolders(GatewayNode &node, Instant now)
 {
     if (!node.relaying)
         return;
@@ -181,7 +182,7 @@
 }
 
 // Asked again at once, it would say the same to every call that waits; it tells when it may order.
-void noteNotHolder(GatewayNode &node, const std::string &target, const Endpoint &asked)
+void recordNotHolder(GatewayNode &node, const std::string &target, const Endpoint &asked)
 {
     const EngineRecord *record = node.facts.engines.find(target);
     if (record == nullptr || !record->holderLive || record->holder != asked)
@@ -189,7 +190,7 @@
     markUnheld(node, target);
 }
 
-void takeHolds(GatewayNode &node, const std::string &zone, const std::string &target)
+void applyHolderLiveness(GatewayNode &node, const std::string &zone, const std::string &target)
 {
     const TargetEntry *entry = entryOf(node, target);
     const EngineRecord *record = node.facts.engines.find(target);
@@ -197,7 +198,7 @@
         return;
     EngineRecord live = *record;
     live.holderLive = true;
-    takeEngineRecord(node, target, std::move(live));
+    applyEngineRecord(node, target, std::move(live));
 }
 
 const PeerState *holderOf(const GatewayNode &node, const std::string &target)
@@ -206,7 +207,7 @@
     if (record == nullptr || !record->holderLive)
         return nullptr;
     const auto peer = node.peers.find(record->holder);
-    if (peer == node.peers.end() || peer->second.leaseLeft)
+    if (peer == node.peers.end() || peer->second.leftLeaseGroup)
         return nullptr;
     const Instant failed = peer->second.loadFailedAt;
     if (failed != Instant{} && BootClock::now() - failed < afterFailedLoad)
--- a/libs/gateway/src/SharedEngines.h
+++ b/libs/gateway/src/SharedEngines.h
@@ -8,11 +8,11 @@
 namespace monsoonbay {
 
 /** Takes what a peer says of an engine, unless this VM orders it itself or knows newer. */
-void takeEngineRecord(GatewayNode &node, const std::string &target, EngineRecord record);
+void applyEngineRecord(GatewayNode &node, const std::string &target, EngineRecord record);
 
 /** The same of what changed; it is asked for whole if it is not of the record that is known. */
-void takeEngineChange(GatewayNode &node, std::set<std::string> &unknown, const std::string &target,
-                      const EngineChange &change);
+void applyEngineChange(GatewayNode &node, std::set<std::string> &unknown, const std::string &target,
+                       const EngineChange &change);
 
 /** Tells the others what this VM knows of an engine that it orders. */
 void publishEngine(GatewayNode &node, const std::string &target);
@@ -21,13 +21,13 @@
 void retractEngines(GatewayNode &node);
 
 /** The holder of an engine says that it may not order it. */
-void noteNotHolder(GatewayNode &node, const std::string &target, const Endpoint &asked);
+void recordNotHolder(GatewayNode &node, const std::string &target, const Endpoint &asked);
 
 /** As a relay: marks engines whose holder has fallen silent. */
-void markHolders(GatewayNode &node, Instant now);
+void markSilentHolders(GatewayNode &node, Instant now);
 
 /** A peer of that zone says that an engine's holder lives. */
-void takeHolds(GatewayNode &node, const std::string &zone, const std::string &target);
+void applyHolderLiveness(GatewayNode &node, const std::string &zone, const std::string &target);
 
 /** The gateway that may order an engine, if it is not this one; null: none is known. */
 const PeerState *holderOf(const GatewayNode &node, const std::string &target);
--- a/libs/gateway/src/SpendNotes.cpp
+++ b/libs/gateway/src/SpendNotes.cpp
@@ -57,9 +57,9 @@
     if (own != node.spending.end())
         units = unitsByAge(own->second, policy, now);
     const Workspace *limited = node.routes->findWorkspace(workspace);
-    if (limited != nullptr && !node.settings.firstStart && knowsOthers(node, now))
+    if (limited != nullptr && !node.settings.firstStart && knowsFleetSize(node, now))
         addUnitsBeforeStart(units, workspace, limited->limit, policy, node.spend.atStart,
-                            vmsKnown(node, now), node.bootedAt, now);
+                            knownVms(node, now), node.bootedAt, now);
     if (scope == UnitsOf::ThisVm)
         return units;
     for (const auto &[reporter, report] : node.reported.reports) {
@@ -116,7 +116,8 @@
         note[workspace] = {percent, unitsHeard(node, workspace, UnitsOf::AllZones, began)};
     node.spend.permits = permitsOf(node.spend.noting);
     const std::string named = std::to_string(note.size());
-    const bool done = co_await node.platform->noteSpend(node.http, node.settings, std::move(note));
+    const bool done =
+        co_await node.platform->writeUsageSnapshot(node.http, node.settings, std::move(note));
     endNote(node.spend.noting, done);
     // Another VM may relay by now, and its permits have come.
     if (node.relaying)
@@ -132,22 +133,22 @@
 
 } // namespace
 
-bool notesSpend(const GatewayNode &node)
+bool keepsUsageSnapshots(const GatewayNode &node)
 {
     const auto &workspaces = node.routes->config().workspaces;
     return node.settings.quotaGiven
         && std::any_of(workspaces.begin(), workspaces.end(), isLimitedWorkspace);
 }
 
-double spendAllowed(const GatewayNode &node, const std::string &workspace, Instant now)
+double allowedShare(const GatewayNode &node, const std::string &workspace, Instant now)
 {
-    if (!notesSpend(node))
+    if (!keepsUsageSnapshots(node))
         return 1;
     return shareAllowed(node.spend.permits, workspace, now);
 }
 
 // Notes that another VM told are of before this one's start and stay.
-void takeNotesOfStore(GatewayNode &node, std::vector<SpendNote> notes)
+void applyStoredSnapshots(GatewayNode &node, std::vector<SpendNote> notes)
 {
     const Instant now = BootClock::now();
     if (node.spend.atStart.wereRead || node.settings.firstStart)
@@ -159,7 +160,7 @@
 
 void fillUnitsByAge(GatewayNode &node, bool wholeZone, v1::Report &report)
 {
-    if (!notesSpend(node))
+    if (!keepsUsageSnapshots(node))
         return;
     const Instant now = BootClock::now();
     const UnitsOf scope = wholeZone ? UnitsOf::Zone : UnitsOf::ThisVm;
@@ -181,9 +182,10 @@
     return units;
 }
 
-void tellSpendNews(const GatewayNode &node, const v1::Report &report, bool mate, v1::Digest &digest)
+void addUsageUpdates(const GatewayNode &node, const v1::Report &report, bool mate,
+                     v1::Digest &digest)
 {
-    if (!notesSpend(node))
+    if (!keepsUsageSnapshots(node))
         return;
     const Instant now = BootClock::now();
     const SpendPermits &permits = node.spend.permits;
@@ -239,7 +241,7 @@
 
 } // namespace
 
-void takeSpendNews(GatewayNode &node, const v1::Digest &digest, bool ownRelay, Instant askedAt)
+void applyUsageUpdates(GatewayNode &node, const v1::Digest &digest, bool ownRelay, Instant askedAt)
 {
     if (BootClock::now() - node.bootedAt < node.settings.quota.window)
         takeNotesTold(node, digest.spend());
@@ -255,12 +257,12 @@
     node.spend.permits = std::move(permits);
 }
 
-asio::awaitable<void> spendNoteLoop(GatewayNode &node)
+asio::awaitable<void> usageSnapshotLoop(GatewayNode &node)
 {
     while (!node.stopped) {
-        const bool notes = notesSpend(node);
+        const bool notes = keepsUsageSnapshots(node);
         const Instant now = BootClock::now();
-        if (!notes || !node.relaying || !knowsOthers(node, now)) {
+        if (!notes || !node.relaying || !knowsFleetSize(node, now)) {
             node.spend.writes = false;
             co_await pauseFor(node, notes ? wantedLook : unlimitedLook);
             continue;
--- a/libs/gateway/src/SpendNotes.h
+++ b/libs/gateway/src/SpendNotes.h
@@ -8,13 +8,13 @@
 /** Notes of the use of workspaces in the store; see quota/SpendNote.h. */
 
 /** False where there are no limits, or the settings do not say how they are to be kept. */
-bool notesSpend(const GatewayNode &node);
+bool keepsUsageSnapshots(const GatewayNode &node);
 
 /** The part of what may be used in a window that is let run now. */
-double spendAllowed(const GatewayNode &node, const std::string &workspace, Instant now);
+double allowedShare(const GatewayNode &node, const std::string &workspace, Instant now);
 
 /** What the store held when this VM read its list of VMs first. */
-void takeNotesOfStore(GatewayNode &node, std::vector<SpendNote> notes);
+void applyStoredSnapshots(GatewayNode &node, std::vector<SpendNote> notes);
 
 /** Adds the units by age of workspaces whose use is to be noted. */
 void fillUnitsByAge(GatewayNode &node, bool wholeZone, gateway::v1::Report &report);
@@ -22,14 +22,14 @@
 WorkspaceUnits decodeUnitsByAge(const gateway::v1::Report &report);
 
 /** `mate`: the asker is of this VM's zone. */
-void tellSpendNews(const GatewayNode &node, const gateway::v1::Report &report, bool mate,
-                   gateway::v1::Digest &digest);
+void addUsageUpdates(const GatewayNode &node, const gateway::v1::Report &report, bool mate,
+                     gateway::v1::Digest &digest);
 
 /** `ownRelay`: the digest is of the VM that this one reports to. */
-void takeSpendNews(GatewayNode &node, const gateway::v1::Digest &digest, bool ownRelay,
-                   Instant askedAt);
+void applyUsageUpdates(GatewayNode &node, const gateway::v1::Digest &digest, bool ownRelay,
+                       Instant askedAt);
 
 /** While this VM relays: notes the use of workspaces for its zone. */
-asio::awaitable<void> spendNoteLoop(GatewayNode &node);
+asio::awaitable<void> usageSnapshotLoop(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/StreamResuming.cpp
+++ b/libs/gateway/src/StreamResuming.cpp
@@ -333,7 +333,7 @@
     const Instant asked = BootClock::now();
     const EngineAddress address{target.id, target.endpoint};
     const auto report = co_await node.platform->report(node.http, address, askPatience);
-    if (!report || noteStartOf(node, target.id, report->born) == StartOrder::Newer)
+    if (!report || recordStartTime(node, target.id, report->born) == StartOrder::Newer)
         co_return false;
     runtimeOf(node, target.id).startKnownAt = asked;
     co_return true;
--- a/libs/gateway/src/TargetEnds.cpp
+++ b/libs/gateway/src/TargetEnds.cpp
@@ -78,7 +78,7 @@
         co_return;
     LostCalls &lost = found->second->lost;
     lost.looking = false;
-    if (isSightDoubtful(node, target))
+    if (isObservationDoubtful(node, target))
         lost.calls.clear();
     else
         noteEnd(node, target, firstLoss, 0, "refused connection");
@@ -94,9 +94,9 @@
         co_return;
     TargetRuntime &runtime = *found->second;
     if (result.connection)
-        noteLinkReached(node, target);
+        recordLinkSuccess(node, target);
     else
-        noteLinkFailed(node, target);
+        recordLinkFailure(node, target);
     if (result.error == asio::error::connection_refused) {
         co_await noteRefused(node, target, firstLoss);
         co_return;
@@ -110,7 +110,7 @@
 
 } // namespace
 
-void noteLostCall(ActiveCall &run, const std::string &target)
+void recordLostCall(ActiveCall &run, const std::string &target)
 {
     GatewayNode &node = run.node;
     TargetRuntime &runtime = runtimeOf(node, target);
@@ -127,14 +127,14 @@
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr) {
         // One that fell silent is off the list before its connections are given up.
-        noteEndByList(node, target, 0);
+        recordEndByList(node, target, 0);
         return;
     }
     lost.looking = true;
     spawn(node, "look at a target", lookAt(node, target, entry->endpoint));
 }
 
-void noteEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime)
+void recordEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime)
 {
     const auto found = node.targets.find(target);
     if (found == node.targets.end() || found->second->leaves)
--- a/libs/gateway/src/TargetEnds.h
+++ b/libs/gateway/src/TargetEnds.h
@@ -15,9 +15,9 @@
  */
 
 /** The answer to a call broke off; the target may have ended. */
-void noteLostCall(ActiveCall &run, const std::string &target);
+void recordLostCall(ActiveCall &run, const std::string &target);
 
 /** The list tells that a target is gone, or was started anew at `nextStartTime`; 0: not said. */
-void noteEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime);
+void recordEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -146,7 +146,7 @@
         this->link = std::move(result.connection);
         this->lastError = result.error;
         if (this->link && !this->targetId.empty())
-            noteLinkReached(this->node, this->targetId);
+            recordLinkSuccess(this->node, this->targetId);
     }
     co_return this->link != nullptr;
 }
--- a/libs/gateway/src/TargetStarts.cpp
+++ b/libs/gateway/src/TargetStarts.cpp
@@ -11,7 +11,7 @@
 void forgetTarget(TargetRuntime &runtime)
 {
     runtime.health = TargetHealth();
-    runtime.wantsNothingUntil = Instant{};
+    runtime.pausedUntil = Instant{};
     runtime.limit = AdvertisedLimit();
     runtime.leaves = false;
     for (const TargetConnectionPtr &connection : runtime.pool.idle)
@@ -26,7 +26,7 @@
 
 void forgetEngine(GatewayNode &node, const std::string &target, std::int64_t born)
 {
-    node.toldRuns.erase(target);
+    node.reportedRuns.erase(target);
     const auto held = node.desks.find(target);
     if (held != node.desks.end()) {
         resetScheduler(held->second->scheduler, born);
@@ -50,7 +50,7 @@
 // Without this, a target that came back under its id would be taken to hold what its former start
 // held: calls for those adapters bounce, its holder's orders are refused for the former count, and
 // one that said it was leaving would get nothing for ever.
-StartOrder noteStartOf(GatewayNode &node, const std::string &target, std::int64_t born)
+StartOrder recordStartTime(GatewayNode &node, const std::string &target, std::int64_t born)
 {
     const auto found = node.book.records.find(target);
     if (found == node.book.records.end())
@@ -66,7 +66,7 @@
               {"address", record.entry.endpoint.text()},
               {"bornBefore", std::to_string(record.entry.born)},
               {"born", std::to_string(born)}});
-    noteEndByList(node, target, born);
+    recordEndByList(node, target, born);
     forgetEngine(node.prefixes.book, engineKey(target, record.entry.born));
     record.entry.born = born;
     record.entry.leaving = false;
@@ -79,7 +79,7 @@
     forgetTarget(runtimeOf(node, target));
     forgetEngine(node, target, born);
     node.engineChanged.notifyAll();
-    node.newsDue.notifyAll();
+    node.reportDue.notifyAll();
     return age;
 }
 
--- a/libs/gateway/src/TargetWords.cpp
+++ b/libs/gateway/src/TargetWords.cpp
@@ -8,7 +8,7 @@
 
 namespace monsoonbay {
 
-void noteLeaving(GatewayNode &node, const std::string &target, std::string_view source)
+void markLeaving(GatewayNode &node, const std::string &target, std::string_view source)
 {
     const auto found = node.book.records.find(target);
     if (found == node.book.records.end() || found->second.entry.leaving)
@@ -17,16 +17,16 @@
     runtimeOf(node, target).leaves = true;
     node.facts.targets.set(target, {found->second.entry, false}, node.facts.counter);
     logEvent(EventId::TargetLeaving, {{"target", target}, {"source", std::string(source)}});
-    node.newsDue.notifyAll();
+    node.reportDue.notifyAll();
 }
 
 // A peer that has not heard of the target's new start yet would otherwise keep it from work for
 // good, and so would all that this VM tells.
-void noteLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t born)
+void markLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t born)
 {
-    if (noteStartOf(node, target, born) == StartOrder::Older)
+    if (recordStartTime(node, target, born) == StartOrder::Older)
         return;
-    noteLeaving(node, target, "peer");
+    markLeaving(node, target, "peer");
 }
 
 namespace {
@@ -42,7 +42,7 @@
     logEvent(EventId::TargetLimited,
              {{"target", target},
               {"callsPerSecond", std::to_string(limit.perSecond)},
-              {"vms", std::to_string(vmsKnown(node, BootClock::now()))}});
+              {"vms", std::to_string(knownVms(node, BootClock::now()))}});
 }
 
 } // namespace
@@ -53,29 +53,29 @@
     if (found == node.targets.end())
         return true;
     TargetRuntime &runtime = *found->second;
-    if (runtime.wantsNothingUntil > now)
+    if (runtime.pausedUntil > now)
         return false;
     if (runtime.limit.perSecond == 0)
         return true;
-    const int vms = knowsOthers(node, now) ? vmsKnown(node, now) : 0;
+    const int vms = knowsFleetSize(node, now) ? knownVms(node, now) : 0;
     const double draw = std::uniform_real_distribution<double>(0, 1)(node.random);
     return admitsCall(runtime.limit, vms, draw, now);
 }
 
 // The list may be away for as long as a target needs to leave; its answers still come, and what is
 // sent to it after them is cut when it ends.
-void takeTargetWords(GatewayNode &node, const std::string &target, const AnswerMetadata &answer)
+void applyAnswerHints(GatewayNode &node, const std::string &target, const AnswerMetadata &answer)
 {
     if (!answer.answeredBy.empty() && answer.answeredBy != target)
         return;
     if (answer.leaving)
-        noteLeaving(node, target, "answer");
+        markLeaving(node, target, "answer");
     takeLimit(node, target, answer);
     if (answer.backoffTime == Duration::zero())
         return;
     TargetRuntime &runtime = runtimeOf(node, target);
     const Instant until = BootClock::now() + answer.backoffTime;
-    runtime.wantsNothingUntil = std::max(runtime.wantsNothingUntil, until);
+    runtime.pausedUntil = std::max(runtime.pausedUntil, until);
     logEvent(EventId::TargetHeldBack,
              {{"target", target}, {"forMs", std::to_string(toMillis(answer.backoffTime))}});
 }
--- a/libs/gateway/src/TargetWords.h
+++ b/libs/gateway/src/TargetWords.h
@@ -10,15 +10,15 @@
  * for how long it wants nothing of this one, and how many calls it takes from all VMs. An answer of
  * another target says nothing of it.
  */
-void takeTargetWords(GatewayNode &node, const std::string &target, const AnswerMetadata &answer);
+void applyAnswerHints(GatewayNode &node, const std::string &target, const AnswerMetadata &answer);
 
 /** True if the target takes calls of this VM now, by its own words. */
 bool takesCalls(GatewayNode &node, const std::string &target, Instant now);
 
 /** A peer knows that the start `born` of this target is leaving; 0: it does not say which. */
-void noteLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t born);
+void markLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t born);
 
 /** The target leaves, by what `source` says: it gets nothing new until it is started anew. */
-void noteLeaving(GatewayNode &node, const std::string &target, std::string_view source);
+void markLeaving(GatewayNode &node, const std::string &target, std::string_view source);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/NewsBytes.cpp
+++ b/libs/gateway/src/UpdateBytes.cpp
@@ -1,4 +1,4 @@
-#include "NewsBytes.h"
+#include "UpdateBytes.h"
 
 #include <numeric>
 #include <string_view>
@@ -14,10 +14,10 @@
 
 constexpr Duration logEvery = std::chrono::seconds(5);
 
-constexpr std::array<std::string_view, newsKinds> matesFields{
+constexpr std::array<std::string_view, updateKinds> matesFields{
     "matesUses",     "matesEngines", "matesTargets", "matesWorkspaces",
     "matesPrefixes", "matesConfig",  "matesRest"};
-constexpr std::array<std::string_view, newsKinds> zonesFields{
+constexpr std::array<std::string_view, updateKinds> zonesFields{
     "zonesUses",     "zonesEngines", "zonesTargets", "zonesWorkspaces",
     "zonesPrefixes", "zonesConfig",  "zonesRest"};
 
@@ -37,15 +37,15 @@
 }
 
 /** Counts what a message of `total` bytes has beside those that are counted by kind. */
-NewsBytes withRest(std::uint64_t total, NewsBytes bytes)
+UpdateBytes withRest(std::uint64_t total, UpdateBytes bytes)
 {
     const std::uint64_t known =
         std::accumulate(bytes.byKind.begin(), bytes.byKind.end(), std::uint64_t{0});
-    bytes[NewsKind::Rest] = total - known;
+    bytes[UpdateKind::Rest] = total - known;
     return bytes;
 }
 
-Counter counterOf(NewsKind kind, bool mate)
+Counter counterOf(UpdateKind kind, bool mate)
 {
     const Counter first = mate ? Counter::NewsToMatesUses : Counter::NewsToZonesUses;
     return static_cast<Counter>(static_cast<std::size_t>(first) + static_cast<std::size_t>(kind));
@@ -53,77 +53,77 @@
 
 } // namespace
 
-NewsBytes bytesOf(const v1::Report &report)
+UpdateBytes bytesOf(const v1::Report &report)
 {
-    NewsBytes bytes;
+    UpdateBytes bytes;
     const std::uint64_t total = report.ByteSizeLong();
-    bytes[NewsKind::Uses] = sizeOf(report.uses());
-    bytes[NewsKind::Engines] = sizeOf(report.engines());
+    bytes[UpdateKind::Uses] = sizeOf(report.uses());
+    bytes[UpdateKind::Engines] = sizeOf(report.engines());
     for (const std::string &target : report.holds())
-        bytes[NewsKind::Engines] += target.size();
-    bytes[NewsKind::Targets] = sizeOf(report.leaving());
-    bytes[NewsKind::Workspaces] = sizeOf(report.workspaces());
-    bytes[NewsKind::Prefixes] = sizeOf(report.has_prefixes(), report.prefixes());
+        bytes[UpdateKind::Engines] += target.size();
+    bytes[UpdateKind::Targets] = sizeOf(report.leaving());
+    bytes[UpdateKind::Workspaces] = sizeOf(report.workspaces());
+    bytes[UpdateKind::Prefixes] = sizeOf(report.has_prefixes(), report.prefixes());
     return withRest(total, bytes);
 }
 
-NewsBytes bytesOf(const v1::Digest &digest)
+UpdateBytes bytesOf(const v1::Digest &digest)
 {
-    NewsBytes bytes;
+    UpdateBytes bytes;
     const std::uint64_t total = digest.ByteSizeLong();
-    bytes[NewsKind::Uses] = sizeOf(digest.others());
-    bytes[NewsKind::Engines] = sizeOf(digest.engines());
-    bytes[NewsKind::Targets] = sizeOf(digest.targets());
-    bytes[NewsKind::Workspaces] = sizeOf(digest.other_workspaces());
-    bytes[NewsKind::Workspaces] += sizeOf(digest.has_spend(), digest.spend());
-    bytes[NewsKind::Prefixes] = sizeOf(digest.has_prefixes(), digest.prefixes());
+    bytes[UpdateKind::Uses] = sizeOf(digest.others());
+    bytes[UpdateKind::Engines] = sizeOf(digest.engines());
+    bytes[UpdateKind::Targets] = sizeOf(digest.targets());
+    bytes[UpdateKind::Workspaces] = sizeOf(digest.other_workspaces());
+    bytes[UpdateKind::Workspaces] += sizeOf(digest.has_spend(), digest.spend());
+    bytes[UpdateKind::Prefixes] = sizeOf(digest.has_prefixes(), digest.prefixes());
     return withRest(total, bytes);
 }
 
-NewsBytes bytesOf(const v1::ConfigPart &part)
+UpdateBytes bytesOf(const v1::ConfigPart &part)
 {
-    NewsBytes bytes;
-    bytes[NewsKind::Config] = part.ByteSizeLong();
+    UpdateBytes bytes;
+    bytes[UpdateKind::Config] = part.ByteSizeLong();
     return bytes;
 }
 
-void countSent(GatewayNode &node, const std::string &receiverZone, const NewsBytes &bytes)
+void countSent(GatewayNode &node, const std::string &receiverZone, const UpdateBytes &bytes)
 {
     const bool mate = receiverZone == node.settings.zone;
-    for (std::size_t kind = 0; kind < newsKinds; ++kind) {
+    for (std::size_t kind = 0; kind < updateKinds; ++kind) {
         if (bytes.byKind[kind] > 0)
-            node.metrics.add(counterOf(static_cast<NewsKind>(kind), mate), bytes.byKind[kind]);
+            node.metrics.add(counterOf(static_cast<UpdateKind>(kind), mate), bytes.byKind[kind]);
     }
 }
 
 namespace {
 
 /** All news sent so far to mates, or to VMs of other zones. */
-NewsBytes sentSoFar(const GatewayNode &node, bool mates)
+UpdateBytes sentSoFar(const GatewayNode &node, bool mates)
 {
-    NewsBytes sent;
-    for (std::size_t kind = 0; kind < newsKinds; ++kind)
-        sent.byKind[kind] = node.metrics.value(counterOf(static_cast<NewsKind>(kind), mates));
+    UpdateBytes sent;
+    for (std::size_t kind = 0; kind < updateKinds; ++kind)
+        sent.byKind[kind] = node.metrics.value(counterOf(static_cast<UpdateKind>(kind), mates));
     return sent;
 }
 
-void addFields(const std::array<std::string_view, newsKinds> &names, const NewsBytes &now,
-               const NewsBytes &before, std::vector<EventField> &fields)
+void addFields(const std::array<std::string_view, updateKinds> &names, const UpdateBytes &now,
+               const UpdateBytes &before, std::vector<EventField> &fields)
 {
-    for (std::size_t kind = 0; kind < newsKinds; ++kind)
+    for (std::size_t kind = 0; kind < updateKinds; ++kind)
         fields.push_back({names[kind], std::to_string(now.byKind[kind] - before.byKind[kind])});
 }
 
 } // namespace
 
-asio::awaitable<void> newsLogLoop(GatewayNode &node)
+asio::awaitable<void> updateLogLoop(GatewayNode &node)
 {
-    NewsBytes matesBefore;
-    NewsBytes zonesBefore;
+    UpdateBytes matesBefore;
+    UpdateBytes zonesBefore;
     while (!node.stopped) {
         co_await pauseFor(node, logEvery);
-        const NewsBytes mates = sentSoFar(node, true);
-        const NewsBytes zones = sentSoFar(node, false);
+        const UpdateBytes mates = sentSoFar(node, true);
+        const UpdateBytes zones = sentSoFar(node, false);
         if (node.relaying) {
             std::vector<EventField> fields;
             addFields(matesFields, mates, matesBefore, fields);
--- a/libs/gateway/src/NewsBytes.h
+++ b/libs/gateway/src/UpdateBytes.h
@@ -9,7 +9,7 @@
 namespace monsoonbay {
 
 /** What a message between VMs is about. */
-enum class NewsKind : std::uint8_t {
+enum class UpdateKind : std::uint8_t {
     Uses, ///< what calls take of engines
     Engines, ///< what the VMs that order engines say of them
     Targets, ///< the platform's list
@@ -20,29 +20,29 @@
     Count, ///< number of kinds, not one of them
 };
 
-constexpr std::size_t newsKinds = static_cast<std::size_t>(NewsKind::Count);
+constexpr std::size_t updateKinds = static_cast<std::size_t>(UpdateKind::Count);
 
 /** Bytes by kind of news, as encoded; without the heads of the transport. */
-struct NewsBytes
+struct UpdateBytes
 {
-    std::array<std::uint64_t, newsKinds> byKind{};
+    std::array<std::uint64_t, updateKinds> byKind{};
 
-    std::uint64_t &operator[](NewsKind kind)
+    std::uint64_t &operator[](UpdateKind kind)
     {
         return this->byKind[static_cast<std::size_t>(kind)];
     }
 
-    auto operator<=>(const NewsBytes &) const = default;
+    auto operator<=>(const UpdateBytes &) const = default;
 };
 
-NewsBytes bytesOf(const gateway::v1::Report &report);
-NewsBytes bytesOf(const gateway::v1::Digest &digest);
-NewsBytes bytesOf(const gateway::v1::ConfigPart &part);
+UpdateBytes bytesOf(const gateway::v1::Report &report);
+UpdateBytes bytesOf(const gateway::v1::Digest &digest);
+UpdateBytes bytesOf(const gateway::v1::ConfigPart &part);
 
 /** Counts news that this VM sends, by kind, to VMs of the own zone and to others apart. */
-void countSent(GatewayNode &node, const std::string &receiverZone, const NewsBytes &bytes);
+void countSent(GatewayNode &node, const std::string &receiverZone, const UpdateBytes &bytes);
 
 /** While this VM relays, logs now and then what it has sent since, by kind. */
-asio::awaitable<void> newsLogLoop(GatewayNode &node);
+asio::awaitable<void> updateLogLoop(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/SpendState.h
+++ b/libs/gateway/src/UsageSnapshotState.h
@@ -6,7 +6,7 @@
 namespace monsoonbay {
 
 /** Notes of the use of workspaces, at one VM. */
-struct SpendState
+struct UsageSnapshotState
 {
     NotesAtStart atStart;
     SpendPermits permits; ///< by the notes of this zone
--- a/libs/gateway/src/UseNotes.cpp
+++ b/libs/gateway/src/UseNotes.cpp
@@ -37,7 +37,7 @@
 
 asio::awaitable<void> tellHolder(GatewayNode &node, Endpoint holder, v1::UseNote note)
 {
-    const auto noted = co_await node.links.noteUse(holder, std::move(note), noteTimeout);
+    const auto noted = co_await node.links.reportUsage(holder, std::move(note), noteTimeout);
     static_cast<void>(noted); // a lost note is made good by the next one
 }
 
@@ -70,8 +70,8 @@
     const auto runtime = node.targets.find(target);
     if (runtime != node.targets.end())
         total = runtime->second->ownAdapterRuns;
-    const auto told = node.toldRuns.find(target);
-    if (told == node.toldRuns.end())
+    const auto told = node.reportedRuns.find(target);
+    if (told == node.reportedRuns.end())
         return total;
     const Instant now = BootClock::now();
     for (const auto &[vm, runs] : told->second) {
@@ -87,7 +87,7 @@
 {
     const auto held = node.desks.find(target);
     if (held == node.desks.end() || held->second->scheduler.sequence < 0
-        || !mayOrderNow(node, target))
+        || !mayCommandNow(node, target))
         return 0;
     const Instant now = BootClock::now();
     AdapterScheduler &scheduler = held->second->scheduler;
@@ -95,18 +95,18 @@
     return scheduler.adapterSlots - idleSlots(scheduler, now);
 }
 
-void noteRunsChanged(GatewayNode &node, const std::string &target)
+void markRunsChanged(GatewayNode &node, const std::string &target)
 {
     node.runsChanged.insert(target);
     node.runsDue.notifyAll();
 }
 
-v1::UseNoted takeUseNote(GatewayNode &node, const v1::UseNote &note)
+v1::UseNoted applyUsageReport(GatewayNode &node, const v1::UseNote &note)
 {
     const Endpoint from = decodeEndpoint(note.from());
     const Instant now = BootClock::now();
     for (const v1::EngineRuns &told : note.engines()) {
-        ToldRuns &runs = node.toldRuns[told.target()][from];
+        ReportedRuns &runs = node.reportedRuns[told.target()][from];
         // Notes overtake one another; each tells of other engines, so each counts for its own.
         const bool older = runs.boot == note.from().boot() && note.sequence() <= runs.sequence;
         if (older)
@@ -124,7 +124,7 @@
     return {};
 }
 
-asio::awaitable<void> useNoteLoop(GatewayNode &node)
+asio::awaitable<void> usageReportLoop(GatewayNode &node)
 {
     Instant allTold{};
     while (!node.stopped) {
--- a/libs/gateway/src/UseNotes.h
+++ b/libs/gateway/src/UseNotes.h
@@ -22,12 +22,12 @@
 int busySlots(GatewayNode &node, const std::string &target);
 
 /** Own calls at an engine begin or stop to use an adapter: its holder is to know. */
-void noteRunsChanged(GatewayNode &node, const std::string &target);
+void markRunsChanged(GatewayNode &node, const std::string &target);
 
 /** Takes another VM's word. */
-gateway::v1::UseNoted takeUseNote(GatewayNode &node, const gateway::v1::UseNote &note);
+gateway::v1::UseNoted applyUsageReport(GatewayNode &node, const gateway::v1::UseNote &note);
 
 /** Tells holders of own calls for as long as the gateway runs. */
-asio::awaitable<void> useNoteLoop(GatewayNode &node);
+asio::awaitable<void> usageReportLoop(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/WorkspaceQuota.cpp
+++ b/libs/gateway/src/WorkspaceQuota.cpp
@@ -32,10 +32,10 @@
     if (found != node.spending.end())
         use = useOf(found->second, policy, now);
     const Duration up = now - node.bootedAt;
-    if (node.settings.firstStart || up >= 2 * policy.window || !knowsOthers(node, now))
+    if (node.settings.firstStart || up >= 2 * policy.window || !knowsFleetSize(node, now))
         return use;
-    const int known = vmsKnown(node, now);
-    if (notesSpend(node))
+    const int known = knownVms(node, now);
+    if (keepsUsageSnapshots(node))
         addUsage(use,
                  useAtStart(workspace.name, workspace.limit, policy, node.spend.atStart, known,
                             node.bootedAt, now));
@@ -55,15 +55,15 @@
 FleetUse othersUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
     // A VM that was suspended must not take what it heard before for what there is now.
-    dropSilent(node.reported, reporterSilence, now);
+    dropSilent(node.reported, reporterTimeout, now);
     FleetUse fleet;
     addUseOf(fleet.use, node.reported.workspaceTotal, workspace.name);
-    if (hearsRelay(node, now))
+    if (isRelayLive(node, now))
         addUseOf(fleet.use, node.upstream.otherWorkspaces, workspace.name);
-    fleet.vmsInTouch = vmsInTouch(node, now);
-    fleet.vmsKnown = vmsKnown(node, now);
-    fleet.updateAge = loadNewsAge(node);
-    fleet.allowed = spendAllowed(node, workspace.name, now);
+    fleet.reachableVms = reachableVms(node, now);
+    fleet.knownVms = knownVms(node, now);
+    fleet.updateAge = loadReportAge(node);
+    fleet.allowed = allowedShare(node, workspace.name, now);
     return fleet;
 }
 
@@ -104,8 +104,8 @@
                std::to_string(static_cast<std::int64_t>(workspace.limit.ratePerSecond))},
               {"window", std::to_string(fleet.use.whole)},
               {"askedPerSecond", std::to_string(fleet.use.askedPerSecond)},
-              {"vmsInTouch", std::to_string(fleet.vmsInTouch)},
-              {"vmsKnown", std::to_string(fleet.vmsKnown)},
+              {"vmsInTouch", std::to_string(fleet.reachableVms)},
+              {"vmsKnown", std::to_string(fleet.knownVms)},
               {"allowed", std::to_string(fleet.allowed)},
               {"newsAgeMs", std::to_string(toMillis(fleet.updateAge))}});
 }
@@ -121,7 +121,7 @@
     if (workspace->limit.unit == QuotaUnit::Tokens && run.facts.tokensMalformed)
         return makeLocalReply(400, "the call's count of tokens is no count", Duration::zero());
     const Instant now = BootClock::now();
-    if (!knowsOthers(node, now))
+    if (!knowsFleetSize(node, now))
         return makeLocalReply(503, "this VM does not know of the others yet", shortRetryAfter);
     const QuotaPolicy &policy = node.settings.quota;
     const std::int64_t units = costOf(workspace->limit, run.facts.tokens);
--- a/libs/gateway/src/ZoneView.cpp
+++ b/libs/gateway/src/ZoneView.cpp
@@ -4,21 +4,21 @@
 
 namespace monsoonbay {
 
-bool isMate(const GatewayNode &node, const PeerState &peer)
+bool isZonePeer(const GatewayNode &node, const PeerState &peer)
 {
     return peer.zone == node.settings.zone && !peer.name.empty();
 }
 
-int countMates(const GatewayNode &node)
+int countZonePeers(const GatewayNode &node)
 {
     return static_cast<int>(
         std::count_if(node.peers.begin(), node.peers.end(),
-                      [&](const auto &entry) { return isMate(node, entry.second); }));
+                      [&](const auto &entry) { return isZonePeer(node, entry.second); }));
 }
 
 bool isReachable(const PeerState &peer, Instant now)
 {
-    return !peer.stopping && (peer.failures == 0 || now - peer.reportedAt < reporterSilence);
+    return !peer.stopping && (peer.failures == 0 || now - peer.reportedAt < reporterTimeout);
 }
 
 RelayRank rankOf(const PeerState &peer)
@@ -30,9 +30,9 @@
     return rank;
 }
 
-ZoneMates matesOf(GatewayNode &node, const std::string &zone)
+ZonePeers zonePeersOf(GatewayNode &node, const std::string &zone)
 {
-    ZoneMates found;
+    ZonePeers found;
     const Instant now = BootClock::now();
     for (auto &[endpoint, peer] : node.peers) {
         if (peer.zone != zone || peer.name.empty())
--- a/libs/gateway/src/ZoneView.h
+++ b/libs/gateway/src/ZoneView.h
@@ -8,23 +8,23 @@
 namespace monsoonbay {
 
 /** Reporters that were silent for this long no longer count, nor what they had under way. */
-constexpr Duration reporterSilence = std::chrono::milliseconds(1500);
+constexpr Duration reporterTimeout = std::chrono::milliseconds(1500);
 
 /** The VMs of one zone as candidates for its relay. */
-struct ZoneMates
+struct ZonePeers
 {
     std::vector<ZonePeer> mates;
     std::vector<PeerState *> peers; ///< in the same order
 };
 
 /** What this VM knows of the VMs of a zone; itself is not among them. */
-ZoneMates matesOf(GatewayNode &node, const std::string &zone);
+ZonePeers zonePeersOf(GatewayNode &node, const std::string &zone);
 
 /** True for a VM of the own zone that is known by name. */
-bool isMate(const GatewayNode &node, const PeerState &peer);
+bool isZonePeer(const GatewayNode &node, const PeerState &peer);
 
 /** Other VMs of the own zone that are known. */
-int countMates(const GatewayNode &node);
+int countZonePeers(const GatewayNode &node);
 
 /** True if it has not failed to answer lately and is not stopping. */
 bool isReachable(const PeerState &peer, Instant now);
--- a/libs/gateway/tests/ConfigReadings.cpp
+++ b/libs/gateway/tests/ConfigReadings.cpp
@@ -1,4 +1,4 @@
-#include "ConfigReading.h"
+#include "ConfigDownload.h"
 #include "Feeds.h"
 #include "Forwarding.h"
 #include "GatewayNode.h"
@@ -50,7 +50,7 @@
 void putInForce(GatewayNode &node, const std::string &document)
 {
     const std::int64_t version = std::stoll(document.substr(0, document.find('\n')));
-    cr_assert(takePackedConfig(node, packDocument(version, document), "test"));
+    cr_assert(applyPackedConfig(node, packDocument(version, document), "test"));
 }
 
 PeerState &addMate(GatewayNode &node, const std::string &vm, double capacity, std::int64_t version)
@@ -58,7 +58,7 @@
     const Endpoint endpoint{vm, 7380};
     addPeer(node, endpoint, {vm, "zone-a", capacity});
     PeerState &peer = node.peers.at(endpoint);
-    noteConfigOffer(node, peer, version);
+    recordConfigOffer(node, peer, version);
     return peer;
 }
 
@@ -110,10 +110,10 @@
     PeerState &second = addMate(reader, "mate", 1, 4);
     int parts = 0;
     for (; parts < 5; ++parts)
-        takeConfigPart(reader, first, answerConfigRequest(relay, nextConfigRequest(reader)));
+        applyConfigPart(reader, first, answerConfigRequest(relay, nextConfigRequest(reader)));
     cr_assert_eq(versionOf(reader), 0);
     for (; versionOf(reader) == 0; ++parts)
-        takeConfigPart(reader, second, answerConfigRequest(mate, nextConfigRequest(reader)));
+        applyConfigPart(reader, second, answerConfigRequest(mate, nextConfigRequest(reader)));
     cr_assert_eq(versionOf(reader), 4);
     cr_assert_leq(parts, static_cast<int>(200000 / longestPart) + 2);
 }
@@ -125,7 +125,7 @@
     GatewayNode reader(settingsOf("reader"));
     PeerState &peer = addMate(reader, "reborn", 1, 9);
     cr_assert_not_null(chooseConfigSource(reader, BootClock::now()));
-    takeConfigPart(reader, peer, answerConfigRequest(reborn, nextConfigRequest(reader)));
+    applyConfigPart(reader, peer, answerConfigRequest(reborn, nextConfigRequest(reader)));
     cr_assert_null(chooseConfigSource(reader, BootClock::now()));
 }
 
@@ -149,14 +149,14 @@
     GatewayNode reader(settingsOf("reader"));
     putInForce(relay, longDocument(1, 100000));
     PeerState &peer = addMate(reader, "relay", 1, 1);
-    takeConfigPart(reader, peer, answerConfigRequest(relay, nextConfigRequest(reader)));
+    applyConfigPart(reader, peer, answerConfigRequest(relay, nextConfigRequest(reader)));
     putInForce(relay, longDocument(2, 100000));
-    noteConfigOffer(reader, peer, 2);
+    recordConfigOffer(reader, peer, 2);
     while (versionOf(reader) == 0)
-        takeConfigPart(reader, peer, answerConfigRequest(relay, nextConfigRequest(reader)));
+        applyConfigPart(reader, peer, answerConfigRequest(relay, nextConfigRequest(reader)));
     cr_assert_eq(versionOf(reader), 1);
     while (versionOf(reader) == 1)
-        takeConfigPart(reader, peer, answerConfigRequest(relay, nextConfigRequest(reader)));
+        applyConfigPart(reader, peer, answerConfigRequest(relay, nextConfigRequest(reader)));
     cr_assert_eq(versionOf(reader), 2);
 }
 
@@ -168,7 +168,7 @@
     putInForce(behind, longDocument(3, 100));
     putInForce(reader, longDocument(5, 100));
     PeerState &peer = addMate(reader, "behind", 1, 8);
-    takeConfigPart(reader, peer, answerConfigRequest(behind, nextConfigRequest(reader)));
+    applyConfigPart(reader, peer, answerConfigRequest(behind, nextConfigRequest(reader)));
     cr_assert_eq(versionOf(reader), 5);
     cr_assert_null(chooseConfigSource(reader, BootClock::now()));
 }
@@ -185,7 +185,7 @@
     const LocalReply refusal = refusalWithoutRoute(mate);
     cr_assert_eq(refusal.status, 503);
     cr_assert_gt(refusal.retryAfter, Duration::zero());
-    takeConfigPart(mate, peer, answerConfigRequest(relay, nextConfigRequest(mate)));
+    applyConfigPart(mate, peer, answerConfigRequest(relay, nextConfigRequest(mate)));
     cr_assert_eq(refusalWithoutRoute(mate).status, 404);
 }
 
@@ -199,11 +199,11 @@
     PeerState &relayOfFirst = addMate(first, "relay", 1, 1);
     PeerState &firstOfSecond = addMate(second, "first", 1, 1);
     for (int turn = 0; versionOf(second) == 0 && turn < 40; ++turn) {
-        takeConfigPart(second, firstOfSecond,
-                       answerConfigRequest(first, nextConfigRequest(second)));
+        applyConfigPart(second, firstOfSecond,
+                        answerConfigRequest(first, nextConfigRequest(second)));
         if (versionOf(first) == 0)
-            takeConfigPart(first, relayOfFirst,
-                           answerConfigRequest(relay, nextConfigRequest(first)));
+            applyConfigPart(first, relayOfFirst,
+                            answerConfigRequest(relay, nextConfigRequest(first)));
     }
     cr_assert_eq(versionOf(second), 1);
 }
@@ -220,16 +220,16 @@
     }
     GatewayNode third(settingsOf("vm-3"));
     PeerState &peer = addMate(third, "relay", 1, 1);
-    takeConfigPart(third, peer, answerConfigRequest(relay, nextConfigRequest(third)));
+    applyConfigPart(third, peer, answerConfigRequest(relay, nextConfigRequest(third)));
     const PeerState *source = chooseConfigSource(third, BootClock::now());
     cr_assert_str_eq(source->endpoint.address.c_str(), "vm-1");
     for (int turn = 0; versionOf(third) == 0 && turn < 40; ++turn) {
-        third.configReading.grownAt = Instant{};
+        third.configDownload.lastProgressAt = Instant{};
         source = chooseConfigSource(third, BootClock::now());
         cr_assert_not_null(source);
         GatewayNode &giver = source->endpoint.address == "relay" ? relay : reborn;
-        takeConfigPart(third, third.peers.at(source->endpoint),
-                       answerConfigRequest(giver, nextConfigRequest(third)));
+        applyConfigPart(third, third.peers.at(source->endpoint),
+                        answerConfigRequest(giver, nextConfigRequest(third)));
     }
     cr_assert_eq(versionOf(third), 1);
 }
--- a/libs/gateway/tests/ConfigSpread.cpp
+++ b/libs/gateway/tests/ConfigSpread.cpp
@@ -17,7 +17,7 @@
     return {"10.0.0." + std::to_string(number), 7380};
 }
 
-ConfigAsk askOf(int number, const std::string &zone = "zone-a")
+ConfigPartRequest askOf(int number, const std::string &zone = "zone-a")
 {
     return {vm(number), zone, version, false};
 }
@@ -33,8 +33,8 @@
     for (int reader = 1; reader <= 70; ++reader) {
         Endpoint source = vm(0);
         std::size_t steps = 0;
-        for (auto other = sentOnTo(vms[source], askOf(reader), begin); other;
-             other = sentOnTo(vms[source], askOf(reader), begin)) {
+        for (auto other = redirectFor(vms[source], askOf(reader), begin); other;
+             other = redirectFor(vms[source], askOf(reader), begin)) {
             source = *other;
             ++steps;
         }
@@ -51,11 +51,11 @@
 {
     ConfigReaders readers;
     for (int number = 1; number <= 2; ++number)
-        cr_assert(!sentOnTo(readers, askOf(number), begin));
-    ConfigAsk ask = askOf(3);
-    cr_assert(sentOnTo(readers, ask, begin).has_value());
-    ask.onlyHere = true;
-    cr_assert(!sentOnTo(readers, ask, begin));
+        cr_assert(!redirectFor(readers, askOf(number), begin));
+    ConfigPartRequest ask = askOf(3);
+    cr_assert(redirectFor(readers, ask, begin).has_value());
+    ask.noRedirect = true;
+    cr_assert(!redirectFor(readers, ask, begin));
 }
 
 // Guards against waiting for readers that have ended in the middle of it.
@@ -63,11 +63,11 @@
 {
     ConfigReaders readers;
     for (int number = 1; number <= 2; ++number)
-        cr_assert(!sentOnTo(readers, askOf(number), begin));
+        cr_assert(!redirectFor(readers, askOf(number), begin));
     const Instant later = begin + std::chrono::seconds(3);
-    cr_assert(!sentOnTo(readers, askOf(3), later));
-    cr_assert(!sentOnTo(readers, askOf(4), later));
-    const std::optional<Endpoint> other = sentOnTo(readers, askOf(5), later);
+    cr_assert(!redirectFor(readers, askOf(3), later));
+    cr_assert(!redirectFor(readers, askOf(4), later));
+    const std::optional<Endpoint> other = redirectFor(readers, askOf(5), later);
     cr_assert(other == vm(3) || other == vm(4));
 }
 
@@ -76,8 +76,8 @@
 {
     ConfigReaders readers;
     for (int number = 1; number <= 2; ++number)
-        cr_assert(!sentOnTo(readers, askOf(number, "zone-b"), begin));
-    cr_assert(!sentOnTo(readers, askOf(3), begin));
-    noteGiven(readers, askOf(3), true, begin);
-    cr_assert_eq(sentOnTo(readers, askOf(4), begin).value(), vm(3));
+        cr_assert(!redirectFor(readers, askOf(number, "zone-b"), begin));
+    cr_assert(!redirectFor(readers, askOf(3), begin));
+    recordPartSent(readers, askOf(3), true, begin);
+    cr_assert_eq(redirectFor(readers, askOf(4), begin).value(), vm(3));
 }
--- a/libs/gateway/tests/Exchanges.cpp
+++ b/libs/gateway/tests/Exchanges.cpp
@@ -49,7 +49,7 @@
     cr_assert(answerReport(node, reportOf(1, 500)).complete());
     v1::Digest answer;
     describeMate(2, *answer.mutable_from());
-    takeDigest(node, mateAddress, answer, false);
+    applyDigest(node, mateAddress, answer, false);
     cr_assert(answerReport(node, reportOf(2, 1)).complete(), "taken, and answered in full");
     cr_assert(!answerReport(node, reportOf(2, 1)).complete(), "an older report tells nothing");
     cr_assert(answerReport(node, reportOf(2, 2)).complete());
--- a/libs/gateway/tests/HarmfulWatches.cpp
+++ b/libs/gateway/tests/HarmfulWatches.cpp
@@ -55,14 +55,14 @@
         gateway::v1::Report report = reportOf(asker, ++sequence);
         report.set_known_boot(known.seenBoot);
         report.set_known_change(known.seenChange);
-        report.set_in_whole(known.inWhole);
+        report.set_in_whole(known.fullSyncRunning);
         for (const auto &[id, entry] : asker.facts.evidence.all()) {
             if (entry.value.own)
                 encodeEvidence(id, entry.value.evidence, BootClock::now(), *report.add_evidence());
         }
         const gateway::v1::Digest digest = answerReport(asked, report);
-        takeDigest(asker, asked.settings.peers, digest, true);
-    } while (known.moreToTell);
+        applyDigest(asker, asked.settings.peers, digest, true);
+    } while (known.hasMoreUpdates);
 }
 
 } // namespace
@@ -182,11 +182,11 @@
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
     for (std::int64_t born = 1; born <= crashesToBlock; ++born) {
-        takeTargetsByPeer(node, {startOf("a", born, false)});
+        applyPeerTargets(node, {startOf("a", born, false)});
         loseCall(node, "a");
     }
     cr_assert_not(refuses(node, harmful));
-    takeTargetsByPeer(node, {startOf("a", crashesToBlock + 1, false)});
+    applyPeerTargets(node, {startOf("a", crashesToBlock + 1, false)});
     cr_assert(refuses(node, harmful));
 }
 
@@ -194,7 +194,7 @@
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
     for (std::int64_t born = 1; born <= 2 * crashesToBlock; ++born) {
-        takeTargetsByPeer(node, {startOf("a", born, true)});
+        applyPeerTargets(node, {startOf("a", born, true)});
         loseCall(node, "a");
         dropTargetByPeer(node, "a", true);
     }
--- a/libs/gateway/tests/LinkWatches.cpp
+++ b/libs/gateway/tests/LinkWatches.cpp
@@ -33,15 +33,15 @@
 {
     GatewayNode node((GatewaySettings()));
     listTargets(node, 5, 30);
-    noteLinkFailed(node, "t0");
+    recordLinkFailure(node, "t0");
     node.context.run_for(50ms);
     cr_assert(!areLinksLost(node, "engines"));
-    cr_assert(isLinkToBlame(node, "t0", BootClock::now()));
-    noteLinkFailed(node, "t1");
+    cr_assert(isOwnLinkFault(node, "t0", BootClock::now()));
+    recordLinkFailure(node, "t1");
     node.context.restart();
     node.context.run_for(50ms);
     cr_assert(areLinksLost(node, "engines"));
-    cr_assert(isSightDoubtful(node, "t4"));
+    cr_assert(isObservationDoubtful(node, "t4"));
     cr_assert(!areLinksLost(node, "other"));
 }
 
@@ -62,8 +62,8 @@
     config.services[0].name = "engines";
     config.services[1].name = "bookings";
     node.routes = std::make_shared<RouteTable>(config);
-    noteLinkFailed(node, "t0");
-    noteLinkFailed(node, "t1");
+    recordLinkFailure(node, "t0");
+    recordLinkFailure(node, "t1");
     node.context.run_for(50ms);
     cr_assert(areLinksLost(node, "bookings"));
 }
@@ -76,8 +76,8 @@
     listTargets(node, 5, 4);
     for (auto &[target, use] : node.upstream.others)
         use.faults = 60;
-    noteLinkFailed(node, "t0");
-    noteLinkFailed(node, "t1");
+    recordLinkFailure(node, "t0");
+    recordLinkFailure(node, "t1");
     node.context.run_for(50ms);
     cr_assert(areLinksLost(node, "engines"));
 }
@@ -88,10 +88,10 @@
     GatewayNode node((GatewaySettings()));
     listTargets(node, 5, 0);
     for (const char *target : {"t0", "t1", "t2", "t3", "t4"})
-        noteLinkFailed(node, target);
+        recordLinkFailure(node, target);
     node.context.run_for(50ms);
     cr_assert(!areLinksLost(node, "engines"));
-    cr_assert(!isLinkToBlame(node, "t0", BootClock::now()));
+    cr_assert(!isOwnLinkFault(node, "t0", BootClock::now()));
 }
 
 namespace {
@@ -103,8 +103,8 @@
     listTargets(node, 5, othersGood);
     boost::beast::tcp_stream caller(node.context);
     ActiveCall run(node, caller, HttpRequest());
-    noteLostCall(run, "t0");
-    noteLostCall(run, "t1");
+    recordLostCall(run, "t0");
+    recordLostCall(run, "t1");
     node.context.run_for(400ms);
     return node.facts.evidence.all().size();
 }
@@ -172,14 +172,14 @@
 Test(link_watch, a_holder_that_reaches_no_engine_yields_to_a_mate_that_does)
 {
     CutHolder holder;
-    cr_assert(!shouldYieldOrders(holder.node, BootClock::now()), "nobody else is heard");
+    cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "nobody else is heard");
     holder.hearMate(true);
-    cr_assert(!shouldYieldOrders(holder.node, BootClock::now()), "the mate is cut off as well");
+    cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "the mate is cut off as well");
     holder.hearMate(false);
-    cr_assert(shouldYieldOrders(holder.node, BootClock::now()));
+    cr_assert(shouldYieldLease(holder.node, BootClock::now()));
     cr_assert_eq(holder.told.linked_mates(), 0, "this VM is no help to the mate");
     holder.node.serviceLinks["engines"].lost = false;
-    cr_assert(!shouldYieldOrders(holder.node, BootClock::now()));
+    cr_assert(!shouldYieldLease(holder.node, BootClock::now()));
     holder.hearMate(false);
     cr_assert_eq(holder.told.linked_mates(), 1);
 }
--- a/libs/gateway/tests/LoadNews.cpp
+++ b/libs/gateway/tests/LoadNews.cpp
@@ -63,16 +63,16 @@
     record.holder = {"10.0.0.2", 7380};
     record.holderLive = true;
     record.revision = {1, 1, 1};
-    takeEngineRecord(node, "e", record);
+    applyEngineRecord(node, "e", record);
     LoadBackoff &mark = runtimeOf(node, "e").loadMark;
     mark = backoffAfter({DeclineReason::NoSlot, 800ms}, BootClock::now());
     ++record.revision.count;
-    takeEngineRecord(node, "e", record);
+    applyEngineRecord(node, "e", record);
     cr_assert(mark != LoadBackoff(), "other news of the same holder");
-    cr_assert(!mayAskLoad(node, "e", 300ms));
+    cr_assert(!mayRequestLoad(node, "e", 300ms));
     record.holder = {"10.0.0.3", 7380};
     ++record.revision.generation;
-    takeEngineRecord(node, "e", record);
+    applyEngineRecord(node, "e", record);
     cr_assert(mark == LoadBackoff());
 }
 
@@ -93,15 +93,15 @@
     cr_assert(read == record);
     cr_assert(!loadUnderWay(node, "e", "m/a", 300ms));
     addPeer(node, record.holder, {"vm-2", "zone-a", 1});
-    takeEngineRecord(node, "e", read);
+    applyEngineRecord(node, "e", read);
     const auto left = loadUnderWay(node, "e", "m/a", 300ms);
     cr_assert(left && *left > 0ms && *left <= 300ms);
     cr_assert(!loadUnderWay(node, "e", "m/c", 300ms));
-    node.loadsAsked[{"e", "m/c"}] = std::make_shared<LoadAsk>(node.context);
+    node.loadsInFlight[{"e", "m/c"}] = std::make_shared<LoadInFlight>(node.context);
     cr_assert(loadUnderWay(node, "e", "m/c", 120ms) == Duration(120ms), "asked by this VM");
     // The holder is gone: nobody tells when the load is done.
     record.holderLive = false;
     ++record.revision.count;
-    takeEngineRecord(node, "e", record);
+    applyEngineRecord(node, "e", record);
     cr_assert(!loadUnderWay(node, "e", "m/a", 300ms));
 }
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -69,11 +69,11 @@
 Test(peers, leaving_is_told_on_whatever_older_entries_say)
 {
     GatewayNode node(settingsOfVm1());
-    takeTargetsByPeer(node, {listedTarget("t", false)});
+    applyPeerTargets(node, {listedTarget("t", false)});
     const auto first = answerReport(node, reportFrom("vm-7", 0, 0, 1));
-    noteLeavingByPeer(node, "t", 0);
-    takeTargetsByPeer(node, {listedTarget("t", false)});
-    takeTargetsByPeer(node, {listedTarget("t", true)});
+    markLeavingByPeer(node, "t", 0);
+    applyPeerTargets(node, {listedTarget("t", false)});
+    applyPeerTargets(node, {listedTarget("t", true)});
     const auto second = answerReport(node, reportFrom("vm-7", node.boot, first.change(), 2));
     cr_assert_eq(second.targets_size(), 1);
     cr_assert(second.targets(0).leaving());
@@ -88,13 +88,13 @@
     GatewayNode node(settingsOfVm1());
     TargetEntry entry = listedTarget("t", false);
     entry.born = 2;
-    takeTargetsByPeer(node, {entry});
-    noteLeavingByPeer(node, "t", 1);
+    applyPeerTargets(node, {entry});
+    markLeavingByPeer(node, "t", 1);
     cr_assert(mayTakeWork(node.book.records.at("t")));
-    noteLeavingByPeer(node, "t", 2);
+    markLeavingByPeer(node, "t", 2);
     cr_assert_not(mayTakeWork(node.book.records.at("t")));
     entry.born = 3;
-    takeTargetsByPeer(node, {entry});
+    applyPeerTargets(node, {entry});
     cr_assert(mayTakeWork(node.book.records.at("t")));
 }
 
@@ -109,13 +109,13 @@
     report.set_store_reached_ago_ms(5000);
     answerReport(node, report);
     const Instant now = BootClock::now();
-    noteStoreAnswer(node, false, now);
+    recordStoreAnswer(node, false, now);
     cr_assert(!ownRank(node).storeUnreachable, "nobody of the zone is known to do better");
     report.set_sequence(2);
     report.set_store_reached_ago_ms(10);
     answerReport(node, report);
     cr_assert(ownRank(node).storeUnreachable);
-    noteStoreAnswer(node, true, now);
+    recordStoreAnswer(node, true, now);
     cr_assert(!ownRank(node).storeUnreachable);
 }
 
@@ -174,7 +174,7 @@
         node->facts.engines.set(entry.id, std::move(record), node->facts.counter);
         listed.push_back(std::move(entry));
     }
-    takeTargetsByPeer(*node, std::move(listed));
+    applyPeerTargets(*node, std::move(listed));
     for (int index = 0; index < vms; ++index)
         addPeer(*node, {"10.2.0.1", static_cast<std::uint16_t>(1000 + index)},
                 {"vm-" + std::to_string(index), "zone-b", 1});
@@ -204,9 +204,9 @@
     const Endpoint endpoint = relay.settings.peers;
     const PeerState &known = asker.peers[endpoint];
     auto report = reportFrom("vm-7", known.seenBoot, known.seenChange, sequence);
-    report.set_in_whole(known.inWhole);
-    takeDigest(asker, endpoint, answerReport(relay, report), upstream);
-    return asker.peers[endpoint].moreToTell;
+    report.set_in_whole(known.fullSyncRunning);
+    applyDigest(asker, endpoint, answerReport(relay, report), upstream);
+    return asker.peers[endpoint].hasMoreUpdates;
 }
 
 GatewaySettings settingsOfVm7()
@@ -227,13 +227,13 @@
     const auto relay = relayAtFullSize();
     recordListRead(relay->book, BootClock::now());
     GatewayNode asker(settingsOfVm7());
-    takeTargetsByPeer(asker, {listedTarget("gone-before", false)});
+    applyPeerTargets(asker, {listedTarget("gone-before", false)});
     std::uint64_t sequence = 0;
     cr_assert(exchangeOnce(asker, *relay, ++sequence));
     cr_assert_eq(asker.book.lastRead, Instant{}, "a part of the list is not the list");
     const std::string first = asker.facts.targets.all().begin()->first;
     dropTargetByPeer(*relay, first, true);
-    takeTargetsByPeer(*relay, {listedTarget("come-meanwhile", false)});
+    applyPeerTargets(*relay, {listedTarget("come-meanwhile", false)});
     cr_assert_not_null(entryOf(asker, "gone-before"), "dropped only when all is told");
     while (exchangeOnce(asker, *relay, ++sequence)) { }
     cr_assert_null(entryOf(asker, first));
@@ -255,7 +255,7 @@
     cr_assert(exchangeOnce(asker, *relay, ++sequence));
     GatewayNode reborn(settingsOfVm1());
     recordListRead(reborn.book, BootClock::now());
-    takeTargetsByPeer(reborn, {listedTarget("only", false)});
+    applyPeerTargets(reborn, {listedTarget("only", false)});
     cr_assert(!exchangeOnce(asker, reborn, ++sequence));
     cr_assert_eq(asker.book.records.size(), 1);
     cr_assert_not_null(entryOf(asker, "only"));
@@ -268,7 +268,7 @@
 {
     auto relay = std::make_unique<GatewayNode>(settingsOfVm1());
     recordListRead(relay->book, BootClock::now());
-    takeTargetsByPeer(*relay, {listedTarget(target, false)});
+    applyPeerTargets(*relay, {listedTarget(target, false)});
     return relay;
 }
 
@@ -280,7 +280,7 @@
 {
     const auto relay = relayThatLists("stays");
     GatewayNode asker(settingsOfVm7());
-    takeTargetsByPeer(asker, {listedTarget("stays", false), listedTarget("left", false)});
+    applyPeerTargets(asker, {listedTarget("stays", false), listedTarget("left", false)});
     std::uint64_t sequence = 0;
     exchangeOnce(asker, *relay, ++sequence, false);
     while (exchangeOnce(asker, *relay, ++sequence)) { }
@@ -297,7 +297,7 @@
     settings.peers = {"10.0.0.2", 7380};
     GatewayNode between(settings);
     recordListRead(between.book, BootClock::now());
-    takeTargetsByPeer(between, {listedTarget("stays", false), listedTarget("left", false)});
+    applyPeerTargets(between, {listedTarget("stays", false), listedTarget("left", false)});
     GatewayNode asker(settingsOfVm7());
     std::uint64_t sequence = 0;
     while (exchangeOnce(asker, *relay, ++sequence)) { }
@@ -313,7 +313,7 @@
 {
     const auto relay = relayThatLists("stays");
     GatewayNode asker(settingsOfVm7());
-    takeTargetsByPeer(asker, {listedTarget("stays", false), listedTarget("new", false)});
+    applyPeerTargets(asker, {listedTarget("stays", false), listedTarget("new", false)});
     recordListRead(asker.book, BootClock::now());
     std::uint64_t sequence = 0;
     cr_assert(!exchangeOnce(asker, *relay, ++sequence));
@@ -338,11 +338,11 @@
     while (exchangeOnce(starter, *relay, ++sequence)) { }
     cr_assert_not_null(entryOf(starter, "left"), "one that knows nothing waits, too");
     GatewayNode asker(settingsOfVm7());
-    takeTargetsByPeer(asker, {listedTarget("left", false)});
+    applyPeerTargets(asker, {listedTarget("left", false)});
     dropTargetByPeer(asker, "left", true);
     while (exchangeOnce(asker, *relay, ++sequence)) { }
     cr_assert_null(entryOf(asker, "left"));
-    takeTargetsByPeer(*relay, {listedTarget("left", false)});
+    applyPeerTargets(*relay, {listedTarget("left", false)});
     while (exchangeOnce(asker, *relay, ++sequence)) { }
     cr_assert_not_null(entryOf(asker, "left"), "it was listed again");
 }
--- a/libs/gateway/tests/PrefillReservations.cpp
+++ b/libs/gateway/tests/PrefillReservations.cpp
@@ -29,7 +29,7 @@
 void orderAll(GatewayNode &node)
 {
     const Instant now = BootClock::now();
-    node.orderedBefore = true;
+    node.heldBefore = true;
     node.lease.until = now + std::chrono::hours(1);
     for (int partition = 0; partition < node.settings.partitions; ++partition) {
         node.lease.activeFrom[partition] = now - std::chrono::seconds(1);
--- a/libs/gateway/tests/Prefixes.cpp
+++ b/libs/gateway/tests/Prefixes.cpp
@@ -41,7 +41,7 @@
         TargetEntry engine;
         engine.id = "engine-1";
         engine.born = 1;
-        takeTargetsByPeer(this->node, {engine});
+        applyPeerTargets(this->node, {engine});
     }
 
     /** A call with a shared prefix; returns what is believed cached when it is sent. */
@@ -54,7 +54,7 @@
         const TargetEntry &engine = *entryOf(this->node, "engine-1");
         const double chosenBy = cachedInEngine(run, engine, TargetUsage(), 232'000);
         const Instant now = BootClock::now();
-        PromptReading reading(run, "engine-1", now);
+        PrefillObservation reading(run, "engine-1", now);
         if (untilFirst)
             reading.noteFirstEvent(now + *untilFirst);
         cr_assert_eq(run.cachedTokens, chosenBy, "the choice and the count of what waits");
@@ -82,7 +82,7 @@
     report.set_known_boot(peer.seenBoot);
     report.set_known_change(peer.seenChange);
     const bool mate = from.node.settings.zone == to.node.settings.zone;
-    reportPrefixes(from.node, peer, mate, BootClock::now(), report);
+    addPrefixesToReport(from.node, peer, mate, BootClock::now(), report);
     return report;
 }
 
@@ -90,7 +90,7 @@
 {
     const bool mate = from.node.settings.zone == to.node.settings.zone;
     const v1::Digest digest = answerReport(to.node, reportOf(from, to));
-    takeDigest(from.node, to.node.settings.peers, digest, mate);
+    applyDigest(from.node, to.node.settings.peers, digest, mate);
     return digest;
 }
 
@@ -129,17 +129,17 @@
 {
     Vm vm("zone-a", 1);
     Vm late("zone-a", 2);
-    noteResident(vm.node, "engine-1", {{"m/a", 1}, {"m/b", 1}});
+    setResident(vm.node, "engine-1", {{"m/a", 1}, {"m/b", 1}});
     vm.call(soon);
-    noteResident(vm.node, "engine-1", {{"m/a", 1}});
+    setResident(vm.node, "engine-1", {{"m/a", 1}});
     cr_assert_eq(vm.believed(), 6300, "another adapter was unloaded");
-    noteResident(vm.node, "engine-1", {{"m/a", 2}});
+    setResident(vm.node, "engine-1", {{"m/a", 2}});
     cr_assert_eq(vm.believed(), 0, "it was replaced");
     vm.call(soon);
-    noteResident(vm.node, "engine-1", {});
+    setResident(vm.node, "engine-1", {});
     cr_assert_eq(vm.believed(), 0, "it was unloaded");
     late.call(soon);
-    noteStartOf(vm.node, "engine-1", 2);
+    recordStartTime(vm.node, "engine-1", 2);
     exchange(late, vm);
     cr_assert_eq(vm.believed(), 0, "told of the former start");
 }
@@ -272,7 +272,7 @@
     Vm relay("zone-a", 2);
     ActiveCall run(first.node, first.caller, HttpRequest());
     run.facts.promptTokens = 9190;
-    PromptReading reading(run, "engine-1", BootClock::now());
+    PrefillObservation reading(run, "engine-1", BootClock::now());
     reading.noteFirstEvent(BootClock::now());
     const v1::Report report = reportOf(first, relay);
     const v1::Digest digest = answerReport(relay.node, report);
--- a/libs/gateway/tests/SpendNews.cpp
+++ b/libs/gateway/tests/SpendNews.cpp
@@ -69,12 +69,12 @@
     const v1::Digest digest = answerReport(relay, reportOfMate(1));
     GatewayNode mate(mateSettings);
     configure(mate, 1000);
-    cr_assert_eq(spendAllowed(mate, "ferry", now), noteShare);
-    takeSpendNews(mate, digest, false, now);
-    cr_assert_eq(spendAllowed(mate, "ferry", now), noteShare, "it is not of its own relay");
-    takeSpendNews(mate, digest, true, now);
-    cr_assert_eq(spendAllowed(mate, "ferry", now), 0.8);
-    cr_assert_eq(spendAllowed(mate, "ferry", now + 1s), noteShare);
+    cr_assert_eq(allowedShare(mate, "ferry", now), noteShare);
+    applyUsageUpdates(mate, digest, false, now);
+    cr_assert_eq(allowedShare(mate, "ferry", now), noteShare, "it is not of its own relay");
+    applyUsageUpdates(mate, digest, true, now);
+    cr_assert_eq(allowedShare(mate, "ferry", now), 0.8);
+    cr_assert_eq(allowedShare(mate, "ferry", now + 1s), noteShare);
 }
 
 // Guards against a VM that starts late in a restart of all and counts what the others' new notes
@@ -83,13 +83,13 @@
 {
     GatewayNode first(relaySettings);
     configure(first, 1000);
-    takeNotesOfStore(first, {noteOf(60)});
+    applyStoredSnapshots(first, {noteOf(60)});
     const v1::Digest digest = answerReport(first, reportOfMate(1));
     GatewayNode second(mateSettings);
     configure(second, 1000);
-    takeNotesOfStore(second, {noteOf(100)});
+    applyStoredSnapshots(second, {noteOf(100)});
     second.spend.atStart.readAt += 500ms;
-    takeSpendNews(second, digest, false, BootClock::now());
+    applyUsageUpdates(second, digest, false, BootClock::now());
     cr_assert_eq(second.spend.atStart.zones, std::vector<SpendNote>{noteOf(60)});
     v1::Report later = reportOfMate(2);
     later.set_known_boot(first.boot);
@@ -101,9 +101,9 @@
 {
     GatewayNode node(relaySettings);
     configure(node, 0);
-    takeNotesOfStore(node, {noteOf(60)});
+    applyStoredSnapshots(node, {noteOf(60)});
     node.spend.writes = true;
     node.spend.permits = {{{"ferry", 80}}, BootClock::now()};
     cr_assert_not(answerReport(node, reportOfMate(1)).has_spend());
-    cr_assert_eq(spendAllowed(node, "ferry", BootClock::now()), 1.0);
+    cr_assert_eq(allowedShare(node, "ferry", BootClock::now()), 1.0);
 }
