--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -50,7 +50,7 @@
         record.holder = holder;
         record.holderLive = true;
         record.revision = {1, 1, 1};
-        takeEngineRecord(this->node, "e", record);
+        applyEngineRecord(this->node, "e", record);
     }
 
     void wait(int rank)
@@ -115,7 +115,7 @@
     crowd.useSlots(1);
     crowd.wake();
     cr_assert_eq(crowd.woken, std::vector<int>{0});
-    crowd.node.loadsAsked[{"e", "m/2"}] = std::make_shared<LoadAsk>(crowd.node.context);
+    crowd.node.loadsInFlight[{"e", "m/2"}] = std::make_shared<LoadInFlight>(crowd.node.context);
     crowd.wake();
     cr_assert_eq(crowd.woken.size(), 1, "its load takes the slot");
     crowd.useSlots(0);
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -48,7 +48,7 @@
         , run(this->node, this->caller, HttpRequest())
     {
         this->node.routes = routesOf(7);
-        this->node.vmsRead = true;
+        this->node.vmListRead = true;
         this->run.workspace = "ferry";
         this->run.key = digestOfKey("key-1");
         this->run.facts.tokens = tokens;
@@ -106,7 +106,7 @@
 Test(workspaces, a_vm_that_knows_of_no_others_yet_lets_nothing_run)
 {
     Served served(600);
-    served.node.vmsRead = false;
+    served.node.vmListRead = false;
     const std::optional<LocalReply> refused = chargeQuota(served.run);
     cr_assert(refused && refused->status == 503);
     cr_assert_eq(served.used(), 0);
@@ -117,9 +117,9 @@
 Test(workspaces, a_relay_that_has_just_started_does_not_tell_how_many_vms_there_are)
 {
     Served served(600);
-    served.node.vmsRead = false;
+    served.node.vmListRead = false;
     served.node.upstream.at = BootClock::now();
-    served.node.upstream.vmsInTouch = 2;
+    served.node.upstream.reachableVms = 2;
     const std::optional<LocalReply> refused = chargeQuota(served.run);
     cr_assert(refused && refused->status == 503);
     served.node.bootedAt = BootClock::now() - 10s;
@@ -132,12 +132,12 @@
 {
     Served served(600);
     served.node.settings.firstStart = false;
-    served.node.vmsRead = false;
+    served.node.vmListRead = false;
     cr_assert_eq(served.used(), 0, "it cannot say before it knows how many there are");
     for (int vm = 2; vm <= 70; ++vm)
         addPeer(served.node, {"10.0.1." + std::to_string(vm), 7380},
                 {"vm-" + std::to_string(vm), "zone-a", 1});
-    served.node.vmsRead = true;
+    served.node.vmListRead = true;
     cr_assert_gt(served.used(), 0);
     cr_assert_leq(served.used(), 10 * 1000 / 70);
 }
@@ -149,9 +149,9 @@
     Served served(600);
     served.node.settings.firstStart = false;
     GatewayNode asker(settingsOf("vm-2", "10.0.0.2"));
-    served.node.vmsRead = false;
+    served.node.vmListRead = false;
     cr_assert_eq(answerReport(served.node, reportOf(asker, 1)).vms_in_touch(), 1, "the asker");
-    served.node.vmsRead = true;
+    served.node.vmListRead = true;
     cr_assert_eq(answerReport(served.node, reportOf(asker, 2)).vms_in_touch(), 2);
     served.node.routes = std::make_shared<RouteTable>(ServingConfig());
     cr_assert_eq(answerReport(served.node, reportOf(asker, 3)).vms_in_touch(), 1);
@@ -166,12 +166,12 @@
     addPeer(one, two.settings.peers, {"vm-2", "zone-a", 1});
     addPeer(two, one.settings.peers, {"vm-1", "zone-a", 1});
     for (int exchange = 0; exchange < 10; ++exchange) {
-        answerReport(two, *reportTo(one, one.peers.at(two.settings.peers), true));
-        answerReport(one, *reportTo(two, two.peers.at(one.settings.peers), true));
+        answerReport(two, *buildReport(one, one.peers.at(two.settings.peers), true));
+        answerReport(one, *buildReport(two, two.peers.at(one.settings.peers), true));
     }
     const Instant now = BootClock::now();
-    cr_assert_eq(vmsInTouch(one, now), 2);
-    cr_assert_eq(vmsInTouch(two, now), 2);
+    cr_assert_eq(reachableVms(one, now), 2);
+    cr_assert_eq(reachableVms(two, now), 2);
 }
 
 Test(workspaces, use_of_other_vms_leaves_less)
--- a/libs/observe/include/observe/Metrics.h
+++ b/libs/observe/include/observe/Metrics.h
@@ -49,7 +49,7 @@
     ResumesWithoutEngine, ///< refused or cut, as no engine of that version takes them
     StreamOriginsTold, ///< to the VMs that keep them
     ForwardsRefused, ///< offers of a call that another VM did not take
-    // Bytes of news sent to VMs of the own zone, by kind; see gateway/NewsBytes.h.
+    // Bytes of news sent to VMs of the own zone, by kind; see gateway/UpdateBytes.h.
     NewsToMatesUses,
     NewsToMatesEngines,
     NewsToMatesTargets,
--- a/libs/quota/include/quota/Admission.h
+++ b/libs/quota/include/quota/Admission.h
@@ -13,8 +13,8 @@
 struct FleetUse
 {
     WorkspaceUse use; ///< of these VMs, this one among them
-    int vmsInTouch = 1;
-    int vmsKnown = 1;
+    int reachableVms = 1;
+    int knownVms = 1;
     Duration updateAge{}; ///< of what these VMs told, in the mean
     double allowed = 1; ///< part of what may be used in a window; see SpendNoting
 
@@ -52,7 +52,7 @@
  * What a VM may have let run before its start, as far as the window still holds it: nobody else
  * may know of it after a common restart. `sinceStart` is the time that it has been up.
  */
-WorkspaceUse useBeforeStart(const WorkspaceLimit &limit, const QuotaPolicy &policy, int vmsKnown,
+WorkspaceUse useBeforeStart(const WorkspaceLimit &limit, const QuotaPolicy &policy, int knownVms,
                             Duration sinceStart) noexcept;
 
 } // namespace monsoonbay
--- a/libs/quota/include/quota/SpendNote.h
+++ b/libs/quota/include/quota/SpendNote.h
@@ -57,7 +57,7 @@
  * let run, as far as the window still holds it.
  */
 WorkspaceUse useAtStart(const std::string &workspace, const WorkspaceLimit &limit,
-                        const QuotaPolicy &policy, const NotesAtStart &notes, int vmsKnown,
+                        const QuotaPolicy &policy, const NotesAtStart &notes, int knownVms,
                         Instant startedAt, Instant now);
 
 /**
@@ -65,7 +65,7 @@
  * the start and leave the window with it, at the latest.
  */
 void addUnitsBeforeStart(UnitsByAge &sum, const std::string &workspace, const WorkspaceLimit &limit,
-                         const QuotaPolicy &policy, const NotesAtStart &notes, int vmsKnown,
+                         const QuotaPolicy &policy, const NotesAtStart &notes, int knownVms,
                          Instant startedAt, Instant now);
 
 } // namespace monsoonbay
--- a/libs/quota/src/Admission.cpp
+++ b/libs/quota/src/Admission.cpp
@@ -86,7 +86,7 @@
     ByClass parts = use.askedByClass;
     parts.back() += whole - told;
     ClassDemand demand;
-    demand.vms = std::max(fleet.vmsKnown, fleet.vmsInTouch);
+    demand.vms = std::max(fleet.knownVms, fleet.reachableVms);
     for (std::size_t index = 0; index < callClasses; ++index) {
         demand.units[index] =
             asked * static_cast<double>(parts[index]) / static_cast<double>(whole);
@@ -111,8 +111,8 @@
 
 double shareInTouch(const FleetUse &fleet) noexcept
 {
-    const int known = std::max({fleet.vmsKnown, fleet.vmsInTouch, 1});
-    return static_cast<double>(std::max(fleet.vmsInTouch, 1)) / known;
+    const int known = std::max({fleet.knownVms, fleet.reachableVms, 1});
+    return static_cast<double>(std::max(fleet.reachableVms, 1)) / known;
 }
 
 // No faster than use is heard of: until then, what was let run elsewhere has been told.
@@ -164,14 +164,14 @@
 }
 
 // As much as may have been used, but for what lets the rate go on from the first moment.
-WorkspaceUse useBeforeStart(const WorkspaceLimit &limit, const QuotaPolicy &policy, int vmsKnown,
+WorkspaceUse useBeforeStart(const WorkspaceLimit &limit, const QuotaPolicy &policy, int knownVms,
                             Duration sinceStart) noexcept
 {
     const double window = toSeconds(policy.window);
     const double kept = std::clamp(1 + endShare - toSeconds(sinceStart) / window, 0.0, 1.0);
     const double most = usableInWindow(limit, policy) - limit.ratePerSecond * fillShare * window;
     WorkspaceUse use;
-    use.whole = static_cast<std::int64_t>(most * kept / std::max(vmsKnown, 1));
+    use.whole = static_cast<std::int64_t>(most * kept / std::max(knownVms, 1));
     return use;
 }
 
--- a/libs/quota/src/SpendNote.cpp
+++ b/libs/quota/src/SpendNote.cpp
@@ -69,7 +69,7 @@
 }
 
 WorkspaceUse useAtStart(const std::string &workspace, const WorkspaceLimit &limit,
-                        const QuotaPolicy &policy, const NotesAtStart &notes, int vmsKnown,
+                        const QuotaPolicy &policy, const NotesAtStart &notes, int knownVms,
                         Instant startedAt, Instant now)
 {
     WorkspaceUse use;
@@ -79,19 +79,19 @@
     const double used = notes.wereRead
         ? mostUsed(workspace, limit, policy, notes.zones, now - notes.readAt)
         : usableInWindow(limit, policy);
-    use.whole = static_cast<std::int64_t>(used / std::max(vmsKnown, 1));
+    use.whole = static_cast<std::int64_t>(used / std::max(knownVms, 1));
     return use;
 }
 
 // A note that did not tell when this leaves would have the next start count it for a whole window
 // more. What has left before the window is over may have been used again since, so it is not told.
 void addUnitsBeforeStart(UnitsByAge &sum, const std::string &workspace, const WorkspaceLimit &limit,
-                         const QuotaPolicy &policy, const NotesAtStart &notes, int vmsKnown,
+                         const QuotaPolicy &policy, const NotesAtStart &notes, int knownVms,
                          Instant startedAt, Instant now)
 {
     if (now < startedAt || now - startedAt >= policy.window)
         return;
-    const WorkspaceUse last = useAtStart(workspace, limit, policy, notes, vmsKnown, startedAt,
+    const WorkspaceUse last = useAtStart(workspace, limit, policy, notes, knownVms, startedAt,
                                          startedAt + policy.window - Duration(1));
     sum[static_cast<std::size_t>((now - startedAt) / (policy.window / ages))] += last.whole;
 }
--- a/libs/quota/tests/FleetModel.cpp
+++ b/libs/quota/tests/FleetModel.cpp
@@ -386,7 +386,7 @@
         Vm &vm = this->vms[self];
         FleetUse seen;
         seen.use = this->ownUse(vm);
-        seen.vmsKnown = this->day.vms;
+        seen.knownVms = this->day.vms;
         seen.updateAge = this->day.updateAge;
         seen.allowed = noteShare;
         const std::size_t zone = self % this->zones.size();
@@ -405,7 +405,7 @@
             if (other == self || !told.up || told.group != vm.group)
                 continue;
             addUsage(seen.use, told.use);
-            ++seen.vmsInTouch;
+            ++seen.reachableVms;
         }
         return seen;
     }
@@ -418,7 +418,7 @@
         const auto own = static_cast<double>(
             useOf(this->vms[self].record, this->day.policy, this->now).askedPerSecond);
         const double all = std::max(static_cast<double>(seen.use.askedPerSecond), 1.0);
-        return own / all * seen.vmsInTouch / this->day.vms;
+        return own / all * seen.reachableVms / this->day.vms;
     }
 
     void refill(Vm &vm, double seconds)
@@ -485,7 +485,7 @@
         refusal.share = verdict.share;
         refusal.window = static_cast<double>(seen.use.whole) / usable;
         refusal.allowed = seen.allowed;
-        refusal.vmsInTouch = seen.vmsInTouch;
+        refusal.reachableVms = seen.reachableVms;
         this->outcome.refusals.push_back(refusal);
     }
 
--- a/libs/quota/tests/FleetModel.h
+++ b/libs/quota/tests/FleetModel.h
@@ -67,7 +67,7 @@
     double share = 0;
     double window = 0; ///< units counted as used, as a part of what its VMs may use at all
     double allowed = 0; ///< see FleetUse
-    int vmsInTouch = 1;
+    int reachableVms = 1;
 };
 
 struct FleetOutcome
--- a/libs/quota/tests/Refusals.cpp
+++ b/libs/quota/tests/Refusals.cpp
@@ -32,7 +32,7 @@
     sum.share += refusal.share;
     sum.window += refusal.window;
     sum.allowed += refusal.allowed;
-    sum.inTouch += refusal.vmsInTouch;
+    sum.inTouch += refusal.reachableVms;
 }
 
 } // namespace
--- a/libs/quota/tests/SpendNotes.cpp
+++ b/libs/quota/tests/SpendNotes.cpp
@@ -16,7 +16,7 @@
     FleetDay day;
     day.vms = vms;
     day.callersAt = vms;
-    // As the relays of four zones space their exchanges; see loadNewsAge().
+    // As the relays of four zones space their exchanges; see loadReportAge().
     day.updateAge = std::max(60ms, 2ms * vms) + std::max(60ms, 3ms * vms) / 2;
     day.permitAge = std::max(60ms, 2ms * vms) / 2;
     day.limit.unit = QuotaUnit::Tokens;
--- a/libs/serving/include/serving/NewsAge.h
+++ b/libs/serving/include/serving/NewsAge.h
@@ -11,7 +11,7 @@
     Duration sinceLastUpdate{}; ///< since another VM told anything
     Duration sinceAllReported{}; ///< since all known VMs were heard
     int vmsReporting = 1; ///< VMs whose load is known, this one among them
-    int vmsKnown = 1;
+    int knownVms = 1;
 
     auto operator<=>(const UpdateAgeInputs &) const = default;
 };
--- a/libs/serving/src/NewsAge.cpp
+++ b/libs/serving/src/NewsAge.cpp
@@ -15,7 +15,7 @@
 // alone a cut-off VM sends all its calls to the engine that looked least busy before the cut.
 Duration updateAge(const UpdateAgeInputs &facts) noexcept
 {
-    const double known = std::max(facts.vmsKnown, 1);
+    const double known = std::max(facts.knownVms, 1);
     const double heard = std::clamp(facts.vmsReporting / known, 0.0, 1.0);
     const Duration toldAge = std::min(std::max(facts.regular, facts.sinceLastUpdate), mostAge);
     const Duration untoldAge = std::max(std::min(facts.sinceAllReported, mostAge), toldAge);
--- a/libs/serving/tests/Forecasts.cpp
+++ b/libs/serving/tests/Forecasts.cpp
@@ -205,7 +205,7 @@
     const double deaf = toSeconds(updateAge(facts));
     cr_assert_gt(deaf, 2.9);
     cr_assert_leq(deaf, 3.0);
-    facts.vmsKnown = 1;
+    facts.knownVms = 1;
     facts.sinceLastUpdate = 0s;
     cr_assert(updateAge(facts) == Duration(300ms), "there is no other VM");
 
--- a/tools/monsoonbayd/src/Main.cpp
+++ b/tools/monsoonbayd/src/Main.cpp
@@ -124,7 +124,7 @@
     };
     const SignalThread signals([&gateway] { gateway.requestShutdown(); }, reload);
     const monsoonbay::GatewayShutdown report = gateway.run();
-    return report.cutCalls == 0 ? 0 : exitCutRequests;
+    return report.abortedCalls == 0 ? 0 : exitCutRequests;
 }
 
 std::string settingsPath(const cxxopts::ParseResult &arguments)
