--- a/libs/daemon/src/Coordinator.cpp
+++ b/libs/daemon/src/Coordinator.cpp
@@ -52,7 +52,7 @@
     const v1::Want news = toNews(summary, now);
     if (coordinator == node.self) {
         node.placement.with(
-            [&](PlacementState &state) { noteWant(state, fromNews(news, node.self, now), now); });
+            [&](PlacementState &state) { updateWant(state, fromNews(news, node.self, now), now); });
         return;
     }
     postNews(node, coordinator, [&news](v1::PeerNews &message) { *message.add_wants() = news; });
@@ -63,7 +63,7 @@
     constexpr int mostAtOnce = 100000;
     const int requests = std::clamp(demand.requests(), 0, mostAtOnce);
     node.placement.with([&](PlacementState &state) {
-        noteDemand(state, AdapterId{demand.adapter()}, requests, demand.hits(), now);
+        recordDemand(state, AdapterId{demand.adapter()}, requests, demand.hits(), now);
     });
 }
 
@@ -94,7 +94,7 @@
 void takeResult(Node &node, const v1::LoadResult &result)
 {
     node.placement.with([&](PlacementState &state) {
-        noteLoadResult(state, result.permit(), outcomeOf(result.kind()), BootClock::now());
+        recordLoadResult(state, result.permit(), outcomeOf(result.kind()), BootClock::now());
     });
 }
 
@@ -182,7 +182,7 @@
         if (ownerAlive)
             continue;
         node.placement.with([&](PlacementState &state) {
-            noteLoadResult(state, order.permit, LoadOutcome::Declined, BootClock::now());
+            recordLoadResult(state, order.permit, LoadOutcome::Declined, BootClock::now());
         });
     }
 }
@@ -277,7 +277,7 @@
         takeDemand(node, demand, now);
     for (const v1::Want &want : news.wants())
         node.placement.with(
-            [&](PlacementState &state) { noteWant(state, fromNews(want, from, now), now); });
+            [&](PlacementState &state) { updateWant(state, fromNews(want, from, now), now); });
     for (const v1::Verdict &verdict : news.verdicts())
         takeVerdict(node, verdict);
     for (const v1::LoadOrder &order : news.orders())
@@ -319,7 +319,7 @@
         }
         if (status.loading.value != 0)
             view.loading.push_back(status.loading);
-        noteTarget(state, view);
+        updateTarget(state, view);
     });
 }
 
--- a/libs/daemon/src/Ingress.cpp
+++ b/libs/daemon/src/Ingress.cpp
@@ -34,7 +34,7 @@
     Node &node;
     HttpExchange &exchange;
     CallerRequest request;
-    RequestLife life;
+    RequestLifecycle life;
     AttemptEnd lastEnd;
     std::string wholeBody; ///< a non-streamed answer, or what is kept of a streamed one
     Instant lastPieceAt{};
@@ -183,7 +183,7 @@
     const std::uint32_t attempt = beginAttempt(run.life);
     run.lastEnd = AttemptEnd{attempt, ErrorKind::PeerUnreachable, false, 0};
     const v1::RunRequest order = runRequest(run, route.target, resume);
-    run.node.directory.noteSent(route.target);
+    run.node.directory.recordSent(route.target);
     if (route.owner == run.node.self) {
         auto sink = std::make_shared<LocalSink>(run, attempt);
         co_await runOnTarget(run.node, order, sink);
@@ -274,14 +274,14 @@
     return Route{before.target, owner.value == 0 ? before.owner : owner};
 }
 
-LifeStep judgeEnd(RequestRun &run)
+RequestStep judgeEnd(RequestRun &run)
 {
     const Instant now = BootClock::now();
     return run.node.retries.with(
         [&](RetryBudget &budget) { return endAttempt(run.life, run.lastEnd, budget, now); });
 }
 
-void countStep(Node &node, const LifeStep &step, const Route &route, AdapterId adapter)
+void countStep(Node &node, const RequestStep &step, const Route &route, AdapterId adapter)
 {
     if (step.step == NextStep::Resume) {
         node.metrics.add(Counter::Resumes);
@@ -292,15 +292,15 @@
     const bool bounced = meansNotRun(step.kind);
     node.metrics.add(bounced ? Counter::Bounces : Counter::Retries);
     if (step.kind == ErrorKind::NotResident)
-        node.directory.noteBounce(adapter, route.target);
+        node.directory.removeHolder(adapter, route.target);
 }
 
 /** Drives a model request to its ending. */
-asio::awaitable<LifeStep> driveModelRequest(RequestRun &run)
+asio::awaitable<RequestStep> driveModelRequest(RequestRun &run)
 {
     Node &node = run.node;
     const AdapterId adapter = run.request.adapter.id();
-    LifeStep step{NextStep::Route, ErrorKind::Ok, {}};
+    RequestStep step{NextStep::Route, ErrorKind::Ok, {}};
     Route route;
     bool counted = false;
     while (step.step == NextStep::Route || step.step == NextStep::Resume) {
@@ -373,9 +373,9 @@
 }
 
 /** Drives a call of a plain service to its ending; its answer is passed on as it is. */
-asio::awaitable<LifeStep> drivePlainRequest(RequestRun &run, HttpResult &result)
+asio::awaitable<RequestStep> drivePlainRequest(RequestRun &run, HttpResult &result)
 {
-    LifeStep step{NextStep::Route, ErrorKind::Ok, {}};
+    RequestStep step{NextStep::Route, ErrorKind::Ok, {}};
     while (step.step == NextStep::Route) {
         if (step.wait > Duration{})
             co_await pause(step.wait);
@@ -405,7 +405,7 @@
     return span;
 }
 
-void endSpan(RequestRun &run, Span span, const LifeStep &step)
+void endSpan(RequestRun &run, Span span, const RequestStep &step)
 {
     if (span.startNanos == 0)
         return;
@@ -418,7 +418,7 @@
     run.node.spans.add(std::move(span));
 }
 
-void countEnding(RequestRun &run, const LifeStep &step)
+void countEnding(RequestRun &run, const RequestStep &step)
 {
     Metrics &metrics = run.node.metrics;
     if (run.request.isModel()) {
@@ -439,7 +439,7 @@
 }
 
 /** Gives the caller the one end of its request. */
-asio::awaitable<void> conclude(RequestRun &run, const LifeStep &step, HttpReply whole)
+asio::awaitable<void> conclude(RequestRun &run, const RequestStep &step, HttpReply whole)
 {
     if (step.kind == ErrorKind::CallerGone) {
         run.exchange.abort();
@@ -482,7 +482,7 @@
 {
     HttpReply whole;
     HttpResult plain;
-    LifeStep step;
+    RequestStep step;
     Span span = beginSpan(run.node, run.request);
     if (run.request.isModel()) {
         step = co_await driveModelRequest(run);
@@ -496,7 +496,7 @@
     countEnding(run, step);
     endSpan(run, std::move(span), step);
     if (!run.request.idempotencyKey.empty()) {
-        KeptAnswer kept{step.kind, whole.status, whole.contentType, whole.body, true};
+        StoredAnswer kept{step.kind, whole.status, whole.contentType, whole.body, true};
         if (run.request.streamed)
             kept.contentType = "text/event-stream";
         const bool notRun = step.step == NextStep::Refuse;
@@ -505,10 +505,10 @@
     co_await conclude(run, step, std::move(whole));
 }
 
-asio::awaitable<void> replay(Node &node, HttpExchange &exchange, const KeptAnswer &answer)
+asio::awaitable<void> replay(Node &node, HttpExchange &exchange, const StoredAnswer &answer)
 {
     node.metrics.add(Counter::KeyReplays);
-    if (answer.kind != ErrorKind::Ok || !answer.bodyKept) {
+    if (answer.kind != ErrorKind::Ok || !answer.bodyStored) {
         const ErrorKind kind = answer.kind == ErrorKind::Ok ? ErrorKind::MayHaveRun : answer.kind;
         HttpReply reply = problemReply(
             ProblemDetail{kind, false, "the first request with this key ended so", {}});
@@ -558,7 +558,7 @@
             co_return;
         }
     }
-    node.retries.with([](RetryBudget &budget) { noteRequest(budget); });
+    node.retries.with([](RetryBudget &budget) { addRetryTokens(budget); });
     RequestRun run(node, exchange, std::move(request));
     run.life.traits.idempotent = run.request.idempotent;
     run.life.traits.resumable = run.request.isModel();
@@ -598,7 +598,7 @@
     }
     const ServiceId service = checked.request.service;
     const double share = checked.request.share;
-    const AdmissionVerdict verdict =
+    const AdmissionDecision verdict =
         node.admission.with([&](AdmissionState &state) { return admit(state, service, share); });
     if (verdict.refusal != ErrorKind::Ok) {
         ProblemDetail problem{verdict.refusal, true, "", verdict.retryAfter};
--- a/libs/daemon/src/KeyClient.cpp
+++ b/libs/daemon/src/KeyClient.cpp
@@ -46,8 +46,8 @@
     KeyReply reply;
     reply.state = static_cast<KeyState>(news.state());
     reply.knows = news.knows();
-    reply.answer = KeptAnswer{static_cast<ErrorKind>(news.kind()), news.status(),
-                              news.content_type(), news.answer(), news.body_kept()};
+    reply.answer = StoredAnswer{static_cast<ErrorKind>(news.kind()), news.status(),
+                                news.content_type(), news.answer(), news.body_kept()};
     return reply;
 }
 
@@ -83,8 +83,8 @@
     co_return outcome;
 }
 
-asio::awaitable<void> concludeAtHolders(Node &node, const CallerRequest &request, KeptAnswer answer,
-                                        bool notRun)
+asio::awaitable<void> concludeAtHolders(Node &node, const CallerRequest &request,
+                                        StoredAnswer answer, bool notRun)
 {
     for (const VmId holder : holdersOf(node, request)) {
         v1::RecordRequest record =
--- a/libs/daemon/src/ManifestReader.cpp
+++ b/libs/daemon/src/ManifestReader.cpp
@@ -111,8 +111,8 @@
     node.ownership.with([&](OwnershipState &state) {
         for (const Json &target : claim["targets"]) {
             if (target.is_number_unsigned())
-                noteClaim(state, TargetId{target.get<std::uint64_t>()}, vm, FencingToken{offset, 0},
-                          false);
+                applyClaim(state, TargetId{target.get<std::uint64_t>()}, vm,
+                           FencingToken{offset, 0}, false);
         }
     });
 }
@@ -259,7 +259,7 @@
         member.zone = vm.zone;
         member.address = vm.endpoint.address;
         member.port = vm.endpoint.port;
-        node.membership.with([&](MembershipState &state) { noteSeed(state, member, now); });
+        node.membership.with([&](MembershipState &state) { addSeed(state, member, now); });
     }
     const bool changed = node.listed.with([&](std::vector<ListedVm> &held) {
         const bool differs = held != vms;
@@ -333,7 +333,7 @@
         position = std::min(position, std::max(resumeAt, first));
         const bool complete = position >= next;
         if (complete)
-            node.ownership.with([&](OwnershipState &state) { noteLogRead(state, startedAt); });
+            node.ownership.with([&](OwnershipState &state) { recordLogRead(state, startedAt); });
         co_await snapshotIfDue(node, first, next);
     }
 }
--- a/libs/daemon/src/Node.h
+++ b/libs/daemon/src/Node.h
@@ -20,7 +20,7 @@
 #include "ownership/Ownership.h"
 #include "requests/Admission.h"
 #include "requests/KeyRecords.h"
-#include "requests/RequestLife.h"
+#include "requests/RequestLifecycle.h"
 #include "residency/Placement.h"
 #include "residency/PlacementPolicy.h"
 #include "residency/SlotTable.h"
--- a/libs/daemon/src/OwnerLoop.cpp
+++ b/libs/daemon/src/OwnerLoop.cpp
@@ -118,7 +118,7 @@
     node.ownership.with([&](OwnershipState &state) {
         // The engine names only the offset; any local count may stand behind it.
         const std::uint64_t local = state.highest.local;
-        noteEngineRefused(state, target, higher);
+        recordEngineRefused(state, target, higher);
         state.highest.local = local + 1;
     });
     forgetSlots(node, target);
@@ -145,7 +145,7 @@
     const bool began = node.ownership.with([&](OwnershipState &state) {
         const TargetClaim *before = findClaim(state, claim.target);
         const bool confirming = before != nullptr && before->phase == ClaimPhase::Confirming;
-        noteEngineAccepted(state, claim.target, claim.token, askedAt, BootClock::now());
+        recordEngineAccepted(state, claim.target, claim.token, askedAt, BootClock::now());
         noteReachable(state, claim.target, BootClock::now());
         const TargetClaim *after = findClaim(state, claim.target);
         return confirming && after != nullptr && after->phase == ClaimPhase::Owner;
@@ -181,7 +181,7 @@
     const Instant now = BootClock::now();
     std::vector<TargetId> began;
     node.ownership.with([&](OwnershipState &state) {
-        noteAppended(state, targets, offset, now);
+        finishAppend(state, targets, offset, now);
         for (const TargetId target : targets) {
             const TargetClaim *claim = findClaim(state, target);
             if (claim != nullptr && claim->phase == ClaimPhase::Owner)
@@ -400,7 +400,7 @@
     TargetStatus status;
     node.ownership.with([&](const OwnershipState &state) {
         const TargetClaim *claim = findClaim(state, order.target);
-        status.version = NewsVersion{claim->token.offset, claim->token.local, 0};
+        status.version = StatusVersion{claim->token.offset, claim->token.local, 0};
     });
     status.target = order.target;
     status.owner = node.self;
@@ -423,7 +423,7 @@
     node.ownership.with([&](OwnershipState &state) {
         const TargetClaim *before = findClaim(state, target);
         const bool ours = before != nullptr && before->phase == ClaimPhase::Owner;
-        noteClaim(state, target, owner, token, news.released());
+        applyClaim(state, target, owner, token, news.released());
         const TargetClaim *after = findClaim(state, target);
         lost = ours && after->phase != ClaimPhase::Owner;
     });
@@ -432,7 +432,7 @@
     TargetStatus status;
     status.target = target;
     status.owner = owner;
-    status.version = NewsVersion{news.token(), news.local(), news.version()};
+    status.version = StatusVersion{news.token(), news.local(), news.version()};
     status.running = news.running();
     status.usable = news.usable() && !news.released();
     status.leaving = news.leaving();
--- a/libs/daemon/src/OwnerRun.cpp
+++ b/libs/daemon/src/OwnerRun.cpp
@@ -305,7 +305,7 @@
         engine->table.with([&](SlotTable &table) {
             unpin(table, *held, progress.ended);
             if (progress.kind == ErrorKind::NotResident)
-                noteNotResident(table, adapter);
+                markNotResident(table, adapter);
         });
     --node.ownerRuns;
     endSpan(node, std::move(span), *info, progress);
--- a/libs/daemon/src/PeerExchange.cpp
+++ b/libs/daemon/src/PeerExchange.cpp
@@ -63,7 +63,7 @@
     const std::vector<Member> gossip = node.membership.with([&](MembershipState &state) {
         news.set_incarnation(state.self.incarnation);
         news.set_leaving(state.self.state == MemberState::Left);
-        return takeGossip(state);
+        return nextGossip(state);
     });
     for (const Member &member : gossip)
         *news.add_members() = toNews(member);
@@ -83,8 +83,8 @@
     const Instant now = BootClock::now();
     node.membership.with([&](MembershipState &state) {
         noteHeard(state, peer, reply.incarnation(), now);
-        noteExchange(state, peer, now);
-        noteGossip(state, gossip, now);
+        recordExchange(state, peer, now);
+        applyGossip(state, gossip, now);
     });
     noteManifestOfPeer(node, peer, reply.manifest_offset());
 }
@@ -141,7 +141,7 @@
     v1::PeerNews probe;
     const bool answered = co_await sendNews(node, to, std::move(probe), timeout * 2);
     node.membership.with(
-        [&](MembershipState &state) { noteProbe(state, to, answered, BootClock::now()); });
+        [&](MembershipState &state) { recordProbeResult(state, to, answered, BootClock::now()); });
 }
 
 asio::awaitable<void> probeThrough(Node &node, VmId via, VmId to)
@@ -158,7 +158,7 @@
         co_return;
     noteReply(node, via, result.reply);
     node.membership.with([&](MembershipState &state) {
-        noteProbe(state, to, result.reply.probe_answered(), BootClock::now());
+        recordProbeResult(state, to, result.reply.probe_answered(), BootClock::now());
     });
 }
 
@@ -184,7 +184,7 @@
     node.ownership.with([&](OwnershipState &state) {
         setCandidates(state, candidates);
         if (peersHeard)
-            noteZonePeersHeard(state, *peersHeard);
+            recordZonePeersContact(state, *peersHeard);
     });
 }
 
@@ -211,7 +211,7 @@
         vms.push_back(member.vm);
     const Instant now = BootClock::now();
     node.keys.with([&](KeyRecords &keys) {
-        noteAlive(keys, vms, now);
+        updateAliveVms(keys, vms, now);
         expireKeys(keys, now);
     });
     updateCoordinator(node, alive);
@@ -247,7 +247,7 @@
     const Instant now = BootClock::now();
     const std::vector<Member> gossip = membersOf(news.members());
     node.membership.with([&](MembershipState &state) {
-        noteGossip(state, gossip, now);
+        applyGossip(state, gossip, now);
         noteHeard(state, from, news.incarnation(), now);
     });
     node.ownership.with([&](OwnershipState &state) {
@@ -270,7 +270,7 @@
     const std::vector<Member> answerGossip = node.membership.with([&](MembershipState &state) {
         reply.set_incarnation(state.self.incarnation);
         reply.set_leaving(state.self.state == MemberState::Left);
-        return takeGossip(state);
+        return nextGossip(state);
     });
     for (const Member &member : answerGossip)
         *reply.add_members() = toNews(member);
@@ -326,8 +326,8 @@
             return;
         }
         if (request.action() == v1::RecordRequest::COMPLETE) {
-            const KeptAnswer answer{static_cast<ErrorKind>(request.kind()), request.status(),
-                                    request.content_type(), request.answer(), true};
+            const StoredAnswer answer{static_cast<ErrorKind>(request.kind()), request.status(),
+                                      request.content_type(), request.answer(), true};
             completeKey(keys, key, answer, now);
             return;
         }
@@ -338,7 +338,7 @@
         reply.set_content_type(held.answer.contentType);
         reply.set_answer(held.answer.body);
         reply.set_kind(static_cast<int>(held.answer.kind));
-        reply.set_body_kept(held.answer.bodyKept);
+        reply.set_body_kept(held.answer.bodyStored);
     });
     return reply;
 }
--- a/libs/gateway/src/CallAnswer.h
+++ b/libs/gateway/src/CallAnswer.h
@@ -9,7 +9,7 @@
 namespace monsoonbay {
 
 /** An answer that was read whole, to be passed on unless a better one can be had. */
-struct KeptAnswer
+struct StoredAnswer
 {
     bool there = false;
     HttpReply reply;
@@ -24,7 +24,7 @@
     { }
 
     CallerStream relay;
-    KeptAnswer kept;
+    StoredAnswer kept;
     LocalReply refusal;
 };
 
--- a/libs/gateway/src/ClassFields.cpp
+++ b/libs/gateway/src/ClassFields.cpp
@@ -11,18 +11,18 @@
 
 using Numbers = google::protobuf::RepeatedField<std::uint64_t>;
 
-void addNumbers(const ByClass &values, Numbers &numbers)
+void addNumbers(const CountsByClass &values, Numbers &numbers)
 {
     for (const std::int64_t value : values)
         numbers.Add(static_cast<std::uint64_t>(std::max<std::int64_t>(value, 0)));
 }
 
 /** False if there is not one sound number for each class. */
-bool takeNumbers(const Numbers &numbers, ByClass &values)
+bool takeNumbers(const Numbers &numbers, CountsByClass &values)
 {
-    if (numbers.size() != static_cast<int>(callClasses))
+    if (numbers.size() != static_cast<int>(callClassCount))
         return false;
-    for (std::size_t index = 0; index < callClasses; ++index) {
+    for (std::size_t index = 0; index < callClassCount; ++index) {
         const std::uint64_t number = numbers.Get(static_cast<int>(index));
         if (number > maxReportedNumber)
             return false;
@@ -31,7 +31,7 @@
     return true;
 }
 
-std::int64_t sumOf(const ByClass &values)
+std::int64_t sumOf(const CountsByClass &values)
 {
     return std::accumulate(values.begin(), values.end(), std::int64_t{0});
 }
@@ -40,12 +40,12 @@
 
 void encodeClassDemand(const WorkspaceUse &use, v1::WorkspaceUse &told)
 {
-    if (use.askedByClass == ByClass() && use.callsByClass == ByClass())
+    if (use.requestedByClass == CountsByClass() && use.callsInWindowByClass == CountsByClass())
         return;
-    addNumbers(use.askedByClass, *told.mutable_asked_by_class());
-    addNumbers(use.callsByClass, *told.mutable_calls_by_class());
+    addNumbers(use.requestedByClass, *told.mutable_asked_by_class());
+    addNumbers(use.callsInWindowByClass, *told.mutable_calls_by_class());
     told.set_asked_in_window(
-        static_cast<std::uint64_t>(std::max<std::int64_t>(use.askedInWindow, 0)));
+        static_cast<std::uint64_t>(std::max<std::int64_t>(use.requestedInWindow, 0)));
 }
 
 bool decodeClassDemand(const v1::WorkspaceUse &told, WorkspaceUse &use)
@@ -54,18 +54,18 @@
         && told.asked_in_window() == 0;
     if (none)
         return true;
-    ByClass asked{};
-    ByClass calls{};
+    CountsByClass asked{};
+    CountsByClass calls{};
     const bool sound = takeNumbers(told.asked_by_class(), asked)
         && takeNumbers(told.calls_by_class(), calls) && told.asked_in_window() <= maxReportedNumber;
     const auto inWindow = static_cast<std::int64_t>(told.asked_in_window());
     // A call asks for one unit at least.
-    const bool valid = sound && sumOf(asked) <= use.askedPerSecond && inWindow >= sumOf(calls);
+    const bool valid = sound && sumOf(asked) <= use.requestedPerSecond && inWindow >= sumOf(calls);
     if (!valid)
         return false;
-    use.askedByClass = asked;
-    use.callsByClass = calls;
-    use.askedInWindow = inWindow;
+    use.requestedByClass = asked;
+    use.callsInWindowByClass = calls;
+    use.requestedInWindow = inWindow;
     return true;
 }
 
--- a/libs/gateway/src/FleetCount.cpp
+++ b/libs/gateway/src/FleetCount.cpp
@@ -63,7 +63,7 @@
     count.inTouch = reachableVms(node, now);
     count.listed = 1 + namedPeers(node);
     count.storeHeard = confirmed && now - *confirmed < storeHeard;
-    noteVms(node.fleet, count, now);
+    updateFleetSize(node.fleet, count, now);
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -27,7 +27,7 @@
 #include "gateway/PlatformPort.h"
 #include "observe/Metrics.h"
 #include "quota/FleetSize.h"
-#include "quota/SpendRecord.h"
+#include "quota/UsageWindow.h"
 #include "serving/AdapterScheduler.h"
 #include "serving/AdvertisedLimit.h"
 #include "serving/CallIdentity.h"
@@ -319,7 +319,7 @@
     std::unordered_map<KeyDigest, Instant, KeyDigestHash> unknownKeys; ///< when they came first
     int routesAwaited = 0; ///< calls that wait for a newer configuration to have their route
     int keysAwaited = 0; ///< calls that wait to learn whether their key is a new one
-    std::unordered_map<std::string, SpendRecord> spending; ///< of own calls, by workspace
+    std::unordered_map<std::string, UsageWindow> spending; ///< of own calls, by workspace
     FleetSize fleet;
     UsageSnapshotState spend;
     Signal configOffered; ///< a peer has a newer one
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -177,7 +177,7 @@
         const Instant now = BootClock::now();
         const bool mayNote = !node.recordingClaims && !node.renewalFailing && !node.leftLeaseGroup
             && now >= node.claimRetryAt;
-        if (mayNote && isNoteDue(node.lease, now))
+        if (mayNote && isWriteDue(node.lease, now))
             spawn(node, "note orders", noteOrders(node));
         retractEngines(node);
         co_await pauseFor(node, extendEvery);
--- a/libs/gateway/src/NewsCodec.cpp
+++ b/libs/gateway/src/NewsCodec.cpp
@@ -180,7 +180,7 @@
     told.set_workspace(workspace);
     told.set_units(static_cast<std::uint64_t>(std::max<std::int64_t>(use.whole, 0)));
     told.set_asked_per_second(
-        static_cast<std::uint64_t>(std::max<std::int64_t>(use.askedPerSecond, 0)));
+        static_cast<std::uint64_t>(std::max<std::int64_t>(use.requestedPerSecond, 0)));
     encodeClassDemand(use, told);
 }
 
@@ -190,7 +190,7 @@
 bool decodeInto(const v1::WorkspaceUse &told, WorkspaceUse &use)
 {
     use.whole = static_cast<std::int64_t>(std::min<std::uint64_t>(told.units(), maxReportedNumber));
-    use.askedPerSecond = static_cast<std::int64_t>(
+    use.requestedPerSecond = static_cast<std::int64_t>(
         std::min<std::uint64_t>(told.asked_per_second(), maxReportedNumber));
     return decodeClassDemand(told, use);
 }
--- a/libs/gateway/src/Placing.cpp
+++ b/libs/gateway/src/Placing.cpp
@@ -334,7 +334,7 @@
         placement = placeOnPlain(run);
     // Counted before it is sent: other calls are placed while a connection is made.
     if (placement.target)
-        noteSent(runtimeOf(run.node, placement.target->id).limit, BootClock::now());
+        recordSent(runtimeOf(run.node, placement.target->id).limit, BootClock::now());
     co_return placement;
 }
 
--- a/libs/gateway/src/SpendNotes.cpp
+++ b/libs/gateway/src/SpendNotes.cpp
@@ -58,8 +58,8 @@
         units = unitsByAge(own->second, policy, now);
     const Workspace *limited = node.routes->findWorkspace(workspace);
     if (limited != nullptr && !node.settings.firstStart && knowsFleetSize(node, now))
-        addUnitsBeforeStart(units, workspace, limited->limit, policy, node.spend.atStart,
-                            knownVms(node, now), node.bootedAt, now);
+        addAssumedUnits(units, workspace, limited->limit, policy, node.spend.atStart,
+                        knownVms(node, now), node.bootedAt, now);
     if (scope == UnitsOf::ThisVm)
         return units;
     for (const auto &[reporter, report] : node.reported.reports) {
@@ -72,14 +72,14 @@
     return units;
 }
 
-SpendPercents percentsWanted(GatewayNode &node, Instant now)
+UsagePercents percentsWanted(GatewayNode &node, Instant now)
 {
-    SpendPercents wanted;
+    UsagePercents wanted;
     for (const Workspace &workspace : node.routes->config().workspaces) {
         if (!isLimitedWorkspace(workspace))
             continue;
         const int percent =
-            percentWanted(workspace.limit, node.settings.quota, fleetUseOf(node, workspace, now));
+            percentNeeded(workspace.limit, node.settings.quota, fleetUseOf(node, workspace, now));
         if (percent > 0)
             wanted[workspace.name] = percent;
     }
@@ -112,13 +112,13 @@
 {
     const Instant began = BootClock::now();
     SpendNote note;
-    for (const auto &[workspace, percent] : beginNote(node.spend.noting, began))
+    for (const auto &[workspace, percent] : beginSnapshot(node.spend.noting, began))
         note[workspace] = {percent, unitsHeard(node, workspace, UnitsOf::AllZones, began)};
     node.spend.permits = permitsOf(node.spend.noting);
     const std::string named = std::to_string(note.size());
     const bool done =
         co_await node.platform->writeUsageSnapshot(node.http, node.settings, std::move(note));
-    endNote(node.spend.noting, done);
+    endSnapshot(node.spend.noting, done);
     // Another VM may relay by now, and its permits have come.
     if (node.relaying)
         node.spend.permits = permitsOf(node.spend.noting);
@@ -164,7 +164,7 @@
         return;
     const Instant now = BootClock::now();
     const UnitsOf scope = wholeZone ? UnitsOf::Zone : UnitsOf::ThisVm;
-    const SpendPercents wanted = percentsWanted(node, now);
+    const UsagePercents wanted = percentsWanted(node, now);
     for (v1::WorkspaceUse &told : *report.mutable_workspaces()) {
         if (wanted.count(told.workspace()) > 0)
             encodeUnits(unitsHeard(node, told.workspace(), scope, now),
@@ -188,7 +188,7 @@
     if (!keepsUsageSnapshots(node))
         return;
     const Instant now = BootClock::now();
-    const SpendPermits &permits = node.spend.permits;
+    const UsagePermits &permits = node.spend.permits;
     if (mate && node.spend.writes && !permits.percents.empty()) {
         for (const auto &[workspace, percent] : permits.percents) {
             v1::NotedSpend *told = digest.mutable_spend()->add_noted_workspaces();
@@ -224,7 +224,7 @@
     if (news.notes_read_ago_ms() == 0 || node.settings.firstStart)
         return;
     const Instant now = BootClock::now();
-    NotesAtStart told;
+    StartupSnapshots told;
     told.wereRead = true;
     told.readAt = now - std::chrono::milliseconds(news.notes_read_ago_ms() - 1);
     for (const v1::ZoneNote &note : news.notes_at_start()) {
@@ -233,8 +233,8 @@
             zone[entry.workspace()] = {decodePercent(entry.percent()),
                                        decodeUnits(entry.units_by_age())};
     }
-    const NotesAtStart before = node.spend.atStart;
-    takeNotes(node.spend.atStart, told, node.settings.quota, now);
+    const StartupSnapshots before = node.spend.atStart;
+    adoptSnapshots(node.spend.atStart, told, node.settings.quota, now);
     if (node.spend.atStart != before)
         logCounted(node, "another VM");
 }
@@ -248,7 +248,7 @@
     if (!ownRelay)
         return;
     const v1::SpendNews &news = digest.spend();
-    SpendPermits permits;
+    UsagePermits permits;
     permits.at = askedAt - std::chrono::milliseconds(news.noted_ago_ms());
     for (const v1::NotedSpend &told : news.noted_workspaces())
         permits.percents[told.workspace()] = decodePercent(told.percent());
@@ -268,12 +268,12 @@
             continue;
         }
         if (!node.spend.writes)
-            beginNoting(node.spend.noting, limitedWorkspaces(node), node.settings.quota,
-                        node.bootedAt, now);
+            startSnapshotWriter(node.spend.noting, limitedWorkspaces(node), node.settings.quota,
+                                node.bootedAt, now);
         node.spend.writes = true;
-        noteWanted(node.spend.noting, percentsWanted(node, now), now);
+        updateWantedPercents(node.spend.noting, percentsWanted(node, now), now);
         node.spend.permits = permitsOf(node.spend.noting);
-        if (isNoteDue(node.spend.noting, now))
+        if (isWriteDue(node.spend.noting, now))
             co_await writeNote(node);
         co_await pauseFor(node, wantedLook);
     }
--- a/libs/gateway/src/WorkspaceQuota.cpp
+++ b/libs/gateway/src/WorkspaceQuota.cpp
@@ -14,7 +14,7 @@
 
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
 
-SpendRecord &recordOf(GatewayNode &node, const std::string &workspace)
+UsageWindow &recordOf(GatewayNode &node, const std::string &workspace)
 {
     const auto [found, added] = node.spending.try_emplace(workspace);
     if (added) {
@@ -30,17 +30,17 @@
     WorkspaceUse use;
     const auto found = node.spending.find(workspace.name);
     if (found != node.spending.end())
-        use = useOf(found->second, policy, now);
+        use = usageOf(found->second, policy, now);
     const Duration up = now - node.bootedAt;
     if (node.settings.firstStart || up >= 2 * policy.window || !knowsFleetSize(node, now))
         return use;
     const int known = knownVms(node, now);
     if (keepsUsageSnapshots(node))
         addUsage(use,
-                 useAtStart(workspace.name, workspace.limit, policy, node.spend.atStart, known,
-                            node.bootedAt, now));
+                 assumedUsageAtStart(workspace.name, workspace.limit, policy, node.spend.atStart,
+                                     known, node.bootedAt, now));
     else
-        addUsage(use, useBeforeStart(workspace.limit, policy, known, up));
+        addUsage(use, assumedUsageBeforeStart(workspace.limit, policy, known, up));
     return use;
 }
 
@@ -52,11 +52,11 @@
 }
 
 /** What is known of all VMs, but without the use of this one. */
-FleetUse othersUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
+FleetUsage othersUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
     // A VM that was suspended must not take what it heard before for what there is now.
     dropSilent(node.reported, reporterTimeout, now);
-    FleetUse fleet;
+    FleetUsage fleet;
     addUseOf(fleet.use, node.reported.workspaceTotal, workspace.name);
     if (isRelayLive(node, now))
         addUseOf(fleet.use, node.upstream.otherWorkspaces, workspace.name);
@@ -69,9 +69,9 @@
 
 } // namespace
 
-FleetUse fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
+FleetUsage fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
-    FleetUse fleet = othersUseOf(node, workspace, now);
+    FleetUsage fleet = othersUseOf(node, workspace, now);
     addUsage(fleet.use, ownUseOf(node, workspace, now));
     return fleet;
 }
@@ -90,8 +90,8 @@
     return static_cast<Counter>(first + indexOf(callClass));
 }
 
-void logOverLimit(const ActiveCall &run, const Workspace &workspace, const FleetUse &fleet,
-                  std::int64_t units, CallClass callClass, const QuotaVerdict &verdict)
+void logOverLimit(const ActiveCall &run, const Workspace &workspace, const FleetUsage &fleet,
+                  std::int64_t units, CallClass callClass, const QuotaDecision &verdict)
 {
     logEvent(EventId::CallOverLimit,
              {{"call", run.facts.attemptId},
@@ -103,7 +103,7 @@
               {"ratePerSecond",
                std::to_string(static_cast<std::int64_t>(workspace.limit.ratePerSecond))},
               {"window", std::to_string(fleet.use.whole)},
-              {"askedPerSecond", std::to_string(fleet.use.askedPerSecond)},
+              {"askedPerSecond", std::to_string(fleet.use.requestedPerSecond)},
               {"vmsInTouch", std::to_string(fleet.reachableVms)},
               {"vmsKnown", std::to_string(fleet.knownVms)},
               {"allowed", std::to_string(fleet.allowed)},
@@ -125,14 +125,14 @@
         return makeLocalReply(503, "this VM does not know of the others yet", shortRetryAfter);
     const QuotaPolicy &policy = node.settings.quota;
     const std::int64_t units = costOf(workspace->limit, run.facts.tokens);
-    SpendRecord &record = recordOf(node, workspace->name);
-    FleetUse fleet = othersUseOf(node, *workspace, now);
+    UsageWindow &record = recordOf(node, workspace->name);
+    FleetUsage fleet = othersUseOf(node, *workspace, now);
     WorkspaceUse before = ownUseOf(node, *workspace, now);
     addUsage(before, fleet.use);
     const CallClass callClass = classOf(before, units, rankOf(run));
-    noteAsked(record, policy, units, now, callClass);
+    recordRequested(record, policy, units, now, callClass);
     addUsage(fleet.use, ownUseOf(node, *workspace, now));
-    const QuotaVerdict verdict =
+    const QuotaDecision verdict =
         admitCall(record, workspace->limit, policy, fleet, units, now, callClass);
     if (!verdict.admitted) {
         logOverLimit(run, *workspace, fleet, units, callClass, verdict);
@@ -142,7 +142,7 @@
         return makeLocalReply(429, "the workspace has used up its limit",
                               withJitter(verdict.retryAfter, draw));
     }
-    noteSpent(record, policy, units, now);
+    recordUsage(record, policy, units, now);
     run.units = units;
     run.unitsChargedAt = now;
     return std::nullopt;
@@ -153,8 +153,8 @@
     if (run.units == 0)
         return;
     run.unitsChargedAt = BootClock::now();
-    noteSpent(recordOf(run.node, run.workspace), run.node.settings.quota, run.units,
-              run.unitsChargedAt);
+    recordUsage(recordOf(run.node, run.workspace), run.node.settings.quota, run.units,
+                run.unitsChargedAt);
 }
 
 void refundQuota(ActiveCall &run)
--- a/libs/gateway/src/WorkspaceQuota.h
+++ b/libs/gateway/src/WorkspaceQuota.h
@@ -19,7 +19,7 @@
 void refundQuota(ActiveCall &run);
 
 /** What all VMs in touch use of a workspace. */
-FleetUse fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now);
+FleetUsage fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now);
 
 /** What calls of this VM use, by workspace. */
 WorkspaceUses ownWorkspaceUses(GatewayNode &node, Instant now);
--- a/libs/gateway/tests/SpendNews.cpp
+++ b/libs/gateway/tests/SpendNews.cpp
@@ -69,12 +69,13 @@
     const v1::Digest digest = answerReport(relay, reportOfMate(1));
     GatewayNode mate(mateSettings);
     configure(mate, 1000);
-    cr_assert_eq(allowedShare(mate, "ferry", now), noteShare);
+    cr_assert_eq(allowedShare(mate, "ferry", now), shareWithoutSnapshot);
     applyUsageUpdates(mate, digest, false, now);
-    cr_assert_eq(allowedShare(mate, "ferry", now), noteShare, "it is not of its own relay");
+    cr_assert_eq(allowedShare(mate, "ferry", now), shareWithoutSnapshot,
+                 "it is not of its own relay");
     applyUsageUpdates(mate, digest, true, now);
     cr_assert_eq(allowedShare(mate, "ferry", now), 0.8);
-    cr_assert_eq(allowedShare(mate, "ferry", now + 1s), noteShare);
+    cr_assert_eq(allowedShare(mate, "ferry", now + 1s), shareWithoutSnapshot);
 }
 
 // Guards against a VM that starts late in a restart of all and counts what the others' new notes
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -211,10 +211,10 @@
 {
     WorkspaceUse use;
     use.whole = 7000;
-    use.askedPerSecond = 1000;
-    use.askedByClass = {10, 200, 0, 790};
-    use.callsByClass = {4, 3, 0, 1};
-    use.askedInWindow = 8000;
+    use.requestedPerSecond = 1000;
+    use.requestedByClass = {10, 200, 0, 790};
+    use.callsInWindowByClass = {4, 3, 0, 1};
+    use.requestedInWindow = 8000;
     return use;
 }
 
@@ -262,7 +262,7 @@
     cr_expect(decodedWith(toldOf(plain), 4, 1) == plain, "one number only");
     cr_expect(decodedWith(toldOf(plain), 6, ~0ULL) == plain, "no sensible number");
     WorkspaceUse more = useWithClasses();
-    more.askedByClass[3] = 791;
+    more.requestedByClass[3] = 791;
     cr_expect(decodeWorkspaceUse(toldOf(more)) == plain, "classes are more than the whole");
     gateway::v1::WorkspaceUse huge;
     huge.set_units(~0ULL);
@@ -279,10 +279,10 @@
     gateway::v1::Report report = reportOf(other, 1);
     WorkspaceUse used;
     used.whole = 8000;
-    used.askedPerSecond = 2000;
-    used.askedByClass = {0, 2000, 0, 0};
-    used.callsByClass = {0, 40, 0, 0};
-    used.askedInWindow = 16000;
+    used.requestedPerSecond = 2000;
+    used.requestedByClass = {0, 2000, 0, 0};
+    used.callsInWindowByClass = {0, 40, 0, 0};
+    used.requestedInWindow = 16000;
     encodeWorkspaceUse("ferry", used, *report.add_workspaces());
     answerReport(served.node, report);
     int refusedLong = 0;
--- a/libs/membership/include/membership/Membership.h
+++ b/libs/membership/include/membership/Membership.h
@@ -59,7 +59,7 @@
         Instant changedAt{};
         Instant heardAt{};
         Instant exchangedAt{}; ///< a message of ours was answered by the member itself
-        int gossipLeft = 0;
+        int gossipBudget = 0;
         bool probing = false;
         bool indirect = false;
         Instant probedAt{};
@@ -79,25 +79,25 @@
                                std::uint64_t seed, Instant now);
 
 /** A hint from the VM list: an unknown VM is probed, a known one is left as it is. */
-void noteSeed(MembershipState &state, const Member &member, Instant now);
+void addSeed(MembershipState &state, const Member &member, Instant now);
 
 /** Members' news from a peer. */
-void noteGossip(MembershipState &state, const std::vector<Member> &news, Instant now);
+void applyGossip(MembershipState &state, const std::vector<Member> &news, Instant now);
 
 /** Something was heard from this VM itself. */
 void noteHeard(MembershipState &state, VmId vm, std::uint64_t incarnation, Instant now);
 
 /** A direct message of ours was answered: the member knows what we told it. */
-void noteExchange(MembershipState &state, VmId vm, Instant now);
+void recordExchange(MembershipState &state, VmId vm, Instant now);
 
 /** How a direct or indirect probe ended. */
-void noteProbe(MembershipState &state, VmId vm, bool answered, Instant now);
+void recordProbeResult(MembershipState &state, VmId vm, bool answered, Instant now);
 
 /** Probes to send now; also turns silent members suspect and suspects dead. */
 std::vector<Probe> tick(MembershipState &state, Instant now);
 
 /** News to put into the next message; takes what is told from the budget of repeats. */
-std::vector<Member> takeGossip(MembershipState &state);
+std::vector<Member> nextGossip(MembershipState &state);
 
 /** This VM leaves; others learn it by gossip. */
 void leave(MembershipState &state);
--- a/libs/membership/src/Membership.cpp
+++ b/libs/membership/src/Membership.cpp
@@ -40,7 +40,7 @@
         ++state.version;
     known.member = member;
     known.changedAt = now;
-    known.gossipLeft = repeatsFor(state);
+    known.gossipBudget = repeatsFor(state);
     if (member.state == MemberState::Alive)
         known.heardAt = now;
 }
@@ -67,7 +67,7 @@
     known.member = member;
     known.changedAt = now;
     known.heardAt = now;
-    known.gossipLeft = repeatsFor(state);
+    known.gossipBudget = repeatsFor(state);
     state.others.push_back(known);
     ++state.version;
 }
@@ -150,7 +150,7 @@
     return state;
 }
 
-void noteSeed(MembershipState &state, const Member &member, Instant now)
+void addSeed(MembershipState &state, const Member &member, Instant now)
 {
     const bool known = member.vm == state.self.vm || findKnown(state, member.vm) != nullptr;
     if (known)
@@ -162,7 +162,7 @@
     add(state, seed, now);
 }
 
-void noteGossip(MembershipState &state, const std::vector<Member> &news, Instant now)
+void applyGossip(MembershipState &state, const std::vector<Member> &news, Instant now)
 {
     for (const Member &member : news) {
         if (member.vm == state.self.vm) {
@@ -194,7 +194,7 @@
     // After a long partition the two sides hold each other dead and the news of it is no longer
     // told. A dead member that speaks has to hear of the accusation, or it would never refute it.
     if (!returned && known->member.state != MemberState::Alive)
-        known->gossipLeft = std::max(known->gossipLeft, 1);
+        known->gossipBudget = std::max(known->gossipBudget, 1);
     if (!returned || known->member.state == MemberState::Left)
         return;
     Member member = known->member;
@@ -203,14 +203,14 @@
     change(state, *known, member, now);
 }
 
-void noteExchange(MembershipState &state, VmId vm, Instant now)
+void recordExchange(MembershipState &state, VmId vm, Instant now)
 {
     Known *known = findKnown(state, vm);
     if (known != nullptr)
         known->exchangedAt = now;
 }
 
-void noteProbe(MembershipState &state, VmId vm, bool answered, Instant now)
+void recordProbeResult(MembershipState &state, VmId vm, bool answered, Instant now)
 {
     Known *known = findKnown(state, vm);
     if (known == nullptr || !answered)
@@ -247,22 +247,22 @@
     return probes;
 }
 
-std::vector<Member> takeGossip(MembershipState &state)
+std::vector<Member> nextGossip(MembershipState &state)
 {
     std::vector<Member> news{state.self};
     std::vector<Known *> fresh;
     for (Known &known : state.others) {
-        if (known.gossipLeft > 0)
+        if (known.gossipBudget > 0)
             fresh.push_back(&known);
     }
     std::sort(fresh.begin(), fresh.end(), [](const Known *a, const Known *b) {
-        return a->gossipLeft != b->gossipLeft ? a->gossipLeft > b->gossipLeft
-                                              : a->member.vm < b->member.vm;
+        return a->gossipBudget != b->gossipBudget ? a->gossipBudget > b->gossipBudget
+                                                  : a->member.vm < b->member.vm;
     });
     for (Known *known : fresh) {
         if (static_cast<int>(news.size()) > state.config.gossipPerMessage)
             break;
-        --known->gossipLeft;
+        --known->gossipBudget;
         news.push_back(known->member);
     }
     return news;
--- a/libs/membership/tests/Detector.cpp
+++ b/libs/membership/tests/Detector.cpp
@@ -36,7 +36,7 @@
         for (std::size_t index = 0; index < count; ++index) {
             this->vms.push_back(makeMembership({}, memberOf(index), index + 77, this->now));
             for (std::size_t other = 0; other < count; ++other)
-                noteSeed(this->vms.back(), memberOf(other), this->now);
+                addSeed(this->vms.back(), memberOf(other), this->now);
         }
     }
 
@@ -50,14 +50,14 @@
         ++this->messages;
         if (!this->reaches(from, to))
             return false;
-        const std::vector<Member> news = takeGossip(this->vms[from]);
-        noteGossip(this->vms[to], news, this->now);
+        const std::vector<Member> news = nextGossip(this->vms[from]);
+        applyGossip(this->vms[to], news, this->now);
         noteHeard(this->vms[to], VmId{from + 1}, this->vms[from].self.incarnation, this->now);
         if (!this->reaches(to, from))
             return false;
-        const std::vector<Member> answer = takeGossip(this->vms[to]);
+        const std::vector<Member> answer = nextGossip(this->vms[to]);
         noteHeard(this->vms[from], VmId{to + 1}, this->vms[to].self.incarnation, this->now);
-        noteGossip(this->vms[from], answer, this->now);
+        applyGossip(this->vms[from], answer, this->now);
         return true;
     }
 
@@ -79,12 +79,12 @@
     {
         const std::size_t to = probe.to.value - 1;
         if (probe.via.value == 0) {
-            noteProbe(this->vms[from], probe.to, this->exchange(from, to), this->now);
+            recordProbeResult(this->vms[from], probe.to, this->exchange(from, to), this->now);
             return;
         }
         const std::size_t via = probe.via.value - 1;
         const bool answered = this->exchange(from, via) && this->exchange(via, to);
-        noteProbe(this->vms[from], probe.to, answered, this->now);
+        recordProbeResult(this->vms[from], probe.to, answered, this->now);
     }
 
     std::size_t aliveSeenBy(std::size_t index) const
@@ -183,6 +183,6 @@
 Test(membership, a_listed_vm_that_was_never_heard_is_no_member)
 {
     MembershipState state = makeMembership({}, memberOf(0), 1, Instant{});
-    noteSeed(state, memberOf(1), Instant{});
+    addSeed(state, memberOf(1), Instant{});
     cr_assert_eq(aliveMembers(state).size(), 1);
 }
--- a/libs/ownership/include/ownership/Ownership.h
+++ b/libs/ownership/include/ownership/Ownership.h
@@ -26,7 +26,7 @@
     Duration margin = std::chrono::milliseconds(300); ///< for clocks that run unequally fast
     Duration settle = std::chrono::milliseconds(1000); ///< no claims so soon after the start
     Duration reachableFor = std::chrono::milliseconds(3000);
-    Duration stickyFor = std::chrono::seconds(5); ///< before a target moves for balance
+    Duration minTenure = std::chrono::seconds(5); ///< before a target moves for balance
 };
 
 /** A target as the VM list and the manifest tell of it. */
@@ -62,14 +62,14 @@
     ClaimPhase phase = ClaimPhase::None;
     FencingToken token;
     Instant claimedAt{};
-    Instant orderAfter{}; ///< earlier, the previous owner may still order
+    Instant commandAfter{}; ///< earlier, the previous owner may still order
     Instant leaseUntil{};
     Instant reachableAt{};
     Instant renewedAt{};
     VmId owner; ///< the owner with the highest token heard of; value 0: none
     FencingToken ownerToken;
     bool released = false; ///< its previous owner handed it over
-    bool everOwned = false; ///< somebody was heard to own it
+    bool wasOwned = false; ///< somebody was heard to own it
 };
 
 /** Ownership of all targets as one VM sees it; the arbiter is the engine, the log or the peers. */
@@ -83,8 +83,8 @@
     std::vector<OwnerCandidate> candidates; ///< alive entry VMs, this one among them
     FencingToken highest; ///< of any token seen anywhere
     Instant logReadAt{}; ///< start of the last complete read of the log
-    Instant peersHeardAt{}; ///< when all zone peers had last been heard
-    bool everReadLog = false;
+    Instant zonePeersContactAt{}; ///< when all zone peers had last been heard
+    bool hasReadLog = false;
     bool leaving = false;
 };
 
@@ -122,25 +122,25 @@
 void noteReachable(OwnershipState &state, TargetId target, Instant now);
 
 /** A complete read of the log, begun at `startedAt`, showed all claims in it. */
-void noteLogRead(OwnershipState &state, Instant startedAt);
+void recordLogRead(OwnershipState &state, Instant startedAt);
 
 /** Every other entry VM of this zone had been heard at `heardAt`. */
-void noteZonePeersHeard(OwnershipState &state, Instant heardAt);
+void recordZonePeersContact(OwnershipState &state, Instant heardAt);
 
 /** A claim of another VM, from the log or from a peer. `released`: it gives the target up. */
-void noteClaim(OwnershipState &state, TargetId target, VmId owner, const FencingToken &token,
-               bool released);
+void applyClaim(OwnershipState &state, TargetId target, VmId owner, const FencingToken &token,
+                bool released);
 
 /** The append of a claim ended; offset 0 means it failed or its answer was lost. */
-void noteAppended(OwnershipState &state, const std::vector<TargetId> &targets, std::uint64_t offset,
+void finishAppend(OwnershipState &state, const std::vector<TargetId> &targets, std::uint64_t offset,
                   Instant now);
 
 /** The engine took an order with our token that was sent at `askedAt`. */
-void noteEngineAccepted(OwnershipState &state, TargetId target, const FencingToken &token,
-                        Instant askedAt, Instant now);
+void recordEngineAccepted(OwnershipState &state, TargetId target, const FencingToken &token,
+                          Instant askedAt, Instant now);
 
 /** The engine refused our token; it knows of a higher one. */
-void noteEngineRefused(OwnershipState &state, TargetId target, const FencingToken &higher);
+void recordEngineRefused(OwnershipState &state, TargetId target, const FencingToken &higher);
 
 OwnershipActions tick(OwnershipState &state, Instant now);
 
--- a/libs/ownership/src/Ownership.cpp
+++ b/libs/ownership/src/Ownership.cpp
@@ -96,11 +96,11 @@
     claim.claimedAt = now;
     const bool handedOver = claim.released;
     // What the previous owner dispatched last may still be on its way to the engine.
-    claim.orderAfter = now + state.config.margin + (handedOver ? Duration{} : state.config.lease);
+    claim.commandAfter = now + state.config.margin + (handedOver ? Duration{} : state.config.lease);
     claim.owner = state.self;
     claim.ownerToken = claim.token;
     claim.released = false;
-    claim.everOwned = true;
+    claim.wasOwned = true;
 }
 
 // Unfenced engines: the log is the arbiter for claims that are in it, else the zone's peers are,
@@ -108,9 +108,9 @@
 // cannot see; and a claim that is not in the log is unknown to an owner who relies on the log.
 Instant unfencedLease(const OwnershipState &state, const TargetClaim &claim)
 {
-    const bool inLog = claim.token.local == 0 && state.everReadLog;
+    const bool inLog = claim.token.local == 0 && state.hasReadLog;
     const Instant byLog = inLog ? state.logReadAt + state.config.lease : Instant{};
-    const Instant byPeers = state.peersHeardAt + state.config.lease;
+    const Instant byPeers = state.zonePeersContactAt + state.config.lease;
     return std::max(byLog, byPeers);
 }
 
@@ -122,7 +122,7 @@
 // A zone-local claim goes into the log when it is back. The claim made anew waits like any other.
 bool shouldRecord(const OwnershipState &state, const TargetClaim &claim, Instant now)
 {
-    const bool logIsBack = state.everReadLog && state.logReadAt + state.config.lease / 2 > now;
+    const bool logIsBack = state.hasReadLog && state.logReadAt + state.config.lease / 2 > now;
     return claim.phase == ClaimPhase::Owner && !claim.target.checksTokens && claim.token.local != 0
         && logIsBack && !state.leaving && claim.claimedAt + state.config.lease < now;
 }
@@ -140,7 +140,7 @@
 void addHandOver(const OwnershipState &state, TargetClaim &claim, OwnershipActions &actions,
                  Instant now)
 {
-    if (!isOurs(state, claim) || now < claim.claimedAt + state.config.stickyFor)
+    if (!isOurs(state, claim) || now < claim.claimedAt + state.config.minTenure)
         return;
     const VmId preferred = preferredOwner(state, claim.target);
     if (preferred == state.self || preferred.value == 0)
@@ -195,19 +195,19 @@
         claim->reachableAt = std::max(claim->reachableAt, now);
 }
 
-void noteLogRead(OwnershipState &state, Instant startedAt)
+void recordLogRead(OwnershipState &state, Instant startedAt)
 {
     state.logReadAt = std::max(state.logReadAt, startedAt);
-    state.everReadLog = true;
+    state.hasReadLog = true;
 }
 
-void noteZonePeersHeard(OwnershipState &state, Instant heardAt)
+void recordZonePeersContact(OwnershipState &state, Instant heardAt)
 {
-    state.peersHeardAt = std::max(state.peersHeardAt, heardAt);
+    state.zonePeersContactAt = std::max(state.zonePeersContactAt, heardAt);
 }
 
-void noteClaim(OwnershipState &state, TargetId target, VmId owner, const FencingToken &token,
-               bool released)
+void applyClaim(OwnershipState &state, TargetId target, VmId owner, const FencingToken &token,
+                bool released)
 {
     state.highest = std::max(state.highest, token);
     TargetClaim *claim = claimOf(state, target);
@@ -228,10 +228,10 @@
     claim->owner = owner;
     claim->ownerToken = token;
     claim->released = released;
-    claim->everOwned = true;
+    claim->wasOwned = true;
 }
 
-void noteAppended(OwnershipState &state, const std::vector<TargetId> &targets, std::uint64_t offset,
+void finishAppend(OwnershipState &state, const std::vector<TargetId> &targets, std::uint64_t offset,
                   Instant now)
 {
     for (const TargetId target : targets) {
@@ -247,8 +247,8 @@
     }
 }
 
-void noteEngineAccepted(OwnershipState &state, TargetId target, const FencingToken &token,
-                        Instant askedAt, Instant now)
+void recordEngineAccepted(OwnershipState &state, TargetId target, const FencingToken &token,
+                          Instant askedAt, Instant now)
 {
     TargetClaim *claim = claimOf(state, target);
     if (claim == nullptr || claim->phase == ClaimPhase::None || claim->token != token)
@@ -259,7 +259,7 @@
     claim->leaseUntil = std::max(claim->leaseUntil, askedAt + state.config.lease);
 }
 
-void noteEngineRefused(OwnershipState &state, TargetId target, const FencingToken &higher)
+void recordEngineRefused(OwnershipState &state, TargetId target, const FencingToken &higher)
 {
     state.highest = std::max(state.highest, higher);
     TargetClaim *claim = claimOf(state, target);
@@ -307,13 +307,13 @@
         return false;
     // On a fenced engine the previous owner can evict nothing any more, so requests may run beside
     // its last ones. An unfenced engine still obeys it.
-    return claim->target.checksTokens || now >= claim->orderAfter;
+    return claim->target.checksTokens || now >= claim->commandAfter;
 }
 
 bool mayCommand(const OwnershipState &state, TargetId target, Instant now)
 {
     const TargetClaim *claim = findClaim(state, target);
-    return claim != nullptr && mayDispatch(state, target, now) && now >= claim->orderAfter;
+    return claim != nullptr && mayDispatch(state, target, now) && now >= claim->commandAfter;
 }
 
 VmId ownerOf(const OwnershipState &state, TargetId target)
--- a/libs/ownership/tests/OwnershipSchedules.cpp
+++ b/libs/ownership/tests/OwnershipSchedules.cpp
@@ -170,7 +170,7 @@
         oldest = std::min(oldest, vm.exchangedAt[other]);
     }
     setCandidates(vm.state, alive);
-    noteZonePeersHeard(vm.state, oldest);
+    recordZonePeersContact(vm.state, oldest);
 }
 
 void readLog(World &world, Vm &vm)
@@ -180,9 +180,9 @@
     for (; vm.logRead < world.log.size(); ++vm.logRead) {
         const LogClaim &claim = world.log[vm.logRead];
         if (claim.vm != vm.state.self)
-            noteClaim(vm.state, target, claim.vm, FencingToken{claim.offset, 0}, false);
+            applyClaim(vm.state, target, claim.vm, FencingToken{claim.offset, 0}, false);
     }
-    noteLogRead(vm.state, world.now);
+    recordLogRead(vm.state, world.now);
 }
 
 void append(World &world, Vm &vm, const std::vector<TargetId> &targets)
@@ -195,7 +195,7 @@
             offset = 0;
         world.loseNextAppend = false;
     }
-    noteAppended(vm.state, targets, offset, world.now);
+    finishAppend(vm.state, targets, offset, world.now);
 }
 
 void claimAtEngine(World &world, Vm &vm, const EngineClaim &claim)
@@ -203,11 +203,11 @@
     if (!vm.reachesEngine)
         return;
     if (world.fenced && claim.token < world.engineToken) {
-        noteEngineRefused(vm.state, target, world.engineToken);
+        recordEngineRefused(vm.state, target, world.engineToken);
         return;
     }
     world.engineToken = std::max(world.engineToken, claim.token);
-    noteEngineAccepted(vm.state, target, claim.token, world.now, world.now);
+    recordEngineAccepted(vm.state, target, claim.token, world.now, world.now);
 }
 
 void tellPeers(World &world, std::size_t index)
@@ -217,7 +217,7 @@
         return;
     for (std::size_t other = 0; other < vmCount; ++other) {
         if (other != index && connected(world, index, other))
-            noteClaim(world.vms[other].state, target, idOf(index), claim->token, false);
+            applyClaim(world.vms[other].state, target, idOf(index), claim->token, false);
     }
 }
 
@@ -351,12 +351,12 @@
     OwnershipState state = makeOwnership({}, VmId{1}, "zone", Instant{});
     setTargets(state, {OwnedTarget{target, "zone", true}});
     setCandidates(state, {{VmId{1}, "zone"}});
-    noteClaim(state, target, VmId{2}, FencingToken{500, 3}, false);
+    applyClaim(state, target, VmId{2}, FencingToken{500, 3}, false);
     const Instant now = Instant{} + std::chrono::seconds(10);
     noteReachable(state, target, now);
     const OwnershipActions actions = tick(state, now);
     cr_assert_eq(actions.append.size(), 1);
-    noteAppended(state, actions.append, 7, now);
+    finishAppend(state, actions.append, 7, now);
     cr_assert(findClaim(state, target)->token > (FencingToken{500, 3}));
 }
 
--- a/libs/quota/benchmark/Admitting.cpp
+++ b/libs/quota/benchmark/Admitting.cpp
@@ -17,16 +17,16 @@
     limit.ratePerSecond = 887000;
     limit.burst = 887000;
     const QuotaPolicy policy;
-    SpendRecord record;
+    UsageWindow record;
     Instant now = Instant{} + std::chrono::seconds(1000);
     for (auto _ : state) {
         now += std::chrono::milliseconds(10);
-        noteAsked(record, policy, 9190, now);
-        FleetUse fleet;
-        fleet.use = useOf(record, policy, now);
-        const QuotaVerdict verdict = admitCall(record, limit, policy, fleet, 9190, now);
+        recordRequested(record, policy, 9190, now);
+        FleetUsage fleet;
+        fleet.use = usageOf(record, policy, now);
+        const QuotaDecision verdict = admitCall(record, limit, policy, fleet, 9190, now);
         if (verdict.admitted)
-            noteSpent(record, policy, 9190, now);
+            recordUsage(record, policy, 9190, now);
         benchmark::DoNotOptimize(verdict);
     }
 }
@@ -42,20 +42,21 @@
     limit.burst = 20000;
     const QuotaPolicy policy;
     constexpr std::array<std::int64_t, 4> sizes{9190, 200, 826, 200};
-    SpendRecord record;
+    UsageWindow record;
     Instant now = Instant{} + std::chrono::seconds(1000);
     std::size_t call = 0;
     for (auto _ : state) {
         now += std::chrono::milliseconds(10);
         const std::int64_t units = sizes[++call % sizes.size()];
         const int rank = units == 826 ? 0 : 1;
-        const CallClass callClass = classOf(useOf(record, policy, now), units, rank);
-        noteAsked(record, policy, units, now, callClass);
-        FleetUse fleet;
-        fleet.use = useOf(record, policy, now);
-        const QuotaVerdict verdict = admitCall(record, limit, policy, fleet, units, now, callClass);
+        const CallClass callClass = classOf(usageOf(record, policy, now), units, rank);
+        recordRequested(record, policy, units, now, callClass);
+        FleetUsage fleet;
+        fleet.use = usageOf(record, policy, now);
+        const QuotaDecision verdict =
+            admitCall(record, limit, policy, fleet, units, now, callClass);
         if (verdict.admitted)
-            noteSpent(record, policy, units, now);
+            recordUsage(record, policy, units, now);
         benchmark::DoNotOptimize(verdict);
     }
 }
--- a/libs/quota/include/quota/CallClass.h
+++ b/libs/quota/include/quota/CallClass.h
@@ -15,9 +15,9 @@
     Rank2, ///< and above
 };
 
-constexpr std::size_t callClasses = 4;
+constexpr std::size_t callClassCount = 4;
 
-using ByClass = std::array<std::int64_t, callClasses>;
+using CountsByClass = std::array<std::int64_t, callClassCount>;
 
 constexpr std::size_t indexOf(CallClass callClass) noexcept
 {
--- a/libs/quota/include/quota/FleetSize.h
+++ b/libs/quota/include/quota/FleetSize.h
@@ -16,7 +16,7 @@
     Instant heardAt{}; ///< when all known ones were heard last; zero: they are only listed
     Instant begunAt{}; ///< when the first count was noted
     int least = 0; ///< that were heard at once in the present span
-    Instant spanFrom{}; ///< zero: nothing was noted yet
+    Instant spanStartedAt{}; ///< zero: nothing was noted yet
     bool firstSpan = true;
 
     auto operator<=>(const FleetSize &) const = default;
@@ -32,6 +32,6 @@
     auto operator<=>(const VmCount &) const = default;
 };
 
-void noteVms(FleetSize &size, const VmCount &count, Instant now) noexcept;
+void updateFleetSize(FleetSize &size, const VmCount &count, Instant now) noexcept;
 
 } // namespace monsoonbay
--- a/libs/quota/include/quota/SpendNote.h
+++ b/libs/quota/include/quota/SpendNote.h
@@ -12,10 +12,10 @@
 namespace monsoonbay {
 
 /** Part of what may be used in a window that is let run without a note in the store. */
-constexpr double noteShare = 0.5;
+constexpr double shareWithoutSnapshot = 0.5;
 
 /** More than that is let run for as long after the request began that wrote the note. */
-constexpr Duration noteFresh = std::chrono::seconds(2);
+constexpr Duration permitLifetime = std::chrono::seconds(2);
 
 /** Notes and permits name parts of what may be used in a window in these. */
 constexpr int allPercent = 100;
@@ -34,38 +34,40 @@
 using SpendNote = std::map<std::string, NotedSpend>; ///< by workspace
 
 /** What a VM read of the notes when it started. */
-struct NotesAtStart
+struct StartupSnapshots
 {
     bool wereRead = false;
     Instant readAt{};
     std::vector<SpendNote> zones;
 
-    auto operator<=>(const NotesAtStart &) const = default;
+    auto operator<=>(const StartupSnapshots &) const = default;
 };
 
 /**
  * Another VM of the zone, which answers, read `told` when it started. It may have been part of the
  * same restart of all VMs: then its notes are of before that, and those read here may not be.
  */
-void takeNotes(NotesAtStart &own, const NotesAtStart &told, const QuotaPolicy &policy, Instant now);
+void adoptSnapshots(StartupSnapshots &own, const StartupSnapshots &told, const QuotaPolicy &policy,
+                    Instant now);
 
 /** Units of a note that have left the window `after` its reader started, at least. */
-std::int64_t unitsLeft(const UnitsByAge &units, const QuotaPolicy &policy, Duration after) noexcept;
+std::int64_t minUnitsExpired(const UnitsByAge &units, const QuotaPolicy &policy,
+                             Duration after) noexcept;
 
 /**
  * What a VM that started at `startedAt` counts as used before: its part of what all VMs may have
  * let run, as far as the window still holds it.
  */
-WorkspaceUse useAtStart(const std::string &workspace, const WorkspaceLimit &limit,
-                        const QuotaPolicy &policy, const NotesAtStart &notes, int knownVms,
-                        Instant startedAt, Instant now);
+WorkspaceUse assumedUsageAtStart(const std::string &workspace, const WorkspaceLimit &limit,
+                                 const QuotaPolicy &policy, const StartupSnapshots &notes,
+                                 int knownVms, Instant startedAt, Instant now);
 
 /**
- * Adds to `sum`, for a note, what useAtStart() counts to the end: units that were let run before
- * the start and leave the window with it, at the latest.
+ * Adds to `sum`, for a note, what assumedUsageAtStart() counts to the end: units that were let run
+ * before the start and leave the window with it, at the latest.
  */
-void addUnitsBeforeStart(UnitsByAge &sum, const std::string &workspace, const WorkspaceLimit &limit,
-                         const QuotaPolicy &policy, const NotesAtStart &notes, int knownVms,
-                         Instant startedAt, Instant now);
+void addAssumedUnits(UnitsByAge &sum, const std::string &workspace, const WorkspaceLimit &limit,
+                     const QuotaPolicy &policy, const StartupSnapshots &notes, int knownVms,
+                     Instant startedAt, Instant now);
 
 } // namespace monsoonbay
--- a/libs/quota/include/quota/SpendRecord.h
+++ b/libs/quota/include/quota/UsageWindow.h
@@ -12,32 +12,32 @@
 namespace monsoonbay {
 
 /** What calls of one workspace used at one VM, by parts of the window. */
-struct SpendRecord
+struct UsageWindow
 {
     static constexpr std::size_t parts = 32; ///< of the window
 
     WindowCounts<std::int64_t, parts> spent;
     WindowCounts<std::int64_t, parts> asked;
     Instant since{}; ///< the VM's start: there were no asks before
-    std::array<WindowCounts<std::int64_t, parts>, callClasses> askedByClass;
-    std::array<WindowCounts<std::int64_t, parts>, callClasses> callsByClass;
+    std::array<WindowCounts<std::int64_t, parts>, callClassCount> requestedByClass;
+    std::array<WindowCounts<std::int64_t, parts>, callClassCount> callsInWindowByClass;
     double carry = 0; ///< see admitCall(); in [0, 1)
-    std::array<double, callClasses> carried{}; ///< by class, what was added to `carry` since
+    std::array<double, callClassCount> carried{}; ///< by class, what was added to `carry` since
 };
 
 /** A call asks for `units`, whether it gets them or not. */
-void noteAsked(SpendRecord &record, const QuotaPolicy &policy, std::int64_t units, Instant now,
-               CallClass callClass = CallClass::Rank2);
+void recordRequested(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
+                     Instant now, CallClass callClass = CallClass::Rank2);
 
-void noteSpent(SpendRecord &record, const QuotaPolicy &policy, std::int64_t units, Instant now);
+void recordUsage(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant now);
 
 /** A call that was let run at `spentAt` has not run. */
-void giveBack(SpendRecord &record, const QuotaPolicy &policy, std::int64_t units, Instant spentAt,
+void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant spentAt,
               Instant now);
 
-WorkspaceUse useOf(SpendRecord &record, const QuotaPolicy &policy, Instant now);
+WorkspaceUse usageOf(UsageWindow &record, const QuotaPolicy &policy, Instant now);
 
 /** Units a second that were asked for, as it was told `before` ago. */
-double askedBefore(SpendRecord &record, const QuotaPolicy &policy, Duration before, Instant now);
+double askedBefore(UsageWindow &record, const QuotaPolicy &policy, Duration before, Instant now);
 
 } // namespace monsoonbay
--- a/libs/quota/include/quota/WorkspaceLimit.h
+++ b/libs/quota/include/quota/WorkspaceLimit.h
@@ -20,7 +20,7 @@
     QuotaUnit unit = QuotaUnit::Calls;
     double ratePerSecond = 0; ///< units; 0: no limit
     double burst = 0; ///< units that may come beside the rate
-    std::int64_t tokensIfUnsaid = 0; ///< of a call that does not say how many it has
+    std::int64_t defaultTokens = 0; ///< of a call that does not say how many it has
 
     auto operator<=>(const WorkspaceLimit &) const = default;
 };
@@ -47,6 +47,6 @@
 double grantedInWindow(const WorkspaceLimit &limit, const QuotaPolicy &policy) noexcept;
 
 /** The most units that all VMs may let run in one window. */
-double mostInWindow(const WorkspaceLimit &limit, const QuotaPolicy &policy) noexcept;
+double maxInWindow(const WorkspaceLimit &limit, const QuotaPolicy &policy) noexcept;
 
 } // namespace monsoonbay
--- a/libs/quota/include/quota/WorkspaceUse.h
+++ b/libs/quota/include/quota/WorkspaceUse.h
@@ -14,10 +14,10 @@
 struct WorkspaceUse
 {
     std::int64_t whole = 0; ///< units in the window
-    std::int64_t askedPerSecond = 0; ///< units, whether they were let run or not
-    ByClass askedByClass{}; ///< of askedPerSecond; the rest is of the last class
-    ByClass callsByClass{}; ///< calls that asked in the window
-    std::int64_t askedInWindow = 0; ///< units of these calls
+    std::int64_t requestedPerSecond = 0; ///< units, whether they were let run or not
+    CountsByClass requestedByClass{}; ///< of requestedPerSecond; the rest is of the last class
+    CountsByClass callsInWindowByClass{}; ///< calls that asked in the window
+    std::int64_t requestedInWindow = 0; ///< units of these calls
 
     bool operator==(const WorkspaceUse &) const = default;
 };
--- a/libs/quota/src/Admission.cpp
+++ b/libs/quota/src/Admission.cpp
@@ -36,9 +36,9 @@
 
 /** Units a second that all VMs in touch together may let run now. */
 double admittedPerSecond(const WorkspaceLimit &limit, const QuotaPolicy &policy,
-                         const FleetUse &fleet) noexcept
+                         const FleetUsage &fleet) noexcept
 {
-    const double room = shareInTouch(fleet) * fleet.allowed * usableInWindow(limit, policy)
+    const double room = reachableShare(fleet) * fleet.allowed * usableInWindow(limit, policy)
         - static_cast<double>(fleet.use.whole);
     return std::max(room / secondsToFill(policy, fleet), 0.0);
 }
@@ -49,24 +49,25 @@
  */
 double typicalUnits(const WorkspaceUse &use, std::int64_t units)
 {
-    const auto classes = std::count_if(use.callsByClass.begin(), use.callsByClass.end(),
-                                       [](std::int64_t calls) { return calls > 0; });
+    const auto classes =
+        std::count_if(use.callsInWindowByClass.begin(), use.callsInWindowByClass.end(),
+                      [](std::int64_t calls) { return calls > 0; });
     if (classes < 2)
         return static_cast<double>(units);
-    const std::int64_t calls =
-        std::accumulate(use.callsByClass.begin(), use.callsByClass.end(), std::int64_t{0});
-    return static_cast<double>(use.askedInWindow) / static_cast<double>(calls);
+    const std::int64_t calls = std::accumulate(use.callsInWindowByClass.begin(),
+                                               use.callsInWindowByClass.end(), std::int64_t{0});
+    return static_cast<double>(use.requestedInWindow) / static_cast<double>(calls);
 }
 
 // Units a second that all VMs in touch are asked for now; what they told of it is older. Where
 // calls are many, the asks at this VM grow as those at all others do: they are a sample. A few
 // calls say nothing, so as many are counted on both sides as make the ratio change little.
-double askedNow(SpendRecord &own, const QuotaPolicy &policy, const FleetUse &fleet,
+double askedNow(UsageWindow &own, const QuotaPolicy &policy, const FleetUsage &fleet,
                 std::int64_t units, Instant now)
 {
     const double here = askedBefore(own, policy, Duration::zero(), now);
     const double before = askedBefore(own, policy, fleet.updateAge, now);
-    const double others = std::max(static_cast<double>(fleet.use.askedPerSecond) - here, 0.0);
+    const double others = std::max(static_cast<double>(fleet.use.requestedPerSecond) - here, 0.0);
     const double few = fewCalls * typicalUnits(fleet.use, units) / toSeconds(policy.window);
     const double growth = (here + few) / (before + few);
     return here + others * std::clamp(growth, 1 / mostGrowth, mostGrowth);
@@ -74,23 +75,23 @@
 
 // `asked` is divided as the VMs told; what they told without classes is of the last one. The calls
 // are those of a whole window at all VMs, heard or not: others of the workspace's calls fare alike.
-ClassDemand classDemandOf(const QuotaPolicy &policy, const FleetUse &fleet, double asked)
+ClassDemand classDemandOf(const QuotaPolicy &policy, const FleetUsage &fleet, double asked)
 {
     const WorkspaceUse &use = fleet.use;
-    const double inWindow = asked * toSeconds(policy.window) / shareInTouch(fleet);
+    const double inWindow = asked * toSeconds(policy.window) / reachableShare(fleet);
     const double times =
-        inWindow / static_cast<double>(std::max<std::int64_t>(use.askedInWindow, 1));
+        inWindow / static_cast<double>(std::max<std::int64_t>(use.requestedInWindow, 1));
     const std::int64_t told =
-        std::accumulate(use.askedByClass.begin(), use.askedByClass.end(), std::int64_t{0});
-    const std::int64_t whole = std::max<std::int64_t>({use.askedPerSecond, told, 1});
-    ByClass parts = use.askedByClass;
+        std::accumulate(use.requestedByClass.begin(), use.requestedByClass.end(), std::int64_t{0});
+    const std::int64_t whole = std::max<std::int64_t>({use.requestedPerSecond, told, 1});
+    CountsByClass parts = use.requestedByClass;
     parts.back() += whole - told;
     ClassDemand demand;
     demand.vms = std::max(fleet.knownVms, fleet.reachableVms);
-    for (std::size_t index = 0; index < callClasses; ++index) {
+    for (std::size_t index = 0; index < callClassCount; ++index) {
         demand.units[index] =
             asked * static_cast<double>(parts[index]) / static_cast<double>(whole);
-        demand.calls[index] = times * static_cast<double>(use.callsByClass[index]);
+        demand.calls[index] = times * static_cast<double>(use.callsInWindowByClass[index]);
     }
     return demand;
 }
@@ -98,25 +99,25 @@
 // Where one call is more than the part of these VMs, the share alone decides: it then lets run as
 // many of such calls, over all parts, as fit together. So it does where a call is larger than what
 // stays free of their part, but not of the whole: beside smaller calls, it would hardly ever fit.
-bool isDecidedByShare(const WorkspaceLimit &limit, const QuotaPolicy &policy, const FleetUse &fleet,
-                      double cost)
+bool isDecidedByShare(const WorkspaceLimit &limit, const QuotaPolicy &policy,
+                      const FleetUsage &fleet, double cost)
 {
-    const double whole = mostInWindow(limit, policy);
-    const double part = shareInTouch(fleet) * whole;
+    const double whole = maxInWindow(limit, policy);
+    const double part = reachableShare(fleet) * whole;
     const double free = steadyRoom * fleet.allowed;
     return (cost > part && cost <= whole) || (cost > free * part && cost <= free * whole);
 }
 
 } // namespace
 
-double shareInTouch(const FleetUse &fleet) noexcept
+double reachableShare(const FleetUsage &fleet) noexcept
 {
     const int known = std::max({fleet.knownVms, fleet.reachableVms, 1});
     return static_cast<double>(std::max(fleet.reachableVms, 1)) / known;
 }
 
 // No faster than use is heard of: until then, what was let run elsewhere has been told.
-double secondsToFill(const QuotaPolicy &policy, const FleetUse &fleet) noexcept
+double secondsToFill(const QuotaPolicy &policy, const FleetUsage &fleet) noexcept
 {
     return std::max(fillShare * toSeconds(policy.window), 2 * toSeconds(fleet.updateAge));
 }
@@ -132,26 +133,27 @@
 // old only shift a share a little. The carry spreads what is let run evenly, whatever the calls'
 // sizes; it is drawn for each VM, or all would let their first call run at the same time. Each
 // class has its own, so that small calls do not wait for the spacing of large ones.
-QuotaVerdict admitCall(SpendRecord &own, const WorkspaceLimit &limit, const QuotaPolicy &policy,
-                       const FleetUse &fleet, std::int64_t units, Instant now, CallClass callClass)
+QuotaDecision admitCall(UsageWindow &own, const WorkspaceLimit &limit, const QuotaPolicy &policy,
+                        const FleetUsage &fleet, std::int64_t units, Instant now,
+                        CallClass callClass)
 {
     if (!isLimited(limit))
         return {true, {}, 1, true};
     const double asked = std::max(askedNow(own, policy, fleet, units, now), 1.0);
     // What was let run since the others told of it counts as used already.
-    FleetUse ahead = fleet;
+    FleetUsage ahead = fleet;
     const double letRun = std::min(admittedPerSecond(limit, policy, fleet), asked);
     const double leaving = static_cast<double>(fleet.use.whole) / toSeconds(policy.window);
     const double untold = std::max(letRun - leaving, 0.0) * toSeconds(fleet.updateAge);
     ahead.use.whole += static_cast<std::int64_t>(untold);
     const double rate = admittedPerSecond(limit, policy, ahead);
-    const double most = shareInTouch(fleet) * mostInWindow(limit, policy);
+    const double most = reachableShare(fleet) * maxInWindow(limit, policy);
     const auto cost = static_cast<double>(units);
     const double allowed = most * fleet.allowed;
     const double room = allowed - static_cast<double>(ahead.use.whole);
     const bool fits = cost <= room || isDecidedByShare(limit, policy, fleet, cost);
     const ClassDemand demand = classDemandOf(policy, fleet, asked);
-    const double share = sharesOf(demand, std::min(rate / asked, 1.0))[indexOf(callClass)];
+    const double share = classSharesOf(demand, std::min(rate / asked, 1.0))[indexOf(callClass)];
     double &carried = own.carried[indexOf(callClass)];
     carried += fits ? share : 0;
     if (own.carry + carried >= 1) {
@@ -164,8 +166,8 @@
 }
 
 // As much as may have been used, but for what lets the rate go on from the first moment.
-WorkspaceUse useBeforeStart(const WorkspaceLimit &limit, const QuotaPolicy &policy, int knownVms,
-                            Duration sinceStart) noexcept
+WorkspaceUse assumedUsageBeforeStart(const WorkspaceLimit &limit, const QuotaPolicy &policy,
+                                     int knownVms, Duration sinceStart) noexcept
 {
     const double window = toSeconds(policy.window);
     const double kept = std::clamp(1 + endShare - toSeconds(sinceStart) / window, 0.0, 1.0);
--- a/libs/quota/src/CallClass.cpp
+++ b/libs/quota/src/CallClass.cpp
@@ -4,8 +4,8 @@
 
 std::string_view textOf(CallClass callClass) noexcept
 {
-    constexpr std::array<std::string_view, callClasses> texts{"small", "rank-0", "rank-1",
-                                                              "rank-2"};
+    constexpr std::array<std::string_view, callClassCount> texts{"small", "rank-0", "rank-1",
+                                                                 "rank-2"};
     return texts[indexOf(callClass)];
 }
 
--- a/libs/quota/src/ClassShares.cpp
+++ b/libs/quota/src/ClassShares.cpp
@@ -26,7 +26,7 @@
 
 constexpr int halvings = 10;
 
-double sumOf(const std::array<double, callClasses> &values)
+double sumOf(const std::array<double, callClassCount> &values)
 {
     return std::accumulate(values.begin(), values.end(), 0.0);
 }
@@ -36,7 +36,7 @@
     ClassShares shares;
     shares.fill(least);
     double left = std::max(unitsAdmitted - least * sumOf(demand.units), 0.0);
-    for (std::size_t index = 0; index < callClasses; ++index) {
+    for (std::size_t index = 0; index < callClassCount; ++index) {
         const double asked = demand.units[index];
         if (asked <= 0)
             continue;
@@ -68,7 +68,7 @@
     double calls = 0;
     double admitted = 0;
     double fewest = 1;
-    for (std::size_t index = 0; index < callClasses; ++index) {
+    for (std::size_t index = 0; index < callClassCount; ++index) {
         calls += demand.calls[index];
         admitted += demand.calls[index] * shares[index];
         if (demand.units[index] > 0)
@@ -81,7 +81,7 @@
 
 // Where the least share has to be more than `leastShare` gives, it is the smallest that serves
 // every class often enough. The even share always does, so there is one.
-ClassShares sharesOf(const ClassDemand &demand, double evenShare) noexcept
+ClassShares classSharesOf(const ClassDemand &demand, double evenShare) noexcept
 {
     ClassShares even;
     even.fill(evenShare);
--- a/libs/quota/src/FleetSize.cpp
+++ b/libs/quota/src/FleetSize.cpp
@@ -33,23 +33,23 @@
 
 // The list names VMs that are gone for long as well, so it only counts until the first ones that
 // are heard have been counted.
-void noteVms(FleetSize &size, const VmCount &count, Instant now) noexcept
+void updateFleetSize(FleetSize &size, const VmCount &count, Instant now) noexcept
 {
     if (size.heardAt == Instant{})
         size.known = std::max(size.known, count.listed);
-    if (size.spanFrom == Instant{}) {
+    if (size.spanStartedAt == Instant{}) {
         size.begunAt = now;
-        size.spanFrom = now;
+        size.spanStartedAt = now;
         size.least = count.inTouch;
     }
     size.least = std::min(size.least, count.inTouch);
-    if (now - size.spanFrom < span)
+    if (now - size.spanStartedAt < span)
         return;
     // In its first span a VM does not hear all yet.
     if (!size.firstSpan)
         takeSettled(size, size.least, count.storeHeard, now);
     size.firstSpan = false;
-    size.spanFrom = now;
+    size.spanStartedAt = now;
     size.least = count.inTouch;
 }
 
--- a/libs/quota/src/UnitsByAge.cpp
+++ b/libs/quota/src/UnitsByAge.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr auto ages = static_cast<std::int64_t>(agesInWindow);
-constexpr std::int64_t partsPerAge = static_cast<std::int64_t>(SpendRecord::parts) / ages;
-static_assert(partsPerAge * ages == static_cast<std::int64_t>(SpendRecord::parts));
+constexpr auto ages = static_cast<std::int64_t>(ageBuckets);
+constexpr std::int64_t partsPerAge = static_cast<std::int64_t>(UsageWindow::parts) / ages;
+static_assert(partsPerAge * ages == static_cast<std::int64_t>(UsageWindow::parts));
 
 } // namespace
 
-UnitsByAge unitsByAge(SpendRecord &record, const QuotaPolicy &policy, Instant now)
+UnitsByAge unitsByAge(UsageWindow &record, const QuotaPolicy &policy, Instant now)
 {
     advance(record.spent, policy.window, now);
     UnitsByAge units{};
--- a/libs/quota/src/SpendNoting.cpp
+++ b/libs/quota/src/UsageSnapshotWriter.cpp
@@ -1,4 +1,4 @@
-#include "quota/SpendNoting.h"
+#include "quota/UsageSnapshotWriter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,9 +14,9 @@
 constexpr int percentSpare = 4;
 
 /** What both allow. */
-SpendPercents leastOf(const SpendPercents &first, const SpendPercents &second)
+UsagePercents leastOf(const UsagePercents &first, const UsagePercents &second)
 {
-    SpendPercents least;
+    UsagePercents least;
     for (const auto &[workspace, percent] : first) {
         const auto other = second.find(workspace);
         if (other != second.end())
@@ -30,13 +30,13 @@
 // Calls are slowed down when room is less than what is asked for while it is given away, so that
 // much is added. A note that permits no more than a workspace is about to use leaves more room
 // after a restart of all VMs than one that permits everything.
-int percentWanted(const WorkspaceLimit &limit, const QuotaPolicy &policy, const FleetUse &fleet)
+int percentNeeded(const WorkspaceLimit &limit, const QuotaPolicy &policy, const FleetUsage &fleet)
 {
     const double ahead = toSeconds(noteSpacing) + secondsToFill(policy, fleet);
     const double expected = static_cast<double>(fleet.use.whole)
-        + static_cast<double>(fleet.use.askedPerSecond) * ahead;
-    const double share = expected / (shareInTouch(fleet) * usableInWindow(limit, policy));
-    if (share < noteShare)
+        + static_cast<double>(fleet.use.requestedPerSecond) * ahead;
+    const double share = expected / (reachableShare(fleet) * usableInWindow(limit, policy));
+    if (share < shareWithoutSnapshot)
         return 0;
     const double percent = std::ceil(std::min(share, 1.0) * allPercent);
     return std::min(static_cast<int>(percent) + percentSpare, allPercent);
@@ -47,44 +47,44 @@
 // everything. Else the former writer's last note stays until its permits are over: while all VMs
 // end within a second, each that takes over would replace a precise note by one that names
 // everything.
-void beginNoting(SpendNoting &noting, const std::vector<std::string> &workspaces,
-                 const QuotaPolicy &policy, Instant startedAt, Instant now)
+void startSnapshotWriter(UsageSnapshotWriter &noting, const std::vector<std::string> &workspaces,
+                         const QuotaPolicy &policy, Instant startedAt, Instant now)
 {
-    noting = SpendNoting();
-    noting.mayName = true;
+    noting = UsageSnapshotWriter();
+    noting.maybeInStore = true;
     if (now - startedAt >= policy.window) {
-        noting.notBefore = now + noteFresh;
+        noting.notBefore = now + permitLifetime;
         return;
     }
     for (const std::string &workspace : workspaces)
-        noting.held[workspace] = {allPercent, now + noteFresh};
+        noting.held[workspace] = {allPercent, now + permitLifetime};
 }
 
-// A permit counts for `noteFresh`. Until those that went beyond what is wanted now are over, notes
-// have to name what they allow.
-void noteWanted(SpendNoting &noting, SpendPercents wanted, Instant now)
+// A permit counts for `permitLifetime`. Until those that went beyond what is wanted now are over,
+// notes have to name what they allow.
+void updateWantedPercents(UsageSnapshotWriter &noting, UsagePercents wanted, Instant now)
 {
     std::erase_if(noting.held, [now](const auto &entry) { return entry.second.until <= now; });
     for (const auto &[workspace, percent] : wanted) {
-        HeldPercent &held = noting.held[workspace];
+        MinPercent &held = noting.held[workspace];
         if (percent >= held.percent)
-            held = {percent, now + noteFresh};
+            held = {percent, now + permitLifetime};
     }
     noting.wanted = std::move(wanted);
 }
 
-bool isNoteDue(const SpendNoting &noting, Instant now)
+bool isWriteDue(const UsageSnapshotWriter &noting, Instant now)
 {
     if (noting.isWriting || now < noting.notBefore)
         return false;
     if (noting.begunAt != Instant{} && now - noting.begunAt < noteSpacing)
         return false;
-    return !noting.wanted.empty() || (noting.mayName && noting.held.empty());
+    return !noting.wanted.empty() || (noting.maybeInStore && noting.held.empty());
 }
 
 // The new note may be in the store before its answer is, or without one: from now on no more is
 // permitted than both notes name.
-SpendPercents beginNote(SpendNoting &noting, Instant now)
+UsagePercents beginSnapshot(UsageSnapshotWriter &noting, Instant now)
 {
     noting.writing.clear();
     for (const auto &[workspace, held] : noting.held)
@@ -92,30 +92,30 @@
     noting.acknowledged.percents = leastOf(noting.acknowledged.percents, noting.writing);
     noting.isWriting = true;
     noting.begunAt = now;
-    noting.mayName = noting.mayName || !noting.writing.empty();
+    noting.maybeInStore = noting.maybeInStore || !noting.writing.empty();
     return noting.writing;
 }
 
-void endNote(SpendNoting &noting, bool acknowledged)
+void endSnapshot(UsageSnapshotWriter &noting, bool acknowledged)
 {
     noting.isWriting = false;
     if (!acknowledged)
         return;
-    noting.mayName = !noting.writing.empty();
+    noting.maybeInStore = !noting.writing.empty();
     noting.acknowledged = {std::move(noting.writing), noting.begunAt};
 }
 
-SpendPermits permitsOf(const SpendNoting &noting)
+UsagePermits permitsOf(const UsageSnapshotWriter &noting)
 {
     return {leastOf(noting.wanted, noting.acknowledged.percents), noting.acknowledged.at};
 }
 
-double shareAllowed(const SpendPermits &permits, const std::string &workspace, Instant now)
+double shareAllowed(const UsagePermits &permits, const std::string &workspace, Instant now)
 {
     const auto named = permits.percents.find(workspace);
-    const bool counts = named != permits.percents.end() && now - permits.at < noteFresh;
-    return counts ? std::max(static_cast<double>(named->second) / allPercent, noteShare)
-                  : noteShare;
+    const bool counts = named != permits.percents.end() && now - permits.at < permitLifetime;
+    return counts ? std::max(static_cast<double>(named->second) / allPercent, shareWithoutSnapshot)
+                  : shareWithoutSnapshot;
 }
 
 } // namespace monsoonbay
--- a/libs/quota/src/SpendRecord.cpp
+++ b/libs/quota/src/UsageWindow.cpp
@@ -1,4 +1,4 @@
-#include "quota/SpendRecord.h"
+#include "quota/UsageWindow.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,13 +8,13 @@
 namespace {
 
 /** Parts that asks are averaged over: a few calls, and no longer than a burst. */
-constexpr std::int64_t partsAveraged = SpendRecord::parts / 4;
+constexpr std::int64_t partsAveraged = UsageWindow::parts / 4;
 
 /** `until`: end of the parts that the units are of. */
-double perSecond(const SpendRecord &record, const QuotaPolicy &policy, std::int64_t units,
+double perSecond(const UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
                  Instant until)
 {
-    const Duration part = policy.window / static_cast<std::int64_t>(SpendRecord::parts);
+    const Duration part = policy.window / static_cast<std::int64_t>(UsageWindow::parts);
     const Duration averaged =
         std::clamp<Duration>(until - record.since, part, part * partsAveraged);
     return static_cast<double>(units) / toSeconds(averaged);
@@ -22,20 +22,20 @@
 
 } // namespace
 
-void noteAsked(SpendRecord &record, const QuotaPolicy &policy, std::int64_t units, Instant now,
-               CallClass callClass)
+void recordRequested(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
+                     Instant now, CallClass callClass)
 {
     advance(record.asked, policy.window, now) += units;
-    advance(record.askedByClass[indexOf(callClass)], policy.window, now) += units;
-    advance(record.callsByClass[indexOf(callClass)], policy.window, now) += 1;
+    advance(record.requestedByClass[indexOf(callClass)], policy.window, now) += units;
+    advance(record.callsInWindowByClass[indexOf(callClass)], policy.window, now) += 1;
 }
 
-void noteSpent(SpendRecord &record, const QuotaPolicy &policy, std::int64_t units, Instant now)
+void recordUsage(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant now)
 {
     advance(record.spent, policy.window, now) += units;
 }
 
-void giveBack(SpendRecord &record, const QuotaPolicy &policy, std::int64_t units, Instant spentAt,
+void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant spentAt,
               Instant now)
 {
     advance(record.spent, policy.window, now);
@@ -45,26 +45,26 @@
     record.spent.part(record.spent.newest - age) -= units;
 }
 
-WorkspaceUse useOf(SpendRecord &record, const QuotaPolicy &policy, Instant now)
+WorkspaceUse usageOf(UsageWindow &record, const QuotaPolicy &policy, Instant now)
 {
     advance(record.spent, policy.window, now);
     advance(record.asked, policy.window, now);
     WorkspaceUse use;
     use.whole = sumOf(record.spent);
-    use.askedInWindow = sumOf(record.asked);
-    for (std::size_t index = 0; index < callClasses; ++index) {
-        advance(record.askedByClass[index], policy.window, now);
-        advance(record.callsByClass[index], policy.window, now);
-        const std::int64_t asked = sumOf(record.askedByClass[index], 0, partsAveraged);
-        use.askedByClass[index] = std::llround(perSecond(record, policy, asked, now));
+    use.requestedInWindow = sumOf(record.asked);
+    for (std::size_t index = 0; index < callClassCount; ++index) {
+        advance(record.requestedByClass[index], policy.window, now);
+        advance(record.callsInWindowByClass[index], policy.window, now);
+        const std::int64_t asked = sumOf(record.requestedByClass[index], 0, partsAveraged);
+        use.requestedByClass[index] = std::llround(perSecond(record, policy, asked, now));
         // Classes and whole have to agree exactly, whatever is rounded.
-        use.askedPerSecond += use.askedByClass[index];
-        use.callsByClass[index] = sumOf(record.callsByClass[index]);
+        use.requestedPerSecond += use.requestedByClass[index];
+        use.callsInWindowByClass[index] = sumOf(record.callsInWindowByClass[index]);
     }
     return use;
 }
 
-double askedBefore(SpendRecord &record, const QuotaPolicy &policy, Duration before, Instant now)
+double askedBefore(UsageWindow &record, const QuotaPolicy &policy, Duration before, Instant now)
 {
     advance(record.asked, policy.window, now);
     const std::int64_t age = ageOf(record.asked, policy.window, now - before);
--- a/libs/quota/src/WorkspaceLimit.cpp
+++ b/libs/quota/src/WorkspaceLimit.cpp
@@ -6,7 +6,7 @@
 {
     if (limit.unit == QuotaUnit::Calls)
         return 1;
-    return tokens.value_or(limit.tokensIfUnsaid);
+    return tokens.value_or(limit.defaultTokens);
 }
 
 double grantedInWindow(const WorkspaceLimit &limit, const QuotaPolicy &policy) noexcept
@@ -14,7 +14,7 @@
     return limit.ratePerSecond * toSeconds(policy.window) + limit.burst;
 }
 
-double mostInWindow(const WorkspaceLimit &limit, const QuotaPolicy &policy) noexcept
+double maxInWindow(const WorkspaceLimit &limit, const QuotaPolicy &policy) noexcept
 {
     return grantedInWindow(limit, policy) * (1 + policy.excess) + policy.slack;
 }
--- a/libs/quota/src/WorkspaceUse.cpp
+++ b/libs/quota/src/WorkspaceUse.cpp
@@ -18,11 +18,11 @@
 // and would take its own small calls for the usual ones.
 CallClass classOf(const WorkspaceUse &use, std::int64_t units, int rank) noexcept
 {
-    const std::int64_t calls =
-        std::accumulate(use.callsByClass.begin(), use.callsByClass.end(), std::int64_t{1});
+    const std::int64_t calls = std::accumulate(use.callsInWindowByClass.begin(),
+                                               use.callsInWindowByClass.end(), std::int64_t{1});
     const auto cost = static_cast<double>(units);
     const double mean =
-        (static_cast<double>(use.askedInWindow) + cost) / static_cast<double>(calls);
+        (static_cast<double>(use.requestedInWindow) + cost) / static_cast<double>(calls);
     if (cost * smallDivisor <= mean)
         return CallClass::Small;
     const int counted = std::clamp(rank, 0, lastRank);
@@ -37,22 +37,22 @@
 void addUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept
 {
     sum.whole += use.whole;
-    sum.askedPerSecond += use.askedPerSecond;
-    sum.askedInWindow += use.askedInWindow;
-    for (std::size_t index = 0; index < callClasses; ++index) {
-        sum.askedByClass[index] += use.askedByClass[index];
-        sum.callsByClass[index] += use.callsByClass[index];
+    sum.requestedPerSecond += use.requestedPerSecond;
+    sum.requestedInWindow += use.requestedInWindow;
+    for (std::size_t index = 0; index < callClassCount; ++index) {
+        sum.requestedByClass[index] += use.requestedByClass[index];
+        sum.callsInWindowByClass[index] += use.callsInWindowByClass[index];
     }
 }
 
 void subtractUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept
 {
     sum.whole -= use.whole;
-    sum.askedPerSecond -= use.askedPerSecond;
-    sum.askedInWindow -= use.askedInWindow;
-    for (std::size_t index = 0; index < callClasses; ++index) {
-        sum.askedByClass[index] -= use.askedByClass[index];
-        sum.callsByClass[index] -= use.callsByClass[index];
+    sum.requestedPerSecond -= use.requestedPerSecond;
+    sum.requestedInWindow -= use.requestedInWindow;
+    for (std::size_t index = 0; index < callClassCount; ++index) {
+        sum.requestedByClass[index] -= use.requestedByClass[index];
+        sum.callsInWindowByClass[index] -= use.callsInWindowByClass[index];
     }
 }
 
--- a/libs/quota/tests/Classes.cpp
+++ b/libs/quota/tests/Classes.cpp
@@ -20,12 +20,12 @@
 }
 
 /** Days on which a workspace asks for `times` its limit from 12 s to 24 s. */
-std::vector<FleetDay> daysOf(double times)
+std::vector<FleetScenario> daysOf(double times)
 {
-    std::vector<FleetDay> days;
+    std::vector<FleetScenario> days;
     for (const int vms : {7, 70, 300}) {
         for (const double rate : {200000.0, 887000.0}) {
-            FleetDay day;
+            FleetScenario day;
             day.vms = vms;
             day.callersAt = vms;
             day.updateAge = vms == 7 ? 100ms : 450ms;
@@ -41,7 +41,7 @@
     return days;
 }
 
-FleetOutcome playBounded(const FleetDay &day)
+FleetOutcome playBounded(const FleetScenario &day)
 {
     FleetOutcome outcome = simulateDay(day, Division::BySum);
     for (const double served : outcome.servedByClass)
@@ -53,9 +53,9 @@
 }
 
 /** The day with a restart of all, with a zone that is cut off, and with single VMs that are. */
-std::vector<FleetDay> withFaults(const FleetDay &day)
+std::vector<FleetScenario> withFaults(const FleetScenario &day)
 {
-    std::vector<FleetDay> days(3, day);
+    std::vector<FleetScenario> days(3, day);
     days[0].restarts = {std::chrono::seconds(16)};
     days[1].cutTogether = 0.25;
     days[2].cutAlone = day.vms / 3;
@@ -63,7 +63,7 @@
 }
 
 /** Sum over the classes of `amounts`, by their shares. */
-double sumBy(const std::array<double, callClasses> &amounts, const ClassShares &shares)
+double sumBy(const std::array<double, callClassCount> &amounts, const ClassShares &shares)
 {
     return std::inner_product(amounts.begin(), amounts.end(), shares.begin(), 0.0);
 }
@@ -76,16 +76,16 @@
 {
     cr_assert(rc::check("sum", [] {
         ClassDemand demand;
-        for (std::size_t index = 0; index < callClasses; ++index) {
+        for (std::size_t index = 0; index < callClassCount; ++index) {
             demand.units[index] = *rc::gen::inRange(0, 100000);
             demand.calls[index] = *rc::gen::inRange(0, 1000);
         }
         const double even = *rc::gen::inRange(0, 1001) / 1000.0;
-        const ClassShares shares = sharesOf(demand, even);
+        const ClassShares shares = classSharesOf(demand, even);
         const double units = sumBy(demand.units, {even, even, even, even});
         RC_ASSERT(std::abs(sumBy(demand.units, shares) - units) <= 1e-9 * units);
         const double quarter = sumBy(demand.calls, shares) / 4;
-        for (std::size_t index = 0; index < callClasses; ++index) {
+        for (std::size_t index = 0; index < callClassCount; ++index) {
             RC_ASSERT(shares[index] >= even / 2 && shares[index] <= 1);
             RC_ASSERT(demand.units[index] == 0
                       || shares[index] * sumBy(demand.calls, {1, 1, 1, 1}) >= quarter);
@@ -96,7 +96,7 @@
 Test(classes, the_first_go_first)
 {
     const ClassDemand demand{{100, 100, 400, 400}, {10, 10, 40, 40}};
-    const ClassShares shares = sharesOf(demand, 0.5);
+    const ClassShares shares = classSharesOf(demand, 0.5);
     cr_assert_float_eq(shares[0], 1, 1e-9);
     cr_assert_float_eq(shares[1], 1, 1e-9);
     cr_assert_float_eq(shares[2], 0.25 + 0.25, 1e-9,
@@ -107,8 +107,8 @@
 {
     WorkspaceUse use;
     cr_assert(classOf(use, 200, 1) == CallClass::Rank1, "it is the mean itself");
-    use.askedInWindow = 100 * 3200;
-    use.callsByClass = {40, 0, 30, 30};
+    use.requestedInWindow = 100 * 3200;
+    use.callsInWindowByClass = {40, 0, 30, 30};
     cr_assert(classOf(use, 200, 1) == CallClass::Small);
     cr_assert(classOf(use, 826, 0) == CallClass::Rank0);
     cr_assert(classOf(use, 9190, 7) == CallClass::Rank2);
@@ -120,16 +120,16 @@
 // tell none, and bursts, cuts and restarts change the demand before all have heard of it.
 Test(classes, at_twice_the_limit_small_and_urgent_calls_run)
 {
-    for (const FleetDay &day : daysOf(2)) {
+    for (const FleetScenario &day : daysOf(2)) {
         const FleetOutcome outcome = playBounded(day);
         cr_expect_geq(outcome.servedByClass[indexOf(CallClass::Small)], 0.95);
         cr_expect_geq(outcome.servedByClass[indexOf(CallClass::Rank0)], 0.9);
-        std::vector<FleetDay> others = withFaults(day);
+        std::vector<FleetScenario> others = withFaults(day);
         others.resize(5, day);
         others[3].silentOnClasses = day.vms / 2;
         others[4].burstOf = 2;
         others[4].burst = 2.5;
-        for (const FleetDay &other : others)
+        for (const FleetScenario &other : others)
             playBounded(other);
     }
 }
@@ -137,12 +137,12 @@
 // At six times the limit there is too little for all calls of the first classes.
 Test(classes, at_six_times_the_limit_no_class_starves)
 {
-    for (FleetDay day : daysOf(6)) {
+    for (FleetScenario day : daysOf(6)) {
         const FleetOutcome outcome = playBounded(day);
         cr_expect_gt(outcome.servedByClass[indexOf(CallClass::Small)], 0.7);
         cr_expect_gt(outcome.servedByClass[indexOf(CallClass::Rank0)],
                      1.5 * outcome.servedByClass[indexOf(CallClass::Rank1)]);
-        for (const FleetDay &other : withFaults(day))
+        for (const FleetScenario &other : withFaults(day))
             playBounded(other);
         day.oneClass = true;
         const double blind = simulateDay(day, Division::BySum).mostOfBound;
@@ -158,22 +158,22 @@
         limit.ratePerSecond = 1000;
         limit.burst = 1000;
         const QuotaPolicy policy;
-        SpendRecord one;
-        SpendRecord other;
+        UsageWindow one;
+        UsageWindow other;
         one.carry = other.carry = *rc::gen::inRange(0, 1000) / 1000.0;
         const auto callClass = static_cast<CallClass>(*rc::gen::inRange(0, 4));
         Instant now = start;
         for (int call = 0; call < 100; ++call) {
             now += std::chrono::milliseconds(*rc::gen::inRange(0, 60));
             const auto units = static_cast<std::int64_t>(*rc::gen::inRange(1, 300));
-            const auto admits = [&](SpendRecord &record, CallClass taken) {
-                noteAsked(record, policy, units, now, taken);
-                FleetUse fleet;
-                fleet.use = useOf(record, policy, now);
+            const auto admits = [&](UsageWindow &record, CallClass taken) {
+                recordRequested(record, policy, units, now, taken);
+                FleetUsage fleet;
+                fleet.use = usageOf(record, policy, now);
                 const bool admitted =
                     admitCall(record, limit, policy, fleet, units, now, taken).admitted;
                 if (admitted)
-                    noteSpent(record, policy, units, now);
+                    recordUsage(record, policy, units, now);
                 return admitted;
             };
             RC_ASSERT(admits(one, CallClass::Rank2) == admits(other, callClass));
--- a/libs/quota/tests/FleetModel.cpp
+++ b/libs/quota/tests/FleetModel.cpp
@@ -6,7 +6,7 @@
 #include <deque>
 
 #include "Refusals.h"
-#include "quota/SpendNoting.h"
+#include "quota/UsageSnapshotWriter.h"
 
 namespace monsoonbay {
 
@@ -54,7 +54,7 @@
 
 struct Vm
 {
-    SpendRecord record;
+    UsageWindow record;
     double level = 0; ///< of its own bucket, where the division gives it one
     double age = 0; ///< of its news, s
     double permitAge = 0; ///< s
@@ -62,7 +62,7 @@
     Instant started{};
     Instant endsAt{}; ///< at the next restart
     bool up = true;
-    NotesAtStart notes;
+    StartupSnapshots notes;
     bool heardNotes = true; ///< it has heard what others read
 };
 
@@ -77,7 +77,7 @@
     };
 
     std::vector<Told> vms;
-    std::vector<SpendPermits> permits; ///< by zone
+    std::vector<UsagePermits> permits; ///< by zone
     std::vector<UnitsByAge> units; ///< of all VMs that the zone's relay hears, by zone
 };
 
@@ -86,7 +86,7 @@
 {
     std::size_t relay = 0;
     Instant relaySince{};
-    SpendNoting noting;
+    UsageSnapshotWriter noting;
     SpendNote writing;
     Instant writtenAt{};
 };
@@ -113,7 +113,7 @@
 class Fleet
 {
 public:
-    Fleet(const FleetDay &day, Division division)
+    Fleet(const FleetScenario &day, Division division)
         : day(day)
         , division(division)
         , random(day.seed)
@@ -144,7 +144,7 @@
         this->outcome.served = this->ran / std::max(this->idealRan, 1.0);
         this->outcome.servedInCalm = this->calmRan / std::max(this->calmIdeal, 1.0);
         this->outcome.servedCalls = this->allHot.share();
-        for (std::size_t index = 0; index < callClasses; ++index)
+        for (std::size_t index = 0; index < callClassCount; ++index)
             this->outcome.servedByClass[index] = this->hotByClass[index].share();
         this->outcome.servedAfter = this->ranAfter / std::max(this->askedAfter, 1.0);
         return this->outcome;
@@ -236,7 +236,7 @@
         const double carry = std::uniform_real_distribution<double>(0, 1)(this->random);
         vm.up = true;
         vm.endsAt = Instant{};
-        vm.record = SpendRecord();
+        vm.record = UsageWindow();
         vm.record.carry = carry;
         vm.record.since = this->now;
         vm.started = this->now;
@@ -257,7 +257,7 @@
         vm.heardNotes = true;
         for (const Vm &other : this->vms) {
             if (other.up && other.group == vm.group)
-                takeNotes(vm.notes, other.notes, this->day.policy, this->now);
+                adoptSnapshots(vm.notes, other.notes, this->day.policy, this->now);
         }
     }
 
@@ -280,7 +280,7 @@
         zone.relay = relay;
         zone.relaySince = this->now;
         zone.writtenAt = Instant{};
-        beginNoting(zone.noting, {name}, this->day.policy, vm.started, this->now);
+        startSnapshotWriter(zone.noting, {name}, this->day.policy, vm.started, this->now);
     }
 
     bool reachesStore(std::size_t zone) const
@@ -298,22 +298,22 @@
             if (zone.relaySince == Instant{})
                 continue;
             if (zone.noting.isWriting && this->now >= zone.writtenAt) {
-                endNote(zone.noting, this->reachesStore(index));
+                endSnapshot(zone.noting, this->reachesStore(index));
                 if (this->reachesStore(index))
                     this->store[index] = zone.writing;
             }
             if (this->now.time_since_epoch().count() % told.count() != 0)
                 continue;
-            SpendPercents wanted;
+            UsagePercents wanted;
             const int percent =
-                percentWanted(this->limit, this->day.policy, this->seenBy(zone.relay));
+                percentNeeded(this->limit, this->day.policy, this->seenBy(zone.relay));
             if (percent > 0)
                 wanted[name] = percent;
-            noteWanted(zone.noting, wanted, this->now);
-            if (!isNoteDue(zone.noting, this->now))
+            updateWantedPercents(zone.noting, wanted, this->now);
+            if (!isWriteDue(zone.noting, this->now))
                 continue;
             zone.writing.clear();
-            for (const auto &[workspace, named] : beginNote(zone.noting, this->now))
+            for (const auto &[workspace, named] : beginSnapshot(zone.noting, this->now))
                 zone.writing[workspace] = {named, this->unitsHeard(index)};
             zone.writtenAt = this->now + noteTakes;
         }
@@ -341,8 +341,8 @@
                 continue;
             UnitsByAge units = unitsByAge(vm.record, this->day.policy, this->now);
             if (vm.started != Instant{})
-                addUnitsBeforeStart(units, name, this->limit, this->day.policy, vm.notes,
-                                    this->day.vms, vm.started, this->now);
+                addAssumedUnits(units, name, this->limit, this->day.policy, vm.notes, this->day.vms,
+                                vm.started, this->now);
             for (std::size_t zone = 0; zone < this->zones.size(); ++zone) {
                 if (this->vms[this->zones[zone].relay].group == vm.group)
                     addUnits(snapshot.units[zone], units, this->day.policy, Duration::zero());
@@ -357,16 +357,16 @@
     {
         if (!vm.up)
             return {};
-        WorkspaceUse use = useOf(vm.record, this->day.policy, this->now);
+        WorkspaceUse use = usageOf(vm.record, this->day.policy, this->now);
         if (&vm - this->vms.data() < this->day.silentOnClasses) {
-            use.askedByClass = {};
-            use.callsByClass = {};
-            use.askedInWindow = 0;
+            use.requestedByClass = {};
+            use.callsInWindowByClass = {};
+            use.requestedInWindow = 0;
         }
         if (vm.started != Instant{})
             addUsage(use,
-                     useAtStart(name, this->limit, this->day.policy, vm.notes, this->day.vms,
-                                vm.started, this->now));
+                     assumedUsageAtStart(name, this->limit, this->day.policy, vm.notes,
+                                         this->day.vms, vm.started, this->now));
         return use;
     }
 
@@ -381,14 +381,14 @@
         return &this->snapshots[this->snapshots.size() - 1 - back];
     }
 
-    FleetUse seenBy(std::size_t self)
+    FleetUsage seenBy(std::size_t self)
     {
         Vm &vm = this->vms[self];
-        FleetUse seen;
+        FleetUsage seen;
         seen.use = this->ownUse(vm);
         seen.knownVms = this->day.vms;
         seen.updateAge = this->day.updateAge;
-        seen.allowed = noteShare;
+        seen.allowed = shareWithoutSnapshot;
         const std::size_t zone = self % this->zones.size();
         if (this->zones[zone].relaySince != Instant{} && this->zones[zone].relay == self)
             seen.allowed = shareAllowed(permitsOf(this->zones[zone].noting), name, this->now);
@@ -414,10 +414,10 @@
     {
         if (this->division == Division::Even)
             return 1.0 / this->day.vms;
-        const FleetUse seen = this->seenBy(self);
+        const FleetUsage seen = this->seenBy(self);
         const auto own = static_cast<double>(
-            useOf(this->vms[self].record, this->day.policy, this->now).askedPerSecond);
-        const double all = std::max(static_cast<double>(seen.use.askedPerSecond), 1.0);
+            usageOf(this->vms[self].record, this->day.policy, this->now).requestedPerSecond);
+        const double all = std::max(static_cast<double>(seen.use.requestedPerSecond), 1.0);
         return own / all * seen.reachableVms / this->day.vms;
     }
 
@@ -450,7 +450,7 @@
         if (!vm.up)
             return;
         const CallClass callClass = this->classAt(self, kind);
-        noteAsked(vm.record, this->day.policy, units, this->now, callClass);
+        recordRequested(vm.record, this->day.policy, units, this->now, callClass);
         const auto cost = static_cast<double>(units);
         const bool after = this->lastUp != Instant{} && this->now >= this->lastUp
             && this->now < this->lastUp + this->day.policy.window;
@@ -464,7 +464,7 @@
             this->noteHot(callClass, admitted);
         if (!admitted)
             return;
-        noteSpent(vm.record, this->day.policy, units, this->now);
+        recordUsage(vm.record, this->day.policy, units, this->now);
         this->ran += cost;
         this->calmRan += this->hot ? 0 : cost;
         this->ranAfter += after ? cost : 0;
@@ -473,9 +473,9 @@
     }
 
     void noteRefusal(std::size_t self, std::int64_t units, CallClass callClass,
-                     const FleetUse &seen, const QuotaVerdict &verdict)
+                     const FleetUsage &seen, const QuotaDecision &verdict)
     {
-        const double usable = shareInTouch(seen) * usableInWindow(this->limit, this->day.policy);
+        const double usable = reachableShare(seen) * usableInWindow(this->limit, this->day.policy);
         Refusal refusal;
         refusal.at = this->now - begin;
         refusal.vm = self;
@@ -501,9 +501,9 @@
     {
         Vm &vm = this->vms[self];
         if (this->division == Division::BySum) {
-            const FleetUse seen = this->seenBy(self);
-            const QuotaVerdict verdict = admitCall(vm.record, this->limit, this->day.policy, seen,
-                                                   units, this->now, callClass);
+            const FleetUsage seen = this->seenBy(self);
+            const QuotaDecision verdict = admitCall(vm.record, this->limit, this->day.policy, seen,
+                                                    units, this->now, callClass);
             if (!verdict.admitted)
                 this->noteRefusal(self, units, callClass, seen, verdict);
             return verdict.admitted;
@@ -525,7 +525,7 @@
         const bool settling = this->day.lowered < 1 && this->within(at, 18, 29);
         const WorkspaceLimit &binding = settling ? this->day.limit : this->limit;
         this->mostOfBound =
-            std::max(this->mostOfBound, this->inWindow / mostInWindow(binding, this->day.policy));
+            std::max(this->mostOfBound, this->inWindow / maxInWindow(binding, this->day.policy));
     }
 
     struct Ran
@@ -534,7 +534,7 @@
         double units = 0;
     };
 
-    FleetDay day;
+    FleetScenario day;
     Division division;
     std::mt19937_64 random;
     WorkspaceLimit limit;
@@ -556,7 +556,7 @@
     double calmIdeal = 0;
     bool hot = false;
     Came allHot;
-    std::array<Came, callClasses> hotByClass{};
+    std::array<Came, callClassCount> hotByClass{};
     double ranAfter = 0;
     double askedAfter = 0;
     FleetOutcome outcome;
@@ -564,7 +564,7 @@
 
 } // namespace
 
-FleetOutcome simulateDay(const FleetDay &day, Division division)
+FleetOutcome simulateDay(const FleetScenario &day, Division division)
 {
     FleetOutcome outcome = Fleet(day, division).play();
     if (std::getenv("PRINT_REFUSALS") != nullptr)
--- a/libs/quota/tests/FleetModel.h
+++ b/libs/quota/tests/FleetModel.h
@@ -26,7 +26,7 @@
 };
 
 /** A day of one workspace in virtual time. */
-struct FleetDay
+struct FleetScenario
 {
     int vms = 70;
     int callersAt = 70; ///< VMs that its calls come to
@@ -66,7 +66,7 @@
     bool fits = true; ///< it was refused for the share of its class alone
     double share = 0;
     double window = 0; ///< units counted as used, as a part of what its VMs may use at all
-    double allowed = 0; ///< see FleetUse
+    double allowed = 0; ///< see FleetUsage
     int reachableVms = 1;
 };
 
@@ -76,7 +76,7 @@
     double served = 0; ///< units let run, as a part of what one bucket for all lets run
     double servedInCalm = 0; ///< the same outside the hot hours
     double servedCalls = 0; ///< part of the calls that were let run in the hot hours
-    std::array<double, callClasses> servedByClass{}; ///< the same by class; 0: none came
+    std::array<double, callClassCount> servedByClass{}; ///< the same by class; 0: none came
     double servedAfter = 0; ///< of what was asked for in the window after the last restart
     std::vector<Refusal> refusals; ///< in order of time
 };
@@ -86,6 +86,6 @@
  * were refused in each half of a second, at how many VMs, for which reason and with which
  * knowledge.
  */
-FleetOutcome simulateDay(const FleetDay &day, Division division);
+FleetOutcome simulateDay(const FleetScenario &day, Division division);
 
 } // namespace monsoonbay
--- a/libs/quota/tests/Limits.cpp
+++ b/libs/quota/tests/Limits.cpp
@@ -17,7 +17,7 @@
     limit.unit = QuotaUnit::Tokens;
     limit.ratePerSecond = rate;
     limit.burst = rate;
-    limit.tokensIfUnsaid = 200;
+    limit.defaultTokens = 200;
     return limit;
 }
 
@@ -29,11 +29,11 @@
 }
 
 /** Some days of a workspace at deployments of 7 and 70 VMs. */
-std::vector<FleetDay> daysOf(double rate)
+std::vector<FleetScenario> daysOf(double rate)
 {
-    std::vector<FleetDay> days;
+    std::vector<FleetScenario> days;
     for (const int vms : {7, 70}) {
-        FleetDay day;
+        FleetScenario day;
         day.vms = vms;
         day.callersAt = vms;
         day.updateAge = vms == 7 ? 100ms : 450ms;
@@ -44,10 +44,10 @@
     return days;
 }
 
-void mostStaysWithin(const FleetDay &day)
+void mostStaysWithin(const FleetScenario &day)
 {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        FleetDay played = day;
+        FleetScenario played = day;
         played.seed = seed;
         const FleetOutcome outcome = simulateDay(played, Division::BySum);
         cr_expect_leq(outcome.mostOfBound, 1.0, "%d VMs, rate %g: %g of the bound", day.vms,
@@ -69,21 +69,21 @@
 Test(limits, what_was_used_leaves_with_its_window)
 {
     const QuotaPolicy policy = policyOfDays();
-    SpendRecord record;
-    noteAsked(record, policy, 700, start);
-    noteSpent(record, policy, 700, start);
-    cr_assert_eq(useOf(record, policy, start + 7s).whole, 700);
-    cr_assert_eq(useOf(record, policy, start + 9s).whole, 0);
-    cr_assert(isUnused(useOf(record, policy, start + 100s)));
+    UsageWindow record;
+    recordRequested(record, policy, 700, start);
+    recordUsage(record, policy, 700, start);
+    cr_assert_eq(usageOf(record, policy, start + 7s).whole, 700);
+    cr_assert_eq(usageOf(record, policy, start + 9s).whole, 0);
+    cr_assert(isUnused(usageOf(record, policy, start + 100s)));
 }
 
 // Guards against use that is counted twice on a VM whose clock has run for less than a window.
 Test(limits, use_counts_once_on_a_clock_that_has_just_begun)
 {
     const QuotaPolicy policy = policyOfDays();
-    SpendRecord record;
-    noteSpent(record, policy, 700, Instant{} + 1s);
-    cr_assert_eq(useOf(record, policy, Instant{} + 5s).whole, 700);
+    UsageWindow record;
+    recordUsage(record, policy, 700, Instant{} + 1s);
+    cr_assert_eq(usageOf(record, policy, Instant{} + 5s).whole, 700);
 }
 
 // Guards against a call that has not run and is taken off twice, or off a later window.
@@ -91,14 +91,14 @@
 {
     cr_assert(rc::check("given back", [] {
         const QuotaPolicy policy = policyOfDays();
-        SpendRecord record;
+        UsageWindow record;
         const auto units = static_cast<std::int64_t>(*rc::gen::inRange(1, 100000));
         const auto after = std::chrono::milliseconds(*rc::gen::inRange(0, 20000));
         const Instant now = start + after;
-        noteSpent(record, policy, units, start);
-        noteSpent(record, policy, 5, now);
+        recordUsage(record, policy, units, start);
+        recordUsage(record, policy, 5, now);
         giveBack(record, policy, units, start, now);
-        RC_ASSERT(useOf(record, policy, now).whole == 5);
+        RC_ASSERT(usageOf(record, policy, now).whole == 5);
     }));
 }
 
@@ -106,7 +106,7 @@
 Test(limits, usual_demand_is_let_run)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (const FleetDay &day : daysOf(rate))
+        for (const FleetScenario &day : daysOf(rate))
             cr_expect_geq(simulateDay(day, Division::BySum).served, 0.97);
     }
 }
@@ -116,7 +116,7 @@
 Test(limits, many_times_the_usual_stays_within_the_limit)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetDay day : daysOf(rate)) {
+        for (FleetScenario day : daysOf(rate)) {
             day.hot = 7.5;
             mostStaysWithin(day);
             cr_expect_geq(simulateDay(day, Division::BySum).served, 0.9);
@@ -130,7 +130,7 @@
 Test(limits, vms_that_hear_nobody_keep_to_their_part)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetDay day : daysOf(rate)) {
+        for (FleetScenario day : daysOf(rate)) {
             day.hot = 7.5;
             day.cutAlone = day.vms / 3;
             mostStaysWithin(day);
@@ -142,7 +142,7 @@
 Test(limits, a_zone_that_is_cut_off_keeps_to_its_part)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetDay day : daysOf(rate)) {
+        for (FleetScenario day : daysOf(rate)) {
             day.hot = 7.5;
             day.cutTogether = 0.25;
             mostStaysWithin(day);
@@ -155,7 +155,7 @@
 Test(limits, a_common_restart_gives_nothing_twice)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetDay day : daysOf(rate)) {
+        for (FleetScenario day : daysOf(rate)) {
             day.hot = 7.5;
             day.restarts = {16s};
             mostStaysWithin(day);
@@ -167,7 +167,7 @@
 Test(limits, after_a_common_restart_usual_demand_is_let_run_at_once)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetDay day : daysOf(rate)) {
+        for (FleetScenario day : daysOf(rate)) {
             day.restarts = {16s};
             cr_expect_geq(simulateDay(day, Division::BySum).served, 0.95, "%d VMs, rate %g",
                           day.vms, day.limit.ratePerSecond);
@@ -179,7 +179,7 @@
 // of it leaves the window for seconds, and nobody knows of it.
 Test(limits, a_common_restart_soon_after_a_burst_gives_nothing_twice)
 {
-    for (FleetDay day : daysOf(887000)) {
+    for (FleetScenario day : daysOf(887000)) {
         day.hot = 7.5;
         day.hotFrom = 13;
         day.restarts = {16s};
@@ -191,7 +191,7 @@
 // refuse: news are 1.2 s old at 300 VMs and 2.4 s at 840.
 Test(limits, at_300_and_840_vms_the_limit_holds_and_usual_demand_is_let_run)
 {
-    FleetDay day = daysOf(200000).front();
+    FleetScenario day = daysOf(200000).front();
     for (const int vms : {300, 840}) {
         day.vms = vms;
         day.callersAt = vms;
@@ -206,7 +206,7 @@
 // Guards against a bound that is passed by single calls of half a window and more.
 Test(limits, calls_of_any_size_stay_within_the_limit)
 {
-    FleetDay day = daysOf(29000).front();
+    FleetScenario day = daysOf(29000).front();
     day.hot = 6;
     day.seed = 34;
     cr_expect_leq(simulateDay(day, Division::BySum).mostOfBound, 1.0);
@@ -215,7 +215,7 @@
 Test(limits, a_lowered_limit_binds_within_a_window)
 {
     for (const double rate : {200000.0, 887000.0}) {
-        for (FleetDay day : daysOf(rate)) {
+        for (FleetScenario day : daysOf(rate)) {
             day.lowered = 0.3;
             mostStaysWithin(day);
         }
@@ -226,13 +226,13 @@
 {
     const WorkspaceLimit limit = limitOf(1000);
     const QuotaPolicy policy = policyOfDays();
-    SpendRecord record;
+    UsageWindow record;
     record.carry = 0.99;
     const std::int64_t units = 10'000'000;
     for (int call = 0; call < 20; ++call) {
-        noteAsked(record, policy, units, start + call * 1s);
-        const QuotaVerdict verdict =
-            admitCall(record, limit, policy, FleetUse(), units, start + call * 1s);
+        recordRequested(record, policy, units, start + call * 1s);
+        const QuotaDecision verdict =
+            admitCall(record, limit, policy, FleetUsage(), units, start + call * 1s);
         cr_assert(!verdict.admitted);
         cr_assert(verdict.retryAfter > 0s);
     }
@@ -240,9 +240,9 @@
 
 Test(limits, no_limit_admits_all)
 {
-    SpendRecord record;
-    const QuotaVerdict verdict =
-        admitCall(record, WorkspaceLimit(), policyOfDays(), FleetUse(), 1'000'000'000, start);
+    UsageWindow record;
+    const QuotaDecision verdict =
+        admitCall(record, WorkspaceLimit(), policyOfDays(), FleetUsage(), 1'000'000'000, start);
     cr_assert(verdict.admitted);
 }
 
@@ -253,7 +253,7 @@
 {
     const Instant end = now + duration;
     for (; now < end; now += 250ms)
-        noteVms(size, count, now);
+        updateFleetSize(size, count, now);
 }
 
 } // namespace
--- a/libs/quota/tests/Refusals.cpp
+++ b/libs/quota/tests/Refusals.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-void printRefusals(const FleetDay &day, const std::vector<Refusal> &refusals)
+void printRefusals(const FleetScenario &day, const std::vector<Refusal> &refusals)
 {
     std::map<std::pair<Duration, CallClass>, Row> rows;
     for (const Refusal &refusal : refusals)
--- a/libs/quota/tests/Refusals.h
+++ b/libs/quota/tests/Refusals.h
@@ -7,6 +7,6 @@
 namespace monsoonbay {
 
 /** Prints a row for each class and half of a second on standard error. */
-void printRefusals(const FleetDay &day, const std::vector<Refusal> &refusals);
+void printRefusals(const FleetScenario &day, const std::vector<Refusal> &refusals);
 
 } // namespace monsoonbay
--- a/libs/quota/tests/SpendNotes.cpp
+++ b/libs/quota/tests/SpendNotes.cpp
@@ -2,7 +2,7 @@
 #include <rapidcheck.h>
 
 #include "FleetModel.h"
-#include "quota/SpendNoting.h"
+#include "quota/UsageSnapshotWriter.h"
 
 using namespace monsoonbay;
 using namespace std::chrono_literals;
@@ -11,9 +11,9 @@
 
 constexpr Instant start = Instant{} + 1000s;
 
-FleetDay dayOf(int vms, double rate = 887000)
+FleetScenario dayOf(int vms, double rate = 887000)
 {
-    FleetDay day;
+    FleetScenario day;
     day.vms = vms;
     day.callersAt = vms;
     // As the relays of four zones space their exchanges; see loadReportAge().
@@ -33,9 +33,10 @@
 }
 
 /** A day with restarts while the store is away for some zones and VMs are cut off. */
-FleetDay drawnDay()
+FleetScenario drawnDay()
 {
-    FleetDay day = dayOf(*rc::gen::element(7, 83), *rc::gen::element(29000.0, 200000.0, 887000.0));
+    FleetScenario day =
+        dayOf(*rc::gen::element(7, 83), *rc::gen::element(29000.0, 200000.0, 887000.0));
     day.callersAt = *rc::gen::element(day.vms, std::max(2, day.vms / 10));
     day.hot = *rc::gen::inRange(40, 61) / 10.0;
     day.hotFrom = *rc::gen::inRange(8, 15);
@@ -53,15 +54,16 @@
     return day;
 }
 
-NotesAtStart readNotes(SpendNote note)
+StartupSnapshots readNotes(SpendNote note)
 {
     return {true, start, {std::move(note)}};
 }
 
-double countedAtStart(const NotesAtStart &notes, Duration after)
+double countedAtStart(const StartupSnapshots &notes, Duration after)
 {
-    const FleetDay day = dayOf(1);
-    const WorkspaceUse use = useAtStart("a", day.limit, day.policy, notes, 1, start, start + after);
+    const FleetScenario day = dayOf(1);
+    const WorkspaceUse use =
+        assumedUsageAtStart("a", day.limit, day.policy, notes, 1, start, start + after);
     return static_cast<double>(use.whole) / usableInWindow(day.limit, day.policy);
 }
 
@@ -72,7 +74,7 @@
 Test(spend_notes, a_window_used_just_before_a_common_restart_is_not_given_again)
 {
     for (const int vms : {7, 83}) {
-        FleetDay day = dayOf(vms);
+        FleetScenario day = dayOf(vms);
         day.hot = 7.5;
         day.hotFrom = 12;
         day.quietBefore = true;
@@ -98,7 +100,7 @@
 Test(spend_notes, large_deployments_use_no_more_by_a_restart)
 {
     for (const int vms : {300, 840}) {
-        FleetDay day = dayOf(vms);
+        FleetScenario day = dayOf(vms);
         day.hot = 6;
         const double without = simulateDay(day, Division::BySum).mostOfBound;
         day.restarts = {16s};
@@ -114,7 +116,7 @@
 {
     for (const int vms : {7, 83, 300}) {
         for (const Duration apart : {0s, 1s}) {
-            FleetDay day = dayOf(vms);
+            FleetScenario day = dayOf(vms);
             day.restarts = {16s};
             day.apart = apart;
             cr_expect_geq(simulateDay(day, Division::BySum).servedAfter, 0.75, "%d VMs", vms);
@@ -128,13 +130,13 @@
 {
     cr_assert(rc::check("left", [] {
         const QuotaPolicy policy;
-        SpendRecord record;
+        UsageWindow record;
         std::vector<std::pair<Instant, std::int64_t>> spent;
         Instant now = start + drawn(0, 1000);
         for (int call = *rc::gen::inRange(1, 30); call > 0; --call) {
             now += drawn(0, 700);
             spent.emplace_back(now, *rc::gen::inRange(1, 1000));
-            noteSpent(record, policy, spent.back().second, now);
+            recordUsage(record, policy, spent.back().second, now);
         }
         const Duration way = drawn(0, 600);
         const Duration secondWay = drawn(0, 600);
@@ -150,15 +152,15 @@
             if (leaves > startedAt && leaves <= startedAt + after)
                 leaving += units;
         }
-        RC_ASSERT(unitsLeft(noted, policy, after) <= leaving);
+        RC_ASSERT(minUnitsExpired(noted, policy, after) <= leaving);
     }));
 }
 
 Test(spend_notes, what_is_counted_after_a_start_follows_from_the_notes)
 {
-    const FleetDay day = dayOf(1);
+    const FleetScenario day = dayOf(1);
     const double usable = usableInWindow(day.limit, day.policy);
-    cr_assert_float_eq(countedAtStart(NotesAtStart(), 7s), 1.0, 0.001, "nothing was read");
+    cr_assert_float_eq(countedAtStart(StartupSnapshots(), 7s), 1.0, 0.001, "nothing was read");
     cr_assert_float_eq(countedAtStart(readNotes({}), 7s), 0.5, 0.001, "no note names it");
     NotedSpend noted;
     noted.percent = 80;
@@ -172,17 +174,16 @@
 // Guards against use of before one start that the next one counts for a whole window more.
 Test(spend_notes, what_was_counted_at_a_start_leaves_with_its_window)
 {
-    const FleetDay day = dayOf(1);
+    const FleetScenario day = dayOf(1);
     NotedSpend noted;
     noted.percent = 90;
-    addUnitsBeforeStart(noted.units, "a", day.limit, day.policy, readNotes({}), 1, start,
-                        start + 2s);
+    addAssumedUnits(noted.units, "a", day.limit, day.policy, readNotes({}), 1, start, start + 2s);
     const double usable = usableInWindow(day.limit, day.policy);
     cr_assert_float_eq(static_cast<double>(noted.units[4]) / usable, 0.5, 0.001);
     cr_assert_float_eq(countedAtStart(readNotes({{"a", noted}}), 3s), 0.9, 0.001);
     cr_assert_float_eq(countedAtStart(readNotes({{"a", noted}}), 7500ms), 0.5, 0.001);
     UnitsByAge later{};
-    addUnitsBeforeStart(later, "a", day.limit, day.policy, readNotes({}), 1, start, start + 8s);
+    addAssumedUnits(later, "a", day.limit, day.policy, readNotes({}), 1, start, start + 8s);
     cr_assert_eq(later, UnitsByAge{});
 }
 
@@ -191,7 +192,7 @@
 Test(spend_notes, usual_demand_is_served_after_a_second_restart)
 {
     for (const int vms : {7, 83, 300}) {
-        FleetDay day = dayOf(vms);
+        FleetScenario day = dayOf(vms);
         day.restarts = {14s, 19s};
         day.apart = 500ms;
         cr_expect_geq(simulateDay(day, Division::BySum).servedAfter, 0.75, "%d VMs", vms);
@@ -205,7 +206,7 @@
     const double usable = usableInWindow(dayOf(1).limit, dayOf(1).policy);
     NotedSpend noted;
     noted.units[8] = static_cast<std::int64_t>(0.3 * usable);
-    NotesAtStart notes = readNotes({{"a", noted}});
+    StartupSnapshots notes = readNotes({{"a", noted}});
     notes.zones.push_back({{"a", noted}});
     cr_assert_float_eq(countedAtStart(notes, 7s), 0.7, 0.001);
 }
@@ -213,44 +214,44 @@
 // Guards against a note that names less than permits of an earlier one still allow.
 Test(spend_notes, a_note_names_what_permits_may_still_allow)
 {
-    SpendNoting noting;
-    noteWanted(noting, {{"a", 90}}, start);
-    cr_assert(isNoteDue(noting, start));
-    cr_assert_eq(beginNote(noting, start).at("a"), 90);
+    UsageSnapshotWriter noting;
+    updateWantedPercents(noting, {{"a", 90}}, start);
+    cr_assert(isWriteDue(noting, start));
+    cr_assert_eq(beginSnapshot(noting, start).at("a"), 90);
     cr_assert(permitsOf(noting).percents.empty(), "it is not acknowledged yet");
-    endNote(noting, true);
+    endSnapshot(noting, true);
     cr_assert_eq(shareAllowed(permitsOf(noting), "a", start + 1999ms), 0.9);
-    cr_assert_eq(shareAllowed(permitsOf(noting), "a", start + 2s), noteShare);
-    noteWanted(noting, {{"a", 60}}, start + 1s);
-    cr_assert_not(isNoteDue(noting, start + 999ms));
+    cr_assert_eq(shareAllowed(permitsOf(noting), "a", start + 2s), shareWithoutSnapshot);
+    updateWantedPercents(noting, {{"a", 60}}, start + 1s);
+    cr_assert_not(isWriteDue(noting, start + 999ms));
     cr_assert_eq(permitsOf(noting).percents.at("a"), 60);
-    cr_assert_eq(beginNote(noting, start + 1s).at("a"), 90);
-    endNote(noting, true);
-    noteWanted(noting, {{"a", 60}}, start + 2s);
-    cr_assert_eq(beginNote(noting, start + 2s).at("a"), 60);
-    noteWanted(noting, {{"a", 90}}, start + 2s);
-    endNote(noting, false);
+    cr_assert_eq(beginSnapshot(noting, start + 1s).at("a"), 90);
+    endSnapshot(noting, true);
+    updateWantedPercents(noting, {{"a", 60}}, start + 2s);
+    cr_assert_eq(beginSnapshot(noting, start + 2s).at("a"), 60);
+    updateWantedPercents(noting, {{"a", 90}}, start + 2s);
+    endSnapshot(noting, false);
     cr_assert_eq(permitsOf(noting).percents.at("a"), 60, "the last note may be in the store");
-    noteWanted(noting, {}, start + 3s);
-    cr_assert_not(isNoteDue(noting, start + 3s));
-    noteWanted(noting, {}, start + 5s);
-    cr_assert(isNoteDue(noting, start + 5s), "the end of the period");
-    cr_assert(beginNote(noting, start + 5s).empty());
-    endNote(noting, true);
-    cr_assert_not(isNoteDue(noting, start + 60s));
+    updateWantedPercents(noting, {}, start + 3s);
+    cr_assert_not(isWriteDue(noting, start + 3s));
+    updateWantedPercents(noting, {}, start + 5s);
+    cr_assert(isWriteDue(noting, start + 5s), "the end of the period");
+    cr_assert(beginSnapshot(noting, start + 5s).empty());
+    endSnapshot(noting, true);
+    cr_assert_not(isWriteDue(noting, start + 60s));
 }
 
 // Guards against a VM that takes over and hides what the one before it had permitted.
 Test(spend_notes, who_takes_over_waits_or_names_everything)
 {
-    SpendNoting noting;
+    UsageSnapshotWriter noting;
     const QuotaPolicy policy;
-    beginNoting(noting, {"a", "b"}, policy, start - 60s, start);
-    noteWanted(noting, {{"a", 70}}, start + 1s);
-    cr_assert_not(isNoteDue(noting, start + 1s));
-    cr_assert(isNoteDue(noting, start + 2s));
-    beginNoting(noting, {"a", "b"}, policy, start - 1s, start);
-    noteWanted(noting, {{"a", 70}}, start);
-    cr_assert(isNoteDue(noting, start));
-    cr_assert_eq(beginNote(noting, start), (SpendPercents{{"a", 100}, {"b", 100}}));
+    startSnapshotWriter(noting, {"a", "b"}, policy, start - 60s, start);
+    updateWantedPercents(noting, {{"a", 70}}, start + 1s);
+    cr_assert_not(isWriteDue(noting, start + 1s));
+    cr_assert(isWriteDue(noting, start + 2s));
+    startSnapshotWriter(noting, {"a", "b"}, policy, start - 1s, start);
+    updateWantedPercents(noting, {{"a", 70}}, start);
+    cr_assert(isWriteDue(noting, start));
+    cr_assert_eq(beginSnapshot(noting, start), (UsagePercents{{"a", 100}, {"b", 100}}));
 }
--- a/libs/requests/include/requests/Admission.h
+++ b/libs/requests/include/requests/Admission.h
@@ -24,7 +24,7 @@
 };
 
 /** Verdict on a request at the door. */
-struct AdmissionVerdict
+struct AdmissionDecision
 {
     ErrorKind refusal = ErrorKind::Ok;
     Duration retryAfter{};
@@ -34,7 +34,7 @@
  * Admits a request or refuses it as not run. While there is room anyone may use it; once the VM
  * is half full no service gets more than its share, so that one cannot shut the others out.
  */
-AdmissionVerdict admit(AdmissionState &state, ServiceId service, double share);
+AdmissionDecision admit(AdmissionState &state, ServiceId service, double share);
 
 /** Gives back the place of an admitted request. */
 void release(AdmissionState &state, ServiceId service);
--- a/libs/requests/include/requests/KeyRecords.h
+++ b/libs/requests/include/requests/KeyRecords.h
@@ -21,15 +21,15 @@
 };
 
 /** The answer to a request, kept for the caller's repeats. */
-struct KeptAnswer
+struct StoredAnswer
 {
     ErrorKind kind = ErrorKind::Ok;
     int status = 0;
     std::string contentType;
     std::string body;
-    bool bodyKept = false;
+    bool bodyStored = false;
 
-    auto operator<=>(const KeptAnswer &) const = default;
+    auto operator<=>(const StoredAnswer &) const = default;
 };
 
 enum class KeyState : std::uint8_t {
@@ -46,7 +46,7 @@
 {
     KeyState state = KeyState::Absent;
     bool knows = false; ///< this holder would know of an earlier run
-    KeptAnswer answer;
+    StoredAnswer answer;
 };
 
 /** Names one caller's request. */
@@ -65,7 +65,7 @@
         std::uint64_t fingerprint = 0;
         std::uint64_t requestId = 0;
         bool done = false;
-        KeptAnswer answer;
+        StoredAnswer answer;
         Instant expires{};
     };
     /** The entry VMs that were alive from `since` on. */
@@ -89,13 +89,13 @@
 std::vector<VmId> keyHolders(std::uint64_t keyHash, const std::vector<VmId> &alive);
 
 /** Tells who is alive now; a holder knows of a key only if it has held it for a lifetime. */
-void noteAlive(KeyRecords &keys, const std::vector<VmId> &alive, Instant now);
+void updateAliveVms(KeyRecords &keys, const std::vector<VmId> &alive, Instant now);
 
 /** Reserves a key for a request, unless it was used. */
 KeyReply reserveKey(KeyRecords &keys, const KeyRequest &request, Instant now);
 
 /** Notes how the request that holds the key ended; "not run" frees the key. */
-void completeKey(KeyRecords &keys, const KeyRequest &request, const KeptAnswer &answer,
+void completeKey(KeyRecords &keys, const KeyRequest &request, const StoredAnswer &answer,
                  Instant now);
 
 /** Frees a key that was reserved for a request that did not run. */
@@ -110,7 +110,7 @@
     Replay,
     RefuseInUse,
     RefuseConflict,
-    RefuseUnknowable,
+    RefuseUnknown,
 };
 
 /**
--- a/libs/requests/include/requests/RequestLife.h
+++ b/libs/requests/include/requests/RequestLifecycle.h
@@ -34,13 +34,13 @@
 };
 
 /** A next step with its reason. */
-struct LifeStep
+struct RequestStep
 {
     NextStep step = NextStep::Drop;
     ErrorKind kind = ErrorKind::Ok;
     Duration wait{};
 
-    auto operator<=>(const LifeStep &) const = default;
+    auto operator<=>(const RequestStep &) const = default;
 };
 
 /** How one attempt at a target ended. */
@@ -60,11 +60,11 @@
     double tokens = 10;
 };
 
-void noteRequest(RetryBudget &budget) noexcept;
+void addRetryTokens(RetryBudget &budget) noexcept;
 bool takeRetry(RetryBudget &budget) noexcept;
 
 /** Life of one request at its entry VM. Deterministic; the daemon and the tests drive it. */
-struct RequestLife
+struct RequestLifecycle
 {
     RequestTraits traits;
     RequestPhase phase = RequestPhase::Routing;
@@ -78,15 +78,16 @@
 };
 
 /** Begins an attempt; its number marks all events that belong to it. */
-std::uint32_t beginAttempt(RequestLife &life);
+std::uint32_t beginAttempt(RequestLifecycle &life);
 
 /** True if this piece is the next one to give to the caller; anything else is dropped. */
-bool takePiece(RequestLife &life, std::uint32_t attempt, std::uint64_t position);
+bool takePiece(RequestLifecycle &life, std::uint32_t attempt, std::uint64_t position);
 
 /** Judges the end of an attempt. */
-LifeStep endAttempt(RequestLife &life, const AttemptEnd &end, RetryBudget &budget, Instant now);
+RequestStep endAttempt(RequestLifecycle &life, const AttemptEnd &end, RetryBudget &budget,
+                       Instant now);
 
 /** Judges that no target could be found, or that the request was refused before dispatch. */
-LifeStep endRouting(RequestLife &life, ErrorKind kind);
+RequestStep endRouting(RequestLifecycle &life, ErrorKind kind);
 
 } // namespace monsoonbay
--- a/libs/requests/src/Admission.cpp
+++ b/libs/requests/src/Admission.cpp
@@ -11,17 +11,17 @@
 
 } // namespace
 
-AdmissionVerdict admit(AdmissionState &state, ServiceId service, double share)
+AdmissionDecision admit(AdmissionState &state, ServiceId service, double share)
 {
     int &own = state.inFlight[service];
     const auto limit = static_cast<double>(state.config.maxInFlight);
     const bool contended = state.total >= limit * state.config.contendedShare;
     const bool overShare = contended && own >= std::max(1.0, limit * share);
     if (state.total >= state.config.maxInFlight || overShare)
-        return AdmissionVerdict{ErrorKind::Overloaded, retryWhenFull};
+        return AdmissionDecision{ErrorKind::Overloaded, retryWhenFull};
     ++own;
     ++state.total;
-    return AdmissionVerdict{};
+    return AdmissionDecision{};
 }
 
 void release(AdmissionState &state, ServiceId service)
--- a/libs/requests/src/KeyRecords.cpp
+++ b/libs/requests/src/KeyRecords.cpp
@@ -57,7 +57,7 @@
     return ranked;
 }
 
-void noteAlive(KeyRecords &keys, const std::vector<VmId> &alive, Instant now)
+void updateAliveVms(KeyRecords &keys, const std::vector<VmId> &alive, Instant now)
 {
     if (keys.views.empty() || keys.views.back().alive != alive)
         keys.views.push_back(KeyRecords::View{now, alive});
@@ -89,7 +89,8 @@
     return reply;
 }
 
-void completeKey(KeyRecords &keys, const KeyRequest &request, const KeptAnswer &answer, Instant now)
+void completeKey(KeyRecords &keys, const KeyRequest &request, const StoredAnswer &answer,
+                 Instant now)
 {
     KeyRecords::Record &record = keys.records[request.keyHash];
     const bool another = record.requestId != 0 && record.requestId != request.requestId;
@@ -99,8 +100,8 @@
     record.requestId = request.requestId;
     record.done = true;
     record.answer = answer;
-    record.answer.bodyKept = answer.body.size() <= keys.config.maxAnswerBytes;
-    if (!record.answer.bodyKept)
+    record.answer.bodyStored = answer.body.size() <= keys.config.maxAnswerBytes;
+    if (!record.answer.bodyStored)
         record.answer.body.clear();
     record.expires = now + keys.config.lifetime;
 }
@@ -134,7 +135,7 @@
     const bool known = std::any_of(replies.begin(), replies.end(), [](const KeyReply &reply) {
         return reply.state == KeyState::Reserved && reply.knows;
     });
-    return known ? KeyDecision::Run : KeyDecision::RefuseUnknowable;
+    return known ? KeyDecision::Run : KeyDecision::RefuseUnknown;
 }
 
 } // namespace monsoonbay
--- a/libs/requests/src/RequestLife.cpp
+++ b/libs/requests/src/RequestLifecycle.cpp
@@ -1,4 +1,4 @@
-#include "requests/RequestLife.h"
+#include "requests/RequestLifecycle.h"
 
 #include <algorithm>
 
@@ -26,15 +26,15 @@
     return std::min(longestResumeWait, firstResumeWait * (1 << doublings));
 }
 
-LifeStep finish(RequestLife &life, NextStep step, ErrorKind kind)
+RequestStep finish(RequestLifecycle &life, NextStep step, ErrorKind kind)
 {
     life.phase = RequestPhase::Ended;
-    return LifeStep{step, kind, {}};
+    return RequestStep{step, kind, {}};
 }
 
 // The directory was stale or an owner changed: nothing ran, so any request may go elsewhere, and
 // it costs the targets nothing, so the retry budget is not asked.
-LifeStep bounce(RequestLife &life, ErrorKind kind, Instant now)
+RequestStep bounce(RequestLifecycle &life, ErrorKind kind, Instant now)
 {
     ++life.bounces;
     const Duration wait = bounceWait(life.bounces);
@@ -43,7 +43,7 @@
     if (life.bounces > maxBounces)
         return finish(life, NextStep::Refuse, kind);
     life.phase = RequestPhase::Routing;
-    return LifeStep{NextStep::Route, kind, wait};
+    return RequestStep{NextStep::Route, kind, wait};
 }
 
 bool endsAtCaller(ErrorKind kind)
@@ -53,20 +53,20 @@
 
 // A wrong answer stays wrong however often it is fetched, and "may have run" is the engine's word
 // that it holds no answer; the others may be a broken hop behind which the answer is whole.
-bool worthResuming(const RequestLife &life, ErrorKind kind)
+bool worthResuming(const RequestLifecycle &life, ErrorKind kind)
 {
     const bool hopeless = kind == ErrorKind::WrongAnswer || kind == ErrorKind::MayHaveRun;
     return life.traits.resumable && !hopeless && life.resumes < maxResumes;
 }
 
-bool mayRunAgain(const RequestLife &life)
+bool mayRunAgain(const RequestLifecycle &life)
 {
     return life.traits.idempotent && life.delivered == 0 && !life.headDelivered;
 }
 
 } // namespace
 
-void noteRequest(RetryBudget &budget) noexcept
+void addRetryTokens(RetryBudget &budget) noexcept
 {
     budget.tokens = std::min(budget.most, budget.tokens + budget.share);
 }
@@ -79,12 +79,12 @@
     return true;
 }
 
-std::uint32_t beginAttempt(RequestLife &life)
+std::uint32_t beginAttempt(RequestLifecycle &life)
 {
     return ++life.attempt;
 }
 
-bool takePiece(RequestLife &life, std::uint32_t attempt, std::uint64_t position)
+bool takePiece(RequestLifecycle &life, std::uint32_t attempt, std::uint64_t position)
 {
     const bool isNext =
         life.phase != RequestPhase::Ended && attempt == life.attempt && position == life.delivered;
@@ -98,11 +98,12 @@
     return true;
 }
 
-LifeStep endAttempt(RequestLife &life, const AttemptEnd &end, RetryBudget &budget, Instant now)
+RequestStep endAttempt(RequestLifecycle &life, const AttemptEnd &end, RetryBudget &budget,
+                       Instant now)
 {
     const bool late = life.phase == RequestPhase::Ended || end.attempt != life.attempt;
     if (late)
-        return LifeStep{NextStep::Drop, end.kind, {}};
+        return RequestStep{NextStep::Drop, end.kind, {}};
     life.everDispatched = life.everDispatched || end.dispatched;
     if (end.kind == ErrorKind::Ok) {
         const bool whole = end.pieces == life.delivered;
@@ -122,18 +123,18 @@
     const bool timeLeft = now + wait < life.traits.deadline;
     if (timeLeft && worthResuming(life, end.kind)) {
         ++life.resumes;
-        return LifeStep{NextStep::Resume, end.kind, wait};
+        return RequestStep{NextStep::Resume, end.kind, wait};
     }
     if (timeLeft && mayRunAgain(life) && takeRetry(budget)) {
         life.phase = RequestPhase::Routing;
         life.resumes = 0;
-        return LifeStep{NextStep::Route, end.kind, wait};
+        return RequestStep{NextStep::Route, end.kind, wait};
     }
     const ErrorKind told = meansNotRun(end.kind) ? ErrorKind::MayHaveRun : end.kind;
     return finish(life, NextStep::Fail, told);
 }
 
-LifeStep endRouting(RequestLife &life, ErrorKind kind)
+RequestStep endRouting(RequestLifecycle &life, ErrorKind kind)
 {
     if (life.everDispatched)
         return finish(life, NextStep::Fail, ErrorKind::MayHaveRun);
--- a/libs/requests/tests/Life.cpp
+++ b/libs/requests/tests/Life.cpp
@@ -8,7 +8,7 @@
 
 #include "requests/Admission.h"
 #include "requests/KeyRecords.h"
-#include "requests/RequestLife.h"
+#include "requests/RequestLifecycle.h"
 
 using namespace monsoonbay;
 
@@ -64,7 +64,7 @@
 Test(life, keeps_its_promises_on_any_schedule)
 {
     cr_assert(rc::check("request life", [] {
-        RequestLife life;
+        RequestLifecycle life;
         life.traits.idempotent = *rc::gen::arbitrary<bool>();
         life.traits.resumable = *rc::gen::arbitrary<bool>();
         life.traits.deadline = Instant{} + std::chrono::seconds(*rc::gen::inRange(1, 60));
@@ -73,7 +73,7 @@
         Instant now{};
         int runs = 0; // attempts that may have started the request anew at a target
         bool mayHaveRun = false;
-        LifeStep step{NextStep::Route, ErrorKind::Ok, {}};
+        RequestStep step{NextStep::Route, ErrorKind::Ok, {}};
         for (int round = 0; round < 200; ++round) {
             const bool resume = step.step == NextStep::Resume;
             RC_ASSERT(step.wait >= Duration{});
@@ -117,13 +117,13 @@
 // request was sent to another target. Cause: a lost answer was taken for "not run".
 Test(life, a_lost_answer_of_a_non_idempotent_request_is_never_sent_again)
 {
-    RequestLife life;
+    RequestLifecycle life;
     life.traits.idempotent = false;
     life.traits.resumable = false;
     life.traits.deadline = Instant{} + std::chrono::seconds(60);
     RetryBudget budget;
     const std::uint32_t attempt = beginAttempt(life);
-    const LifeStep step =
+    const RequestStep step =
         endAttempt(life, {attempt, ErrorKind::MayHaveRun, true, 0}, budget, Instant{});
     cr_assert(step.step == NextStep::Fail);
     cr_assert(step.kind == ErrorKind::MayHaveRun);
@@ -133,12 +133,12 @@
 // early and said it was done. Cause to rule out: the pieces are not counted against the end.
 Test(life, a_short_answer_is_no_answer)
 {
-    RequestLife life;
+    RequestLifecycle life;
     life.traits.deadline = Instant{} + std::chrono::seconds(60);
     RetryBudget budget;
     const std::uint32_t attempt = beginAttempt(life);
     cr_assert(takePiece(life, attempt, 0));
-    const LifeStep step = endAttempt(life, {attempt, ErrorKind::Ok, true, 5}, budget, Instant{});
+    const RequestStep step = endAttempt(life, {attempt, ErrorKind::Ok, true, 5}, budget, Instant{});
     cr_assert(step.step == NextStep::Fail);
 }
 
@@ -147,7 +147,7 @@
     RetryBudget budget;
     int allowed = 0;
     for (int request = 0; request < 1000; ++request) {
-        noteRequest(budget);
+        addRetryTokens(budget);
         for (int retry = 0; retry < 3; ++retry)
             allowed += takeRetry(budget) ? 1 : 0;
     }
@@ -201,7 +201,7 @@
     {
         for (std::size_t index = 0; index < this->vms.size(); ++index) {
             if (this->up[index])
-                noteAlive(this->vms[index], this->alive(), this->now);
+                updateAliveVms(this->vms[index], this->alive(), this->now);
         }
     }
 
--- a/libs/residency/include/residency/DemandTable.h
+++ b/libs/residency/include/residency/DemandTable.h
@@ -43,21 +43,21 @@
     // Shift detection by a cumulative sum of unexpected misses.
     double usualHitShare = 0;
     double unexpectedMisses = 0;
-    Instant riseBegan{}; ///< when the sum last was zero
+    Instant missesRoseAt{}; ///< when the sum last was zero
     std::uint64_t shiftsSeen = 0;
 };
 
 DemandTable makeDemandTable(const DemandConfig &config, Instant now);
 
 /** Counts requests for an adapter. */
-void noteRequests(DemandTable &table, AdapterId adapter, int count, Instant now);
+void recordRequests(DemandTable &table, AdapterId adapter, int count, Instant now);
 
 /**
  * Tells whether a request found its adapter resident. A run of misses far beyond the usual means
  * that popularity has shifted: the slow memory is cut so that what is asked for now soon
  * outweighs what was asked for before.
  */
-void noteHit(DemandTable &table, bool hit, Instant now);
+void recordHit(DemandTable &table, bool hit, Instant now);
 
 /** True while misses pile up, but too few yet to call it a shift: rates may be out of date. */
 bool shiftSuspected(const DemandTable &table);
--- a/libs/residency/include/residency/Placement.h
+++ b/libs/residency/include/residency/Placement.h
@@ -22,11 +22,11 @@
     double batchWeight = 0.5;
     double loadsPerSecond = 2;
     double storeShare = 1; ///< this side's share of the store while zones are cut off
-    Duration shortestResidency = std::chrono::seconds(5);
+    Duration minResidency = std::chrono::seconds(5);
     Duration wantLifetime = std::chrono::seconds(2); ///< a want not repeated for so long is dropped
     Duration loadTimeout = std::chrono::seconds(60);
     Duration firstBackoff = std::chrono::milliseconds(500);
-    Duration longestBackoff = std::chrono::seconds(30);
+    Duration maxBackoff = std::chrono::seconds(30);
     double fullTargetShare = 0.75; ///< of a target's batch; above it a hot adapter gets a replica
     DemandConfig demand;
 };
@@ -173,7 +173,7 @@
                              Instant now, std::uint64_t firstPermit = 1);
 
 /** Takes the owner's newest word about a target; replaces what was known. */
-void noteTarget(PlacementState &state, const TargetView &view);
+void updateTarget(PlacementState &state, const TargetView &view);
 
 /** Marks a target leaving, or not; what it holds no longer counts as resident. */
 void setTargetLeaving(PlacementState &state, TargetId target, bool leaving);
@@ -181,12 +181,13 @@
 void forgetTarget(PlacementState &state, TargetId target);
 
 /** Counts requests; `hits` of them found their adapter resident. */
-void noteDemand(PlacementState &state, AdapterId adapter, int count, int hits, Instant now);
+void recordDemand(PlacementState &state, AdapterId adapter, int count, int hits, Instant now);
 
 /** Takes an entry VM's newest word about who waits there; waiting 0 withdraws it. */
-void noteWant(PlacementState &state, const Want &want, Instant now);
+void updateWant(PlacementState &state, const Want &want, Instant now);
 
-void noteLoadResult(PlacementState &state, std::uint64_t permit, LoadOutcome outcome, Instant now);
+void recordLoadResult(PlacementState &state, std::uint64_t permit, LoadOutcome outcome,
+                      Instant now);
 
 /** Orders what the policy wants loaded now and judges wants that cannot be met in time. */
 PlacementActions decide(PlacementState &state, Instant now);
--- a/libs/residency/include/residency/SlotTable.h
+++ b/libs/residency/include/residency/SlotTable.h
@@ -78,7 +78,7 @@
 void unpin(SlotTable &table, const SlotPin &held, bool ended);
 
 /** Takes back an adapter from the table that the engine says it does not hold. */
-void noteNotResident(SlotTable &table, AdapterId adapter);
+void markNotResident(SlotTable &table, AdapterId adapter);
 
 /**
  * Begins a load, evicting `evict` if its value is not 0. Refuses, with nothing changed, if the
--- a/libs/residency/src/DemandTable.cpp
+++ b/libs/residency/src/DemandTable.cpp
@@ -87,9 +87,9 @@
 // else keeps a small part of its rate, in case it was not touched by the shift.
 void forget(DemandTable &table, Instant now)
 {
-    const double window = std::max(shortestWindow, toSeconds(now - table.riseBegan));
+    const double window = std::max(shortestWindow, toSeconds(now - table.missesRoseAt));
     const double kept = table.config.forgetFactor * window / std::max(window, table.slowWindow);
-    const std::uint32_t rise = tickOf(table, table.riseBegan);
+    const std::uint32_t rise = tickOf(table, table.missesRoseAt);
     table.slowTotal = 0;
     for (DemandEntry &entry : table.slots) {
         const bool confirmed = entry.lastTick >= rise;
@@ -113,7 +113,7 @@
     return table;
 }
 
-void noteRequests(DemandTable &table, AdapterId adapter, int count, Instant now)
+void recordRequests(DemandTable &table, AdapterId adapter, int count, Instant now)
 {
     advanceWindow(table, now);
     const std::uint32_t tick = tickOf(table, now);
@@ -131,14 +131,14 @@
 // high by nature, since residents are those that were estimated highest, and it saw a shift every
 // minute of a steady run. With drift 0.2 and threshold 7 a steady run gives a false alarm in about
 // e^(2 * 0.2 * 7 / 0.25) = 73,000 requests, and a full shift shows after about twenty-five.
-void noteHit(DemandTable &table, bool hit, Instant now)
+void recordHit(DemandTable &table, bool hit, Instant now)
 {
     advanceWindow(table, now);
     const double usual = table.usualHitShare;
     const double unexpected = usual - (hit ? 1 : 0) - table.config.shiftDrift;
     table.unexpectedMisses = std::max(0.0, table.unexpectedMisses + unexpected);
     if (table.unexpectedMisses == 0)
-        table.riseBegan = now;
+        table.missesRoseAt = now;
     if (table.unexpectedMisses > table.config.shiftThreshold) {
         forget(table, now);
         table.unexpectedMisses = 0;
--- a/libs/residency/src/Forecast.cpp
+++ b/libs/residency/src/Forecast.cpp
@@ -96,7 +96,7 @@
         if (!takesLoads(target, now))
             continue;
         for (const ResidentSlot &slot : target.resident) {
-            const bool tooYoung = slot.since + state.config.shortestResidency > now;
+            const bool tooYoung = slot.since + state.config.minResidency > now;
             if (slot.pins > 0 || tooYoung || isWanted(state, slot.adapter))
                 continue;
             const double cost = evictionCost(state, target, slot, now);
--- a/libs/residency/src/Placement.cpp
+++ b/libs/residency/src/Placement.cpp
@@ -66,7 +66,7 @@
     }
     for (const std::uint64_t permit : lost) {
         ++state.counters.loadsLost;
-        noteLoadResult(state, permit, LoadOutcome::Failed, now);
+        recordLoadResult(state, permit, LoadOutcome::Failed, now);
     }
 }
 
@@ -75,7 +75,7 @@
     backoff.failures = std::min(backoff.failures + 1, 16);
     const double base =
         toSeconds(config.firstBackoff) * static_cast<double>(1U << (backoff.failures - 1));
-    const double capped = std::min(base, toSeconds(config.longestBackoff));
+    const double capped = std::min(base, toSeconds(config.maxBackoff));
     const double jitter =
         0.5 + static_cast<double>(rendezvousScore(seed, backoff.failures) >> 11U) * 0x1p-53;
     backoff.until = now + fromSeconds(capped * jitter);
@@ -100,7 +100,7 @@
     countCopies(state, target);
 }
 
-bool permitFree(const PlacementState &state, Instant now)
+bool isPermitFree(const PlacementState &state, Instant now)
 {
     const int limit = state.policy->loadsAtOnce == 0 ? static_cast<int>(state.targets.size())
                                                      : state.policy->loadsAtOnce;
@@ -209,7 +209,7 @@
     return state;
 }
 
-void noteTarget(PlacementState &state, const TargetView &view)
+void updateTarget(PlacementState &state, const TargetView &view)
 {
     const auto known = state.targetIndex.find(view.target);
     if (known == state.targetIndex.end()) {
@@ -264,14 +264,14 @@
         state.targetIndex[state.targets[later].target] = later;
 }
 
-void noteDemand(PlacementState &state, AdapterId adapter, int count, int hits, Instant now)
+void recordDemand(PlacementState &state, AdapterId adapter, int count, int hits, Instant now)
 {
     for (int request = 0; request < count; ++request)
-        noteHit(state.demand, request < hits, now);
-    noteRequests(state.demand, adapter, count, now);
+        recordHit(state.demand, request < hits, now);
+    recordRequests(state.demand, adapter, count, now);
 }
 
-void noteWant(PlacementState &state, const Want &want, Instant now)
+void updateWant(PlacementState &state, const Want &want, Instant now)
 {
     WantSet &set = state.wants[want.adapter];
     std::erase_if(set.wants, [&](const Want &known) { return known.origin == want.origin; });
@@ -283,7 +283,7 @@
         state.wants.erase(want.adapter);
 }
 
-void noteLoadResult(PlacementState &state, std::uint64_t permit, LoadOutcome outcome, Instant now)
+void recordLoadResult(PlacementState &state, std::uint64_t permit, LoadOutcome outcome, Instant now)
 {
     const auto found = state.pending.find(permit);
     if (found == state.pending.end())
@@ -338,7 +338,7 @@
         refuseWaiters(state, actions, adapter,
                       failing ? ErrorKind::LoadFailed : ErrorKind::StoreSaturated, now);
     }
-    while (permitFree(state, now)) {
+    while (isPermitFree(state, now)) {
         std::optional<LoadChoice> choice = state.policy->nextLoad(state, now);
         if (!choice)
             choice = prefetchIfDue(state, now);
--- a/libs/residency/src/SlotTable.cpp
+++ b/libs/residency/src/SlotTable.cpp
@@ -90,7 +90,7 @@
         ++slot->lingering;
 }
 
-void noteNotResident(SlotTable &table, AdapterId adapter)
+void markNotResident(SlotTable &table, AdapterId adapter)
 {
     const auto idle = [adapter](const OwnedSlot &slot) {
         return slot.id == adapter && slot.pins == 0;
--- a/libs/residency/tests/Placing.cpp
+++ b/libs/residency/tests/Placing.cpp
@@ -37,7 +37,7 @@
 {
     PlacementState state = makePlacement({}, policy, now);
     for (int index = 0; index < targetCount; ++index)
-        noteTarget(state, emptyTarget(index));
+        updateTarget(state, emptyTarget(index));
     return state;
 }
 
@@ -72,25 +72,25 @@
     for (const auto &[deed, adapter, other] : deeds) {
         now += std::chrono::milliseconds(700);
         if (deed <= 1) {
-            noteDemand(state, adapterOf(adapter), 1, 0, now);
-            noteWant(state, wantOf(adapter, 1 + other, now, std::chrono::seconds(30)), now);
+            recordDemand(state, adapterOf(adapter), 1, 0, now);
+            updateWant(state, wantOf(adapter, 1 + other, now, std::chrono::seconds(30)), now);
         } else if (deed == 2 && !open.empty()) {
             const LoadOutcome outcome = static_cast<LoadOutcome>(other);
-            noteLoadResult(state, open.front().permit, outcome, now);
+            recordLoadResult(state, open.front().permit, outcome, now);
             open.erase(open.begin());
         } else if (deed == 3) { // requests pin and unpin a slot of a target
             TargetView view = state.targets[static_cast<std::size_t>(other)];
             for (ResidentSlot &slot : view.resident)
                 slot.pins = adapter % 2;
             view.loading.clear();
-            noteTarget(state, view);
+            updateTarget(state, view);
         } else if (deed == 4) {
-            noteTarget(state, emptyTarget(other)); // restarted cold
+            updateTarget(state, emptyTarget(other)); // restarted cold
         } else if (deed == 5) {
             TargetView view = state.targets[static_cast<std::size_t>(other)];
             view.leaving = adapter % 3 == 0;
             view.loading.clear();
-            noteTarget(state, view);
+            updateTarget(state, view);
         }
         const std::vector<TargetView> before = state.targets;
         const PlacementActions actions = decide(state, now);
@@ -129,7 +129,7 @@
     const Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
     for (int adapter = 1; adapter <= 40; ++adapter)
-        noteWant(state, wantOf(adapter, 1, now, std::chrono::seconds(5)), now);
+        updateWant(state, wantOf(adapter, 1, now, std::chrono::seconds(5)), now);
     const PlacementActions actions = decide(state, now);
     cr_assert_eq(actions.orders.size(), 1);
     // Two loads a second and 0.3 of five seconds: three can come, the rest is told so now.
@@ -146,7 +146,7 @@
 {
     Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
-    noteWant(state, wantOf(1, 1, now, std::chrono::seconds(30)), now);
+    updateWant(state, wantOf(1, 1, now, std::chrono::seconds(30)), now);
     cr_assert_eq(decide(state, now).orders.size(), 1);
     const Instant deadline = now + std::chrono::seconds(30);
     std::size_t refused = 0;
@@ -154,7 +154,7 @@
     while (now < deadline && refused == 0) {
         now += std::chrono::milliseconds(100);
         Want again = wantOf(1, 1, now, deadline - now);
-        noteWant(state, again, now);
+        updateWant(state, again, now);
         refused += decide(state, now).verdicts.size();
         toldAt = now;
     }
@@ -169,16 +169,16 @@
 {
     Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
-    noteWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
+    updateWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
     const PlacementActions first = decide(state, now);
     now += std::chrono::seconds(50);
-    noteLoadResult(state, first.orders.at(0).permit, LoadOutcome::Loaded, now);
+    recordLoadResult(state, first.orders.at(0).permit, LoadOutcome::Loaded, now);
     for (int adapter = 2; adapter <= 6; ++adapter) {
-        noteWant(state, wantOf(adapter, 1, now, std::chrono::seconds(10)), now);
+        updateWant(state, wantOf(adapter, 1, now, std::chrono::seconds(10)), now);
         const PlacementActions next = decide(state, now);
         cr_assert_eq(next.orders.size(), 1);
         now += std::chrono::milliseconds(500);
-        noteLoadResult(state, next.orders[0].permit, LoadOutcome::Loaded, now);
+        recordLoadResult(state, next.orders[0].permit, LoadOutcome::Loaded, now);
     }
     cr_assert_lt(toSeconds(expectedLoadTime(state)), 1.0);
 }
@@ -189,10 +189,10 @@
 {
     Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
-    noteWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
+    updateWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
     cr_assert_eq(decide(state, now).orders.size(), 1);
     now += state.config.loadTimeout + std::chrono::seconds(1);
-    noteWant(state, wantOf(2, 1, now, std::chrono::hours(1)), now);
+    updateWant(state, wantOf(2, 1, now, std::chrono::hours(1)), now);
     cr_assert_eq(decide(state, now).orders.size(), 1);
     cr_assert_eq(state.counters.loadsLost, 1);
 }
@@ -204,11 +204,11 @@
 {
     Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("plain-good"), now);
-    noteWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
+    updateWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
     const PlacementActions first = decide(state, now);
-    noteLoadResult(state, first.orders.at(0).permit, LoadOutcome::Failed, now);
+    recordLoadResult(state, first.orders.at(0).permit, LoadOutcome::Failed, now);
     now += std::chrono::seconds(31);
-    noteWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
+    updateWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
     cr_assert_eq(decide(state, now).orders.size(), 1);
 }
 
@@ -220,9 +220,9 @@
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
     TargetView view = emptyTarget(0);
     view.resident.push_back(ResidentSlot{adapterOf(1), 0, now});
-    noteTarget(state, view);
+    updateTarget(state, view);
     setTargetLeaving(state, view.target, true);
-    noteWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
+    updateWant(state, wantOf(1, 1, now, std::chrono::hours(1)), now);
     const PlacementActions actions = decide(state, now);
     cr_assert_eq(actions.orders.size(), 1);
     cr_assert(actions.orders[0].target != view.target);
@@ -236,15 +236,15 @@
     int orders = 0;
     for (int second = 0; second < 60; ++second) {
         now += std::chrono::seconds(1);
-        noteWant(state, wantOf(1, 1, now, std::chrono::minutes(5)), now);
+        updateWant(state, wantOf(1, 1, now, std::chrono::minutes(5)), now);
         for (const LoadOrder &order : decide(state, now).orders) {
             ++orders;
-            noteLoadResult(state, order.permit, LoadOutcome::Failed, now);
+            recordLoadResult(state, order.permit, LoadOutcome::Failed, now);
         }
     }
     cr_assert_geq(orders, 3);
     cr_assert_leq(orders, 12);
-    noteWant(state, wantOf(1, 1, now, std::chrono::milliseconds(200)), now);
+    updateWant(state, wantOf(1, 1, now, std::chrono::milliseconds(200)), now);
     const PlacementActions actions = decide(state, now);
     cr_assert_eq(actions.verdicts.size(), 1);
     cr_assert(actions.verdicts[0].refusal == ErrorKind::LoadFailed);
@@ -258,15 +258,15 @@
     Instant now{};
     for (int request = 0; request < 20000; ++request) {
         now += std::chrono::milliseconds(300);
-        noteRequests(table, adapterOf(request % 40), 1, now);
-        noteHit(table, request % 9 < 5, now);
+        recordRequests(table, adapterOf(request % 40), 1, now);
+        recordHit(table, request % 9 < 5, now);
     }
     cr_assert_eq(table.shiftsSeen, 0);
     const double before = rateOf(table, adapterOf(3), now);
     for (int request = 0; request < 60; ++request) {
         now += std::chrono::milliseconds(300);
-        noteRequests(table, adapterOf(1000 + request % 10), 1, now);
-        noteHit(table, request % 15 == 0, now);
+        recordRequests(table, adapterOf(1000 + request % 10), 1, now);
+        recordHit(table, request % 15 == 0, now);
     }
     cr_assert_eq(table.shiftsSeen, 1);
     cr_assert_lt(rateOf(table, adapterOf(3), now), before / 5);
@@ -277,7 +277,7 @@
 {
     DemandTable table = makeDemandTable({}, Instant{});
     for (int adapter = 0; adapter < 67000; ++adapter)
-        noteRequests(table, adapterOf(adapter), 1, Instant{} + std::chrono::seconds(1));
+        recordRequests(table, adapterOf(adapter), 1, Instant{} + std::chrono::seconds(1));
     cr_assert_lt(bytesOf(table), 4U * 1024 * 1024);
     cr_assert_eq(table.used, 67000);
 }
--- a/libs/residency/tests/Slots.cpp
+++ b/libs/residency/tests/Slots.cpp
@@ -66,7 +66,7 @@
                 const std::optional<SlotPin> held = pin(table, id);
                 if (held && !engine.running.contains(number)) {
                     unpin(table, *held, true); // the engine says not-resident
-                    noteNotResident(table, id);
+                    markNotResident(table, id);
                 } else if (held) {
                     ++engine.running[number];
                     runs.push_back({number, *held, engine.epoch});
--- a/libs/routing/include/routing/ResidentDirectory.h
+++ b/libs/routing/include/routing/ResidentDirectory.h
@@ -17,13 +17,13 @@
 namespace monsoonbay {
 
 /** Orders the news of one target: by the owner's token, then by the owner's count of changes. */
-struct NewsVersion
+struct StatusVersion
 {
     std::uint64_t token = 0;
     std::uint64_t local = 0;
     std::uint64_t change = 0;
 
-    auto operator<=>(const NewsVersion &) const = default;
+    auto operator<=>(const StatusVersion &) const = default;
 };
 
 /** What an owner tells of its target. */
@@ -31,7 +31,7 @@
 {
     TargetId target;
     VmId owner;
-    NewsVersion version;
+    StatusVersion version;
     std::string zone;
     int slots = 0;
     int maxBatch = 1;
@@ -72,10 +72,10 @@
                                 double stallWeight, double batchWeight) const;
 
     /** The target turned out not to hold the adapter: the entry goes, until newer news. */
-    void noteBounce(AdapterId adapter, TargetId target);
+    void removeHolder(AdapterId adapter, TargetId target);
 
     /** Counts what this VM sent to a target since its last report, or the reports' lag herds. */
-    void noteSent(TargetId target);
+    void recordSent(TargetId target);
 
     std::vector<TargetStatus> statuses() const;
     std::optional<TargetStatus> statusOf(TargetId target) const;
@@ -96,7 +96,7 @@
         std::atomic<bool> sameZone{false};
         std::atomic<std::uint64_t> owner{0};
         TargetId target; ///< never changes
-        bool leavingByList = false;
+        bool leavingByVmList = false;
     };
     using EntryPtr = std::shared_ptr<Entry>;
 
--- a/libs/routing/src/ResidentDirectory.cpp
+++ b/libs/routing/src/ResidentDirectory.cpp
@@ -81,7 +81,7 @@
         entry->status = status;
         entry->running.store(status.running, std::memory_order_relaxed);
         entry->sentSinceReport.store(0, std::memory_order_relaxed);
-        entry->takesWork.store(status.usable && !status.leaving && !entry->leavingByList);
+        entry->takesWork.store(status.usable && !status.leaving && !entry->leavingByVmList);
         entry->maxBatch = std::max(1, status.maxBatch);
         entry->sameZone = status.zone == this->ownZone;
         entry->owner = status.owner.value;
@@ -117,7 +117,7 @@
     if (!entry)
         return;
     const std::lock_guard guard(entry->mutex);
-    entry->leavingByList = leaving;
+    entry->leavingByVmList = leaving;
     entry->takesWork.store(entry->status.usable && !entry->status.leaving && !leaving);
 }
 
@@ -154,7 +154,7 @@
     return Route{candidates[best].target, owners[best]};
 }
 
-void ResidentDirectory::noteBounce(AdapterId adapter, TargetId target)
+void ResidentDirectory::removeHolder(AdapterId adapter, TargetId target)
 {
     const EntryPtr entry = this->find(target);
     if (!entry)
@@ -166,7 +166,7 @@
     this->unlink(adapter, entry);
 }
 
-void ResidentDirectory::noteSent(TargetId target)
+void ResidentDirectory::recordSent(TargetId target)
 {
     const EntryPtr entry = this->find(target);
     if (entry)
@@ -187,7 +187,7 @@
         if (entry->status.owner.value == 0)
             continue;
         statuses.push_back(entry->status);
-        statuses.back().leaving = entry->status.leaving || entry->leavingByList;
+        statuses.back().leaving = entry->status.leaving || entry->leavingByVmList;
     }
     std::sort(statuses.begin(), statuses.end(),
               [](const TargetStatus &a, const TargetStatus &b) { return a.target < b.target; });
--- a/libs/routing/tests/Directory.cpp
+++ b/libs/routing/tests/Directory.cpp
@@ -28,7 +28,7 @@
     TargetStatus status;
     status.target = TargetId{target};
     status.owner = VmId{1};
-    status.version = NewsVersion{token, 0, change};
+    status.version = StatusVersion{token, 0, change};
     status.running = running;
     for (const std::uint64_t adapter : std::set<std::uint64_t>(adapters.begin(), adapters.end()))
         status.resident.push_back(AdapterId{adapter});
@@ -100,7 +100,7 @@
     std::map<std::uint64_t, int> sent;
     for (int request = 0; request < 21; ++request) {
         const Route route = *directory.choose(AdapterId{5}, policy, 1, 0);
-        directory.noteSent(route.target);
+        directory.recordSent(route.target);
         ++sent[route.target.value];
     }
     cr_assert_eq(sent[1], 11);
@@ -111,7 +111,7 @@
 {
     ResidentDirectory directory("zone");
     directory.apply(statusOf(1, 1, 1, {5}, 0));
-    directory.noteBounce(AdapterId{5}, TargetId{1});
+    directory.removeHolder(AdapterId{5}, TargetId{1});
     cr_assert_not(directory.choose(AdapterId{5}, policy, 1, 0).has_value());
     directory.apply(statusOf(1, 1, 2, {5}, 0));
     cr_assert(directory.choose(AdapterId{5}, policy, 1, 0).has_value());
--- a/libs/serving/include/serving/AdvertisedLimit.h
+++ b/libs/serving/include/serving/AdvertisedLimit.h
@@ -36,6 +36,6 @@
 bool admitsCall(AdvertisedLimit &limit, int vms, double draw, Instant now) noexcept;
 
 /** A call goes to the target. */
-void noteSent(AdvertisedLimit &limit, Instant now) noexcept;
+void recordSent(AdvertisedLimit &limit, Instant now) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PartitionLease.h
+++ b/libs/serving/include/serving/PartitionLease.h
@@ -117,7 +117,7 @@
                   const LeaseTiming &timing);
 
 /** True if the notes in the store are to be read, and perhaps one to be added. */
-bool isNoteDue(const PartitionLease &lease, Instant now) noexcept;
+bool isWriteDue(const PartitionLease &lease, Instant now) noexcept;
 
 /** What `vm` may note now; call with notes that were read after the lease was last renewed. */
 std::vector<HolderClaim> claimsToRecord(PartitionLease &lease, const HolderRecords &notes,
--- a/libs/serving/src/AdvertisedLimit.cpp
+++ b/libs/serving/src/AdvertisedLimit.cpp
@@ -42,7 +42,7 @@
     return sumOf(limit.sent) < limit.part;
 }
 
-void noteSent(AdvertisedLimit &limit, Instant now) noexcept
+void recordSent(AdvertisedLimit &limit, Instant now) noexcept
 {
     ++advance(limit.sent, AdvertisedLimit::span, now);
 }
--- a/libs/serving/src/PartitionLease.cpp
+++ b/libs/serving/src/PartitionLease.cpp
@@ -125,7 +125,7 @@
     held->second = std::min(held->second, release.at + timing.apart + timing.margin);
 }
 
-bool isNoteDue(const PartitionLease &lease, Instant now) noexcept
+bool isWriteDue(const PartitionLease &lease, Instant now) noexcept
 {
     if (now >= endOf(lease))
         return false;
--- a/libs/serving/tests/LeaseModel.cpp
+++ b/libs/serving/tests/LeaseModel.cpp
@@ -77,7 +77,7 @@
             confirmClaims(vm.lease, vm.claims, now);
     }
     vm.claims.clear();
-    if (play.is(Fault::AnswersLost) || !isNoteDue(vm.lease, now))
+    if (play.is(Fault::AnswersLost) || !isWriteDue(vm.lease, now))
         return;
     vm.readEnd = notes.end;
     vm.addAt = tick + noteTicks;
--- a/libs/serving/tests/Leases.cpp
+++ b/libs/serving/tests/Leases.cpp
@@ -202,11 +202,11 @@
     Instant now = modelStart;
     for (; now < modelStart + 10s; now += 500ms)
         renewLease(lease, grant, timing, now, now);
-    cr_assert(isNoteDue(lease, now));
+    cr_assert(isWriteDue(lease, now));
     cr_assert(!mayCommand(lease, 1, now));
     noteAll(lease, notedBy("vm-2", 2), "vm-1", now);
     cr_assert(mayCommand(lease, 1, now));
-    cr_assert(!isNoteDue(lease, now));
+    cr_assert(!isWriteDue(lease, now));
 }
 
 // Symptom: in a rolling restart nobody ordered an engine for 6 s at each step. Answer: the VM that
--- a/libs/serving/tests/NamedLimits.cpp
+++ b/libs/serving/tests/NamedLimits.cpp
@@ -32,7 +32,7 @@
             // Clocks of VMs are unrelated.
             if (!admitsCall(limits[vm], vms, draw(random), now + offsets[vm]))
                 continue;
-            noteSent(limits[vm], now + offsets[vm]);
+            recordSent(limits[vm], now + offsets[vm]);
             sent.push_back(now);
         }
         while (!sent.empty() && now - sent.front() > AdvertisedLimit::span)
--- a/libs/serving/tests/Relays.cpp
+++ b/libs/serving/tests/Relays.cpp
@@ -24,7 +24,7 @@
     return made;
 }
 
-TargetUsages useOf(const std::string &target, int runs, double tokens)
+TargetUsages usageOf(const std::string &target, int runs, double tokens)
 {
     TargetUsage use;
     use.runs = runs;
@@ -160,7 +160,7 @@
             const std::string reporter = "vm-" + std::to_string(*rc::gen::inRange(0, 4));
             const std::string target = "t-" + std::to_string(*rc::gen::inRange(0, 3));
             const int runs = *rc::gen::inRange(0, 5);
-            const ReporterUsage report = reportOf(useOf(target, runs, 100.0 * runs), now);
+            const ReporterUsage report = reportOf(usageOf(target, runs, 100.0 * runs), now);
             applyReport(ledger, reporter, report);
             naive[reporter] = report;
             if (*rc::gen::inRange(0, 5) == 0) {
@@ -190,8 +190,8 @@
 Test(relays, a_reporter_is_not_told_its_own_use)
 {
     UsageLedger ledger;
-    applyReport(ledger, "a", reportOf(useOf("t", 3, 300), start));
-    applyReport(ledger, "b", reportOf(useOf("t", 2, 200), start));
+    applyReport(ledger, "a", reportOf(usageOf("t", 3, 300), start));
+    applyReport(ledger, "b", reportOf(usageOf("t", 2, 200), start));
     cr_assert_eq(usagesExcept(ledger, "a").at("t").runs, 2);
     cr_assert_eq(usagesExcept(ledger, "nobody").at("t").runs, 5);
 }
--- a/tools/capacity/src/Main.cpp
+++ b/tools/capacity/src/Main.cpp
@@ -19,7 +19,7 @@
 #include "ownership/Ownership.h"
 #include "requests/Admission.h"
 #include "requests/KeyRecords.h"
-#include "requests/RequestLife.h"
+#include "requests/RequestLifecycle.h"
 #include "residency/PlacementPolicy.h"
 #include "routing/ResidentDirectory.h"
 #include "transport/PeerNetwork.h"
@@ -67,7 +67,7 @@
     for (const int count : {16750, 33500, 67000}) {
         auto table = std::make_unique<DemandTable>(makeDemandTable({}, Instant{}));
         for (int index = 0; index < count; ++index)
-            noteRequests(*table, adapterAt(index), 1, Instant{});
+            recordRequests(*table, adapterAt(index), 1, Instant{});
         points.push_back({static_cast<double>(count), static_cast<double>(bytesOf(*table))});
     }
     return fitSlope("demand table, memory", "adapter", "B", points);
@@ -195,18 +195,19 @@
             view.slots = 8;
             for (int slot = 0; slot < 8; ++slot)
                 view.resident.push_back({adapterAt(target * 8 + slot), 0, Instant{}});
-            noteTarget(state, view);
+            updateTarget(state, view);
         }
         for (int adapter = 0; adapter < 67000; ++adapter)
-            noteRequests(state.demand, adapterAt(adapter), 1, now);
+            recordRequests(state.demand, adapterAt(adapter), 1, now);
         int next = 0;
         points.push_back(
             {static_cast<double>(targets), microsecondsOf(100, [&](int) {
                  const AdapterId cold = adapterAt(30000 + ++next);
-                 noteWant(state, {cold, VmId{1}, 1, now, now + std::chrono::hours(1), 1, now}, now);
+                 updateWant(state, {cold, VmId{1}, 1, now, now + std::chrono::hours(1), 1, now},
+                            now);
                  const PlacementActions actions = decide(state, now);
                  for (const LoadOrder &order : actions.orders)
-                     noteLoadResult(state, order.permit, LoadOutcome::Loaded, now);
+                     recordLoadResult(state, order.permit, LoadOutcome::Loaded, now);
              })});
     }
     return fitSlope("one load decided by the coordinator, time (8 slots a target)", "target", "us",
@@ -221,10 +222,10 @@
         TargetView view;
         view.target = TargetId::of("runner-" + std::to_string(target));
         view.slots = 8;
-        noteTarget(state, view);
+        updateTarget(state, view);
     }
     for (int adapter = 0; adapter < 67000; ++adapter)
-        noteRequests(state.demand, adapterAt(adapter), 1, now);
+        recordRequests(state.demand, adapterAt(adapter), 1, now);
     // Nothing may be loaded: every adapter backs off, so each call looks through all and finds
     // none.
     for (int adapter = 0; adapter < 67000; ++adapter)
@@ -248,7 +249,7 @@
                 member.zone = "zone-a";
                 member.address = "10.20.30.40";
                 member.incarnation = 1;
-                noteGossip(state, {member}, Instant{});
+                applyGossip(state, {member}, Instant{});
             }
         });
         points.push_back({static_cast<double>(members), bytes});
@@ -266,14 +267,14 @@
             member.name = "vm-" + std::to_string(index);
             member.vm = VmId::of(member.name);
             member.incarnation = 1;
-            noteGossip(state, {member}, Instant{});
+            applyGossip(state, {member}, Instant{});
         }
         Instant now{};
         points.push_back({static_cast<double>(members), microsecondsOf(500, [&](int) {
                               now += std::chrono::milliseconds(50);
                               for (const Probe &probe : tick(state, now))
                                   noteHeard(state, probe.to, 1, now);
-                              takeGossip(state);
+                              nextGossip(state);
                           })});
     }
     return fitSlope("membership tick with its probes, time", "member", "us", points);
@@ -293,7 +294,7 @@
             candidates.push_back({VmId{vm}, "zone"});
         setCandidates(state, candidates);
         for (const OwnedTarget &target : list)
-            noteClaim(state, target.target, VmId{2 + target.target.value % 139}, {5, 0}, false);
+            applyClaim(state, target.target, VmId{2 + target.target.value % 139}, {5, 0}, false);
         Instant now = Instant{} + std::chrono::seconds(10);
         points.push_back({static_cast<double>(targets), microsecondsOf(200, [&](int) {
                               now += std::chrono::milliseconds(50);
@@ -329,7 +330,7 @@
     admission.config.maxInFlight = 1000000;
     return microsecondsOf(100000, [&](int) {
         admit(admission, ServiceId{1}, 1);
-        RequestLife life;
+        RequestLifecycle life;
         life.traits.deadline = Instant{} + std::chrono::hours(1);
         const std::uint32_t attempt = beginAttempt(life);
         takePiece(life, attempt, 0);
--- a/tools/loadgen/src/VirtualRun.cpp
+++ b/tools/loadgen/src/VirtualRun.cpp
@@ -304,7 +304,7 @@
     if (known != world.placement.wants.end())
         known->second.wants.clear();
     for (const auto &[origin, want] : byOrigin)
-        noteWant(world.placement, want, instantOf(world.now));
+        updateWant(world.placement, want, instantOf(world.now));
     if (byOrigin.empty())
         world.placement.wants.erase(id);
 }
@@ -410,7 +410,8 @@
     const ErrorKind begun =
         beginLoad(engine.table, world.adapters[static_cast<std::size_t>(adapter)], order.evict);
     if (begun != ErrorKind::Ok) {
-        noteLoadResult(world.placement, order.permit, LoadOutcome::Declined, instantOf(world.now));
+        recordLoadResult(world.placement, order.permit, LoadOutcome::Declined,
+                         instantOf(world.now));
         return;
     }
     world.report.evictionsUnderRun += busy ? 1 : 0;
@@ -450,7 +451,7 @@
     constexpr double window = 1;
     for (std::size_t rank = 0; rank < world.adapterAtRank.size(); ++rank) {
         const auto adapter = static_cast<std::size_t>(world.adapterAtRank[rank]);
-        noteRequests(state.demand, world.adapters[adapter].id(), 1, instantOf(world.now));
+        recordRequests(state.demand, world.adapters[adapter].id(), 1, instantOf(world.now));
         const double rate = world.options.requestsPerSecond / total
             / std::pow(static_cast<double>(rank + 1), world.options.zipfExponent);
         for (DemandEntry &entry : state.demand.slots) {
@@ -466,7 +467,7 @@
 void decideNow(VirtualWorld &world)
 {
     for (const Engine &engine : world.engines)
-        noteTarget(world.placement, viewOf(engine, world.options));
+        updateTarget(world.placement, viewOf(engine, world.options));
     if (world.oracle) {
         while (world.placement.pending.empty()) {
             const std::optional<LoadChoice> choice = oracleLoad(world);
@@ -479,7 +480,7 @@
             world.placement.counters.loadsOrdered += 1;
             execute(world, order);
             for (const Engine &engine : world.engines)
-                noteTarget(world.placement, viewOf(engine, world.options));
+                updateTarget(world.placement, viewOf(engine, world.options));
         }
         return;
     }
@@ -532,8 +533,8 @@
         const bool loaded = !transfer.fails && transfer.epoch == engine.epoch;
         if (transfer.epoch == engine.epoch)
             endLoad(engine.table, loaded, instantOf(world.now));
-        noteLoadResult(world.placement, transfer.order.permit,
-                       loaded ? LoadOutcome::Loaded : LoadOutcome::Failed, instantOf(world.now));
+        recordLoadResult(world.placement, transfer.order.permit,
+                         loaded ? LoadOutcome::Loaded : LoadOutcome::Failed, instantOf(world.now));
         ++world.report.loads;
         world.report.failedLoads += loaded ? 0 : 1;
         if (loaded)
@@ -567,7 +568,7 @@
     }
     const int engine = routeNow(world, request, static_cast<int>(index) % world.options.zones);
     if (!world.ranking)
-        noteDemand(world.placement, id, 1, engine >= 0 ? 1 : 0, instantOf(world.now));
+        recordDemand(world.placement, id, 1, engine >= 0 ? 1 : 0, instantOf(world.now));
     if (engine >= 0) {
         dispatch(world, world.engines[static_cast<std::size_t>(engine)], request);
         return;
