--- a/libs/access/include/access/Confirmation.h
+++ b/libs/access/include/access/Confirmation.h
@@ -27,7 +27,7 @@
     std::vector<Confirmation> latest; ///< the newest versions only
 };
 
-void noteConfirmed(Confirmations &confirmations, const Confirmation &confirmation);
+void recordConfirmation(Confirmations &confirmations, const Confirmation &confirmation);
 
 /** When the version was last confirmed; nothing if it never was. */
 std::optional<Instant> confirmedAt(const Confirmations &confirmations, std::int64_t version);
@@ -42,7 +42,7 @@
 struct AccessPolicy
 {
     bool strict = false; ///< also by VMs that cannot know that a key was taken
-    Duration takenWithin = std::chrono::seconds(5); ///< from the taking of a key on
+    Duration revokedWithin = std::chrono::seconds(5); ///< from the taking of a key on
 
     auto operator<=>(const AccessPolicy &) const = default;
 };
--- a/libs/access/include/access/KeyTable.h
+++ b/libs/access/include/access/KeyTable.h
@@ -39,7 +39,7 @@
 {
     std::unordered_map<KeyDigest, std::uint32_t, KeyDigestHash> workspaceByKey;
     std::vector<std::string> names; ///< of workspaces; a place is never used again
-    std::unordered_map<std::string, std::uint32_t> placeByName;
+    std::unordered_map<std::string, std::uint32_t> indexByName;
 };
 
 /** What a change of the configuration did to keys. */
--- a/libs/access/src/Confirmation.cpp
+++ b/libs/access/src/Confirmation.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void noteConfirmed(Confirmations &confirmations, const Confirmation &confirmation)
+void recordConfirmation(Confirmations &confirmations, const Confirmation &confirmation)
 {
     std::vector<Confirmation> &latest = confirmations.latest;
     const auto same = std::find_if(latest.begin(), latest.end(), [&](const Confirmation &known) {
@@ -58,7 +58,7 @@
         return true;
     if (!confirmed)
         return false;
-    return now - *confirmed <= fromSeconds(trustedShare * toSeconds(policy.takenWithin));
+    return now - *confirmed <= fromSeconds(trustedShare * toSeconds(policy.revokedWithin));
 }
 
 } // namespace monsoonbay
--- a/libs/access/src/KeyTable.cpp
+++ b/libs/access/src/KeyTable.cpp
@@ -16,7 +16,7 @@
 std::uint32_t placeOf(KeyTable &table, const std::string &name)
 {
     const auto [found, added] =
-        table.placeByName.try_emplace(name, static_cast<std::uint32_t>(table.names.size()));
+        table.indexByName.try_emplace(name, static_cast<std::uint32_t>(table.names.size()));
     if (added)
         table.names.push_back(name);
     return found->second;
--- a/libs/access/tests/Access.cpp
+++ b/libs/access/tests/Access.cpp
@@ -111,12 +111,12 @@
 Test(access, the_latest_confirmation_of_a_version_counts)
 {
     Confirmations confirmations;
-    noteConfirmed(confirmations, {7, start});
-    noteConfirmed(confirmations, {7, start - 1s});
+    recordConfirmation(confirmations, {7, start});
+    recordConfirmation(confirmations, {7, start - 1s});
     cr_assert(confirmedAt(confirmations, 7) == start);
     cr_assert(!confirmedAt(confirmations, 8));
     for (std::int64_t version = 8; version < 100; ++version)
-        noteConfirmed(confirmations, {version, start});
+        recordConfirmation(confirmations, {version, start});
     cr_assert(!confirmedAt(confirmations, 7), "old versions are forgotten");
     cr_assert(confirmedAt(confirmations, 99) == start);
     cr_assert_leq(confirmations.latest.size(), 8);
--- a/libs/access/tests/AccessModel.cpp
+++ b/libs/access/tests/AccessModel.cpp
@@ -67,7 +67,7 @@
     {
         World world;
         world.reader.version = 1;
-        noteConfirmed(world.reader.confirmations, {1, world.now});
+        recordConfirmation(world.reader.confirmations, {1, world.now});
         world.learner = world.reader;
         this->explore(world, depth);
         return this->found;
@@ -109,7 +109,7 @@
         const Instant from =
             this->fault == AccessFault::CountsFromAnswer ? world.now : *world.readSince;
         world.reader.version = std::max(world.reader.version, found);
-        noteConfirmed(world.reader.confirmations, {found, from});
+        recordConfirmation(world.reader.confirmations, {found, from});
         world.readSince.reset();
     }
 
@@ -127,7 +127,7 @@
             heard.version = world.learner.version;
         else
             world.learner.version = std::max(world.learner.version, told.version);
-        noteConfirmed(world.learner.confirmations, heard);
+        recordConfirmation(world.learner.confirmations, heard);
     }
 
     bool take(World &world, Step step) const
@@ -195,7 +195,7 @@
 
     void check(const World &world)
     {
-        if (world.stored < takenIn || world.now - world.takenAt <= policy().takenWithin)
+        if (world.stored < takenIn || world.now - world.takenAt <= policy().revokedWithin)
             return;
         const bool learns =
             !world.learnerStands && this->honours(world.learner, this->learnersClock(world));
--- a/libs/daemon/src/Ingress.cpp
+++ b/libs/daemon/src/Ingress.cpp
@@ -531,7 +531,7 @@
         return ErrorKind::KeyConflict;
     if (decision == KeyDecision::RefuseInUse)
         return ErrorKind::KeyInUse;
-    return ErrorKind::KeyUnknowable;
+    return ErrorKind::KeyStateUnknown;
 }
 
 asio::awaitable<void> refuse(Node &node, HttpExchange &exchange, ProblemDetail problem,
--- a/libs/gateway/src/ConfigDecoding.cpp
+++ b/libs/gateway/src/ConfigDecoding.cpp
@@ -54,7 +54,7 @@
         return decoded;
     decoded.whole = packDocument(version, document);
     if (base.version > 0)
-        decoded.change = packChange(base, version, document);
+        decoded.change = packDelta(base, version, document);
     return decoded;
 }
 
--- a/libs/gateway/src/ConfigDownload.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -204,11 +204,11 @@
     if (found == node.peers.end())
         co_return;
     if (!answer) {
-        noteOverdue(reading.pacing);
+        shrinkParts(reading.pacing);
         giveUpSource(node, found->second, "no answer", BootClock::now() - asked);
         co_return;
     }
-    noteArrived(reading.pacing);
+    growParts(reading.pacing);
     applyConfigPart(node, found->second, *answer);
     const bool waits = answer->bytes().empty() && answer->ask_address().empty();
     if (waits)
@@ -226,22 +226,22 @@
 namespace {
 
 /** What this VM has of the configuration that the asker has a part of. */
-std::optional<DocumentPart> nextPart(GatewayNode &node, const PartWanted &wanted, Instant now)
+std::optional<DocumentPart> nextPart(GatewayNode &node, const PartRequest &wanted, Instant now)
 {
     if (wanted.version == 0)
         return std::nullopt;
-    if (hasWanted(node.config, wanted))
+    if (hasRequested(node.config, wanted))
         return readPart(node.config, wanted, now);
     const PartialDocument &soFar = node.configDownload.soFar;
     const bool isRead =
         soFar.packed.version == wanted.version && soFar.packed.digest == wanted.digest;
     if (!isRead)
         return std::nullopt;
-    return partOf(soFar, wanted.offset, wanted.mostBytes);
+    return partOf(soFar, wanted.offset, wanted.maxBytes);
 }
 
 /** The first part of the newest that this VM has, or is reading; nothing: the asker can't use it.*/
-std::optional<DocumentPart> firstPart(GatewayNode &node, const PartWanted &wanted,
+std::optional<DocumentPart> firstPart(GatewayNode &node, const PartRequest &wanted,
                                       std::int64_t expected, Instant now)
 {
     const PartialDocument &soFar = node.configDownload.soFar;
@@ -250,7 +250,7 @@
         const std::uint64_t base = soFar.packed.baseDigest;
         if (base != 0 && base != wanted.baseDigest)
             return std::nullopt;
-        return partOf(soFar, 0, wanted.mostBytes);
+        return partOf(soFar, 0, wanted.maxBytes);
     }
     if (expected > node.config.newest.version) {
         DocumentPart later;
@@ -258,7 +258,7 @@
         later.totalBytes = 1; // not known yet, but there will be some
         return later;
     }
-    PartWanted newest = wanted;
+    PartRequest newest = wanted;
     newest.version = 0;
     newest.digest = 0;
     return readPart(node.config, newest, now);
@@ -269,9 +269,9 @@
 v1::ConfigPart answerConfigRequest(GatewayNode &node, const v1::ConfigRequest &request)
 {
     const Instant now = BootClock::now();
-    const PartWanted wanted{request.version(), request.digest(), request.offset(),
-                            std::min<std::size_t>(request.most_bytes(), longestPart),
-                            request.base_digest()};
+    const PartRequest wanted{request.version(), request.digest(), request.offset(),
+                             std::min<std::size_t>(request.most_bytes(), maxPartBytes),
+                             request.base_digest()};
     std::optional<DocumentPart> part = nextPart(node, wanted, now);
     const bool goesOn = part.has_value();
     if (!goesOn)
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -145,7 +145,7 @@
         updateKeys(node.keys, replaced->config().workspaces, node.routes->config().workspaces);
     putNewest(node.config, std::move(decoded.whole), now);
     if (decoded.change)
-        putBeside(node.config, std::move(*decoded.change), now);
+        addCached(node.config, std::move(*decoded.change), now);
     node.unknownKeys.clear();
     node.started.notifyAll();
     node.confirmed.notifyAll();
@@ -204,7 +204,7 @@
         return takeStoredConfig(node, std::move(document));
     };
     sink.configConfirmed = [&node](std::int64_t version, Instant readBegan) {
-        noteConfirmed(node.confirmations, {version, readBegan});
+        recordConfirmation(node.confirmations, {version, readBegan});
         node.confirmed.notifyAll();
     };
     sink.adapterVersion = [&node](const std::string &adapter, std::int64_t version) {
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -51,8 +51,8 @@
 #include "serving/TargetTable.h"
 #include "serving/UsageLedger.h"
 #include "serving/ZoneRelay.h"
-#include "transfer/DocumentShelf.h"
-#include "transfer/PartPacing.h"
+#include "transfer/DocumentCache.h"
+#include "transfer/PartSizing.h"
 #include "transport/HttpClient.h"
 
 namespace monsoonbay {
@@ -285,7 +285,7 @@
 struct ConfigDownload
 {
     PartialDocument soFar;
-    PartPacing pacing;
+    PartSizing pacing;
     Endpoint source; ///< of the last part
     std::int64_t expected = 0; ///< version that a peer said `source` has, or is reading; 0: none
     bool redirectFailed = false; ///< a VM that this one was sent on to gave nothing
@@ -310,7 +310,7 @@
     std::uint64_t boot = 0;
 
     std::shared_ptr<const RouteTable> routes; ///< never null
-    DocumentShelf config; ///< as others read it
+    DocumentCache config; ///< as others read it
     ConfigDownload configDownload;
     ConfigReaders configReaders;
     KeyTable keys; ///< of the configuration in force
--- a/libs/gateway/src/GatewaySettings.cpp
+++ b/libs/gateway/src/GatewaySettings.cpp
@@ -78,8 +78,8 @@
         return;
     reader.onlyKeys(object, path, {"strict", "takenWithinMs"});
     access.strict = reader.boolean(object, path, "strict", access.strict);
-    access.takenWithin =
-        readMs(reader, object, path, "takenWithinMs", access.takenWithin, 1000, 3600000);
+    access.revokedWithin =
+        readMs(reader, object, path, "takenWithinMs", access.revokedWithin, 1000, 3600000);
 }
 
 void readQuota(JsonReader &reader, const Json &root, QuotaPolicy &quota)
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -238,8 +238,8 @@
     if (digest.config_confirmed_ago_ms() == 0)
         return;
     const std::chrono::milliseconds age(digest.config_confirmed_ago_ms());
-    noteConfirmed(node.confirmations,
-                  confirmationFromAnswer(digest.config_version(), age, askedAt));
+    recordConfirmation(node.confirmations,
+                       confirmationFromAnswer(digest.config_version(), age, askedAt));
     node.confirmed.notifyAll();
 }
 
--- a/libs/gateway/tests/ConfigReadings.cpp
+++ b/libs/gateway/tests/ConfigReadings.cpp
@@ -115,7 +115,7 @@
     for (; versionOf(reader) == 0; ++parts)
         applyConfigPart(reader, second, answerConfigRequest(mate, nextConfigRequest(reader)));
     cr_assert_eq(versionOf(reader), 4);
-    cr_assert_leq(parts, static_cast<int>(200000 / longestPart) + 2);
+    cr_assert_leq(parts, static_cast<int>(200000 / maxPartBytes) + 2);
 }
 
 // Symptom would be a VM that asks a mate for ever that was started anew and knows nothing yet.
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -313,10 +313,10 @@
 {
     Served served(600);
     served.node.settings.access = {true, 5s};
-    noteConfirmed(served.node.confirmations, {7, BootClock::now()});
+    recordConfirmation(served.node.confirmations, {7, BootClock::now()});
     cr_assert(!recheckKey(served.run));
     served.node.confirmations = Confirmations();
-    noteConfirmed(served.node.confirmations, {7, BootClock::now() - 5s});
+    recordConfirmation(served.node.confirmations, {7, BootClock::now() - 5s});
     const std::optional<LocalReply> refused = recheckKey(served.run);
     cr_assert(refused && refused->status == 503);
 }
@@ -326,7 +326,7 @@
     Served served(600);
     GatewayNode other(settingsOf("vm-2", "10.0.0.2"));
     cr_assert_eq(answerReport(served.node, reportOf(other, 1)).config_confirmed_ago_ms(), 0);
-    noteConfirmed(served.node.confirmations, {7, BootClock::now() - 400ms});
+    recordConfirmation(served.node.confirmations, {7, BootClock::now() - 400ms});
     const gateway::v1::Digest digest = answerReport(served.node, reportOf(other, 2));
     cr_assert_eq(digest.config_version(), 7);
     cr_assert_geq(digest.config_confirmed_ago_ms(), 400);
--- a/libs/transfer/include/transfer/DocumentShelf.h
+++ b/libs/transfer/include/transfer/DocumentCache.h
@@ -8,46 +8,46 @@
 namespace monsoonbay {
 
 /** A document beside the newest, kept for those that are in the middle of reading it. */
-struct ReadDocument
+struct CachedDocument
 {
     PackedDocument packed;
     Instant readAt{}; ///< a part was read last
 };
 
 /** The newest document of a VM, from which others read in parts. */
-struct DocumentShelf
+struct DocumentCache
 {
     PackedDocument newest;
     Instant newestReadAt{}; ///< zero: never
-    std::deque<ReadDocument> formers; ///< replaced ones, and changes; newest first
+    std::deque<CachedDocument> cachedDocuments; ///< replaced ones, and changes; newest first
     std::deque<PackedDocument> bases; ///< whole ones that were replaced lately, newest first
 };
 
 /** Which part is asked for. */
-struct PartWanted
+struct PartRequest
 {
     std::int64_t version = 0; ///< of the document that the asker has a part of; 0: the newest
     std::uint64_t digest = 0;
     std::uint64_t offset = 0;
-    std::size_t mostBytes = 0;
+    std::size_t maxBytes = 0;
     std::uint64_t baseDigest = 0; ///< of the whole document that the asker has; 0: none
 
-    auto operator<=>(const PartWanted &) const = default;
+    auto operator<=>(const PartRequest &) const = default;
 };
 
 /** Puts a newer document in the place of the newest. */
-void putNewest(DocumentShelf &shelf, PackedDocument packed, Instant now);
+void putNewest(DocumentCache &shelf, PackedDocument packed, Instant now);
 
 /** Keeps a document that others may read, beside the newest. */
-void putBeside(DocumentShelf &shelf, PackedDocument packed, Instant now);
+void addCached(DocumentCache &shelf, PackedDocument packed, Instant now);
 
 /** True if the document that the asker has a part of is there. */
-bool hasWanted(const DocumentShelf &shelf, const PartWanted &wanted);
+bool hasRequested(const DocumentCache &shelf, const PartRequest &wanted);
 
 /**
  * The part asked for. If there is no such document: of what changed since the one that the asker
  * has, or else of the newest, from the beginning.
  */
-DocumentPart readPart(DocumentShelf &shelf, const PartWanted &wanted, Instant now);
+DocumentPart readPart(DocumentCache &shelf, const PartRequest &wanted, Instant now);
 
 } // namespace monsoonbay
--- a/libs/transfer/include/transfer/DocumentParts.h
+++ b/libs/transfer/include/transfer/DocumentParts.h
@@ -39,11 +39,11 @@
     Later, ///< the sender is reading the document itself, and has no more of it yet
 };
 
-/** The part that begins at `offset`, of at most `mostBytes`; empty past the end. */
-DocumentPart partOf(const PackedDocument &packed, std::uint64_t offset, std::size_t mostBytes);
+/** The part that begins at `offset`, of at most `maxBytes`; empty past the end. */
+DocumentPart partOf(const PackedDocument &packed, std::uint64_t offset, std::size_t maxBytes);
 
 /** The same of a document of which not all has come: empty where it ends so far. */
-DocumentPart partOf(const PartialDocument &partial, std::uint64_t offset, std::size_t mostBytes);
+DocumentPart partOf(const PartialDocument &partial, std::uint64_t offset, std::size_t maxBytes);
 
 /** Adds a part; the first part of another document takes the place of the one so far. */
 PartOutcome takePart(PartialDocument &partial, DocumentPart part);
--- a/libs/transfer/include/transfer/PackedDocument.h
+++ b/libs/transfer/include/transfer/PackedDocument.h
@@ -26,8 +26,8 @@
 PackedDocument packDocument(std::int64_t version, std::string_view plain);
 
 /** What changed since a whole document; nothing if it is damaged. */
-std::optional<PackedDocument> packChange(const PackedDocument &base, std::int64_t version,
-                                         std::string_view plain);
+std::optional<PackedDocument> packDelta(const PackedDocument &base, std::int64_t version,
+                                        std::string_view plain);
 
 /** The document, if it is whole; nothing if it is damaged or longer than any that is taken. */
 std::optional<std::string> unpackDocument(const PackedDocument &packed);
--- a/libs/transfer/include/transfer/PartPacing.h
+++ b/libs/transfer/include/transfer/PartSizing.h
@@ -9,18 +9,18 @@
  * Longest part of a document. Callers' answers wait behind a part on the same link: 13 ms where it
  * carries 10 Mbit/s.
  */
-constexpr std::size_t longestPart = std::size_t{16} * 1024;
+constexpr std::size_t maxPartBytes = std::size_t{16} * 1024;
 
 /** How many bytes a reader asks for next. */
-struct PartPacing
+struct PartSizing
 {
-    std::size_t nextBytes = longestPart;
+    std::size_t nextBytes = maxPartBytes;
 
-    auto operator<=>(const PartPacing &) const = default;
+    auto operator<=>(const PartSizing &) const = default;
 };
 
 /** A part came, or did not come in time. */
-void noteArrived(PartPacing &pacing) noexcept;
-void noteOverdue(PartPacing &pacing) noexcept;
+void growParts(PartSizing &pacing) noexcept;
+void shrinkParts(PartSizing &pacing) noexcept;
 
 } // namespace monsoonbay
--- a/libs/transfer/src/DocumentShelf.cpp
+++ b/libs/transfer/src/DocumentCache.cpp
@@ -1,4 +1,4 @@
-#include "transfer/DocumentShelf.h"
+#include "transfer/DocumentCache.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,38 +14,38 @@
 /** Versions that a reader may be behind, and still be given what changed only. */
 constexpr std::size_t mostBases = 4;
 
-bool isWanted(const PackedDocument &packed, const PartWanted &wanted)
+bool isWanted(const PackedDocument &packed, const PartRequest &wanted)
 {
     return packed.version == wanted.version && packed.digest == wanted.digest;
 }
 
-void dropUnread(DocumentShelf &shelf, Instant now)
+void dropUnread(DocumentCache &shelf, Instant now)
 {
-    std::erase_if(shelf.formers, [now](const ReadDocument &former) {
+    std::erase_if(shelf.cachedDocuments, [now](const CachedDocument &former) {
         return now - former.readAt > readerSilence;
     });
-    if (shelf.formers.size() > mostFormers)
-        shelf.formers.resize(mostFormers);
+    if (shelf.cachedDocuments.size() > mostFormers)
+        shelf.cachedDocuments.resize(mostFormers);
 }
 
 /** The document that the asker has a part of, beside the newest; null if there is none. */
-ReadDocument *findWanted(DocumentShelf &shelf, const PartWanted &wanted)
+CachedDocument *findWanted(DocumentCache &shelf, const PartRequest &wanted)
 {
     const auto found = std::find_if(
-        shelf.formers.begin(), shelf.formers.end(),
-        [&wanted](const ReadDocument &former) { return isWanted(former.packed, wanted); });
-    return found == shelf.formers.end() ? nullptr : &*found;
+        shelf.cachedDocuments.begin(), shelf.cachedDocuments.end(),
+        [&wanted](const CachedDocument &former) { return isWanted(former.packed, wanted); });
+    return found == shelf.cachedDocuments.end() ? nullptr : &*found;
 }
 
 /**
  * What changed since the asker's document; null if that is not kept. It is made once for all
  * askers, also where it is as long as the whole.
  */
-ReadDocument *changeFor(DocumentShelf &shelf, std::uint64_t baseDigest, Instant now)
+CachedDocument *changeFor(DocumentCache &shelf, std::uint64_t baseDigest, Instant now)
 {
     if (baseDigest == 0)
         return nullptr;
-    for (ReadDocument &former : shelf.formers) {
+    for (CachedDocument &former : shelf.cachedDocuments) {
         if (former.packed.baseDigest == baseDigest && former.packed.version == shelf.newest.version)
             return &former;
     }
@@ -57,28 +57,28 @@
     const std::optional<std::string> newest = unpackDocument(shelf.newest);
     if (!newest)
         return nullptr;
-    std::optional<PackedDocument> change = packChange(*base, shelf.newest.version, *newest);
+    std::optional<PackedDocument> change = packDelta(*base, shelf.newest.version, *newest);
     if (!change)
         return nullptr;
-    putBeside(shelf, std::move(*change), now);
-    return &shelf.formers.front();
+    addCached(shelf, std::move(*change), now);
+    return &shelf.cachedDocuments.front();
 }
 
-DocumentPart readFrom(ReadDocument &document, std::uint64_t offset, std::size_t mostBytes,
+DocumentPart readFrom(CachedDocument &document, std::uint64_t offset, std::size_t maxBytes,
                       Instant now)
 {
     document.readAt = now;
-    return partOf(document.packed, offset, mostBytes);
+    return partOf(document.packed, offset, maxBytes);
 }
 
 } // namespace
 
 // Symptom without those that were replaced: where configurations change faster than a link carries
 // one, each reader begins anew with each, and none is ever in force.
-void putNewest(DocumentShelf &shelf, PackedDocument packed, Instant now)
+void putNewest(DocumentCache &shelf, PackedDocument packed, Instant now)
 {
     if (shelf.newestReadAt != Instant{})
-        shelf.formers.push_front({shelf.newest, shelf.newestReadAt});
+        shelf.cachedDocuments.push_front({shelf.newest, shelf.newestReadAt});
     if (shelf.newest.version > 0)
         shelf.bases.push_front(std::move(shelf.newest));
     if (shelf.bases.size() > mostBases)
@@ -88,33 +88,33 @@
     dropUnread(shelf, now);
 }
 
-void putBeside(DocumentShelf &shelf, PackedDocument packed, Instant now)
+void addCached(DocumentCache &shelf, PackedDocument packed, Instant now)
 {
-    shelf.formers.push_front({std::move(packed), now});
+    shelf.cachedDocuments.push_front({std::move(packed), now});
     dropUnread(shelf, now);
 }
 
-bool hasWanted(const DocumentShelf &shelf, const PartWanted &wanted)
+bool hasRequested(const DocumentCache &shelf, const PartRequest &wanted)
 {
     return isWanted(shelf.newest, wanted)
         || std::any_of(
-               shelf.formers.begin(), shelf.formers.end(),
-               [&wanted](const ReadDocument &former) { return isWanted(former.packed, wanted); });
+               shelf.cachedDocuments.begin(), shelf.cachedDocuments.end(),
+               [&wanted](const CachedDocument &former) { return isWanted(former.packed, wanted); });
 }
 
-DocumentPart readPart(DocumentShelf &shelf, const PartWanted &wanted, Instant now)
+DocumentPart readPart(DocumentCache &shelf, const PartRequest &wanted, Instant now)
 {
     dropUnread(shelf, now);
-    if (ReadDocument *const going = findWanted(shelf, wanted))
-        return readFrom(*going, wanted.offset, wanted.mostBytes, now);
+    if (CachedDocument *const going = findWanted(shelf, wanted))
+        return readFrom(*going, wanted.offset, wanted.maxBytes, now);
     if (isWanted(shelf.newest, wanted)) {
         shelf.newestReadAt = now;
-        return partOf(shelf.newest, wanted.offset, wanted.mostBytes);
+        return partOf(shelf.newest, wanted.offset, wanted.maxBytes);
     }
-    if (ReadDocument *const change = changeFor(shelf, wanted.baseDigest, now))
-        return readFrom(*change, 0, wanted.mostBytes, now);
+    if (CachedDocument *const change = changeFor(shelf, wanted.baseDigest, now))
+        return readFrom(*change, 0, wanted.maxBytes, now);
     shelf.newestReadAt = now;
-    return partOf(shelf.newest, 0, wanted.mostBytes);
+    return partOf(shelf.newest, 0, wanted.maxBytes);
 }
 
 } // namespace monsoonbay
--- a/libs/transfer/src/DocumentChange.cpp
+++ b/libs/transfer/src/DocumentChange.cpp
@@ -149,7 +149,7 @@
 
 } // namespace
 
-std::string changeBetween(std::string_view base, std::string_view document)
+std::string deltaBetween(std::string_view base, std::string_view document)
 {
     std::unordered_map<std::string_view, std::size_t> offsets; // in the base, by chunk
     for (std::size_t offset = 0; offset < base.size();) {
--- a/libs/transfer/src/DocumentParts.cpp
+++ b/libs/transfer/src/DocumentParts.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-DocumentPart partOf(const PackedDocument &packed, std::uint64_t offset, std::size_t mostBytes)
+DocumentPart partOf(const PackedDocument &packed, std::uint64_t offset, std::size_t maxBytes)
 {
     DocumentPart part;
     part.version = packed.version;
@@ -23,14 +23,14 @@
     part.totalBytes = packed.bytes.size();
     part.offset = offset;
     if (offset < packed.bytes.size())
-        part.bytes = packed.bytes.substr(offset, mostBytes);
+        part.bytes = packed.bytes.substr(offset, maxBytes);
     part.baseDigest = packed.baseDigest;
     return part;
 }
 
-DocumentPart partOf(const PartialDocument &partial, std::uint64_t offset, std::size_t mostBytes)
+DocumentPart partOf(const PartialDocument &partial, std::uint64_t offset, std::size_t maxBytes)
 {
-    DocumentPart part = partOf(partial.packed, offset, mostBytes);
+    DocumentPart part = partOf(partial.packed, offset, maxBytes);
     part.totalBytes = partial.totalBytes;
     return part;
 }
--- a/libs/transfer/src/PackedDocument.cpp
+++ b/libs/transfer/src/PackedDocument.cpp
@@ -57,13 +57,13 @@
     return packed;
 }
 
-std::optional<PackedDocument> packChange(const PackedDocument &base, std::int64_t version,
-                                         std::string_view plain)
+std::optional<PackedDocument> packDelta(const PackedDocument &base, std::int64_t version,
+                                        std::string_view plain)
 {
     const std::optional<std::string> before = unpackDocument(base);
     if (!before)
         return std::nullopt;
-    PackedDocument change = packDocument(version, changeBetween(*before, plain));
+    PackedDocument change = packDocument(version, deltaBetween(*before, plain));
     change.baseDigest = base.digest;
     return change;
 }
--- a/libs/transfer/src/PartPacing.cpp
+++ b/libs/transfer/src/PartSizing.cpp
@@ -1,4 +1,4 @@
-#include "transfer/PartPacing.h"
+#include "transfer/PartSizing.h"
 
 #include <algorithm>
 
@@ -11,14 +11,14 @@
 
 } // namespace
 
-void noteArrived(PartPacing &pacing) noexcept
+void growParts(PartSizing &pacing) noexcept
 {
-    pacing.nextBytes = std::min(2 * pacing.nextBytes, longestPart);
+    pacing.nextBytes = std::min(2 * pacing.nextBytes, maxPartBytes);
 }
 
 // Where a hundred mates read from one VM at once, or its link is slow, a part of the usual length
 // may take longer than is waited for; a shorter one still comes.
-void noteOverdue(PartPacing &pacing) noexcept
+void shrinkParts(PartSizing &pacing) noexcept
 {
     pacing.nextBytes = std::max(pacing.nextBytes / 2, shortestPart);
 }
--- a/libs/transfer/tests/Parts.cpp
+++ b/libs/transfer/tests/Parts.cpp
@@ -1,7 +1,7 @@
+#include "transfer/DocumentCache.h"
 #include "transfer/DocumentParts.h"
-#include "transfer/DocumentShelf.h"
 #include "transfer/PackedDocument.h"
-#include "transfer/PartPacing.h"
+#include "transfer/PartSizing.h"
 
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
@@ -13,9 +13,9 @@
 constexpr Instant begin{std::chrono::seconds(100)};
 
 /** What a reader asks for next. */
-PartWanted wantedNext(const PartialDocument &partial, std::size_t mostBytes)
+PartRequest wantedNext(const PartialDocument &partial, std::size_t maxBytes)
 {
-    return {partial.packed.version, partial.packed.digest, partial.packed.bytes.size(), mostBytes};
+    return {partial.packed.version, partial.packed.digest, partial.packed.bytes.size(), maxBytes};
 }
 
 PackedDocument packed(std::int64_t version, const std::string &plain)
@@ -28,13 +28,13 @@
 Test(parts, any_document_comes_through_whole)
 {
     const bool holds = rc::check([](const std::string &plain) {
-        const auto mostBytes = *rc::gen::inRange<std::size_t>(1, 64);
-        DocumentShelf shelf;
+        const auto maxBytes = *rc::gen::inRange<std::size_t>(1, 64);
+        DocumentCache shelf;
         putNewest(shelf, packed(7, plain), begin);
         PartialDocument partial;
         PartOutcome outcome = PartOutcome::More;
         while (outcome == PartOutcome::More)
-            outcome = takePart(partial, readPart(shelf, wantedNext(partial, mostBytes), begin));
+            outcome = takePart(partial, readPart(shelf, wantedNext(partial, maxBytes), begin));
         RC_ASSERT(outcome == PartOutcome::Whole);
         RC_ASSERT(unpackDocument(partial.packed) == plain);
     });
@@ -83,7 +83,7 @@
 // a link carries it: each reader begins anew with each version.
 Test(parts, a_reader_goes_on_while_newer_documents_come)
 {
-    DocumentShelf shelf;
+    DocumentCache shelf;
     std::string plain;
     for (int line = 0; line < 400; ++line)
         plain += std::to_string(line * 7919);
@@ -98,28 +98,28 @@
     }
     cr_assert(outcome == PartOutcome::Whole);
     cr_assert_eq(partial.packed.version, 1);
-    cr_assert_leq(shelf.formers.size(), 2, "what nobody reads is not kept");
+    cr_assert_leq(shelf.cachedDocuments.size(), 2, "what nobody reads is not kept");
 }
 
 Test(parts, what_its_reader_has_left_is_forgotten)
 {
-    DocumentShelf shelf;
+    DocumentCache shelf;
     putNewest(shelf, packed(1, "one"), begin);
     readPart(shelf, {0, 0, 0, 4}, begin);
     putNewest(shelf, packed(2, "two"), begin);
-    cr_assert_eq(shelf.formers.size(), 1);
+    cr_assert_eq(shelf.cachedDocuments.size(), 1);
     putNewest(shelf, packed(3, "three"), begin + std::chrono::seconds(5));
-    cr_assert(shelf.formers.empty());
+    cr_assert(shelf.cachedDocuments.empty());
     cr_assert_eq(readPart(shelf, {1, 1, 2, 4}, begin + std::chrono::seconds(5)).version, 3);
 }
 
 Test(parts, overdue_parts_get_shorter_and_come_back)
 {
-    PartPacing pacing;
+    PartSizing pacing;
     for (int overdue = 0; overdue < 20; ++overdue)
-        noteOverdue(pacing);
+        shrinkParts(pacing);
     cr_assert_eq(pacing.nextBytes, 1024);
     for (int arrived = 0; arrived < 20; ++arrived)
-        noteArrived(pacing);
-    cr_assert_eq(pacing.nextBytes, longestPart);
+        growParts(pacing);
+    cr_assert_eq(pacing.nextBytes, maxPartBytes);
 }
