--- a/libs/gateway/src/ConfigDecoding.cpp
+++ b/libs/gateway/src/ConfigDecoding.cpp
@@ -27,7 +27,7 @@
 std::optional<DecodedConfig> decodeConfig(const PlatformPort &platform, const PackedDocument &base,
                                           const PackedDocument &packed)
 {
-    const std::optional<std::string> document = unpackOnto(base, packed);
+    const std::optional<std::string> document = unpackWithBase(base, packed);
     if (!document)
         return std::nullopt;
     DecodedConfig decoded;
--- a/libs/gateway/src/ConfigDownload.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -204,11 +204,11 @@
     if (found == node.peers.end())
         co_return;
     if (!answer) {
-        shrinkParts(reading.pacing);
+        shrinkParts(reading.partSize);
         giveUpSource(node, found->second, "no answer", BootClock::now() - asked);
         co_return;
     }
-    growParts(reading.pacing);
+    growParts(reading.partSize);
     applyConfigPart(node, found->second, *answer);
     const bool waits = answer->bytes().empty() && answer->ask_address().empty();
     if (waits)
@@ -314,7 +314,7 @@
     request.set_base_digest(node.config.newest.digest);
     request.set_expected(reading.expected);
     request.set_only_here(reading.redirectFailed);
-    request.set_most_bytes(static_cast<std::uint32_t>(reading.pacing.nextBytes));
+    request.set_most_bytes(static_cast<std::uint32_t>(reading.partSize.nextBytes));
     return request;
 }
 
@@ -333,7 +333,7 @@
         return;
     }
     const Instant now = BootClock::now();
-    const PartOutcome outcome = takePart(reading.soFar, decodePart(answer));
+    const PartOutcome outcome = appendPart(reading.soFar, decodePart(answer));
     if (outcome == PartOutcome::Whole && !isOfUse(node, reading.soFar.packed)) {
         reading.soFar = PartialDocument();
         return;
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -143,7 +143,7 @@
     node.routes = std::move(decoded.routes);
     const KeyChanges keys =
         updateKeys(node.keys, replaced->config().workspaces, node.routes->config().workspaces);
-    putNewest(node.config, std::move(decoded.whole), now);
+    setNewest(node.config, std::move(decoded.whole), now);
     if (decoded.change)
         addCached(node.config, std::move(*decoded.change), now);
     node.unknownKeys.clear();
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -285,7 +285,7 @@
 struct ConfigDownload
 {
     PartialDocument soFar;
-    PartSizing pacing;
+    PartSizing partSize;
     Endpoint source; ///< of the last part
     std::int64_t expected = 0; ///< version that a peer said `source` has, or is reading; 0: none
     bool redirectFailed = false; ///< a VM that this one was sent on to gave nothing
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -76,7 +76,7 @@
         if (mayCommandNow(node, target) || !mayReplaceRecord(*known, offered))
             return;
     }
-    std::optional<EngineRecord> record = applyChange(known, change);
+    std::optional<EngineRecord> record = applyDocumentDelta(known, change);
     if (record)
         applyEngineRecord(node, target, std::move(*record));
     else
--- a/libs/serving/include/serving/EngineLog.h
+++ b/libs/serving/include/serving/EngineLog.h
@@ -31,7 +31,8 @@
  * The record that a change makes of the known one; nothing if the reader knows another one than the
  * change is of, and has to be told the whole.
  */
-std::optional<EngineRecord> applyChange(const EngineRecord *known, const EngineChange &change);
+std::optional<EngineRecord> applyDocumentDelta(const EngineRecord *known,
+                                               const EngineChange &change);
 
 /**
  * Engines' records, each with the number of its last change, and with those of its slots.
--- a/libs/serving/src/EngineLog.cpp
+++ b/libs/serving/src/EngineLog.cpp
@@ -33,7 +33,8 @@
     return digest;
 }
 
-std::optional<EngineRecord> applyChange(const EngineRecord *known, const EngineChange &change)
+std::optional<EngineRecord> applyDocumentDelta(const EngineRecord *known,
+                                               const EngineChange &change)
 {
     if (change.whole)
         return change.record;
--- a/libs/serving/tests/EngineLogs.cpp
+++ b/libs/serving/tests/EngineLogs.cpp
@@ -58,7 +58,7 @@
             log.set("e", record, counter);
             if (*rc::gen::inRange(0, 4) > 0)
                 continue;
-            known = applyChange(known ? &*known : nullptr, log.changeSince("e", seen));
+            known = applyDocumentDelta(known ? &*known : nullptr, log.changeSince("e", seen));
             seen = counter.last;
             RC_ASSERT(known == record);
         }
@@ -76,10 +76,10 @@
     log.set("e", recordOf(9, 2), counter);
     const EngineChange change = log.changeSince("e", seen);
     cr_assert_not(change.whole);
-    cr_assert(!applyChange(nullptr, change));
+    cr_assert(!applyDocumentDelta(nullptr, change));
     const EngineRecord other = recordOf(3, 1);
-    cr_assert(!applyChange(&other, change));
-    cr_assert(applyChange(&other, log.changeSince("e", 0)) == recordOf(9, 2));
+    cr_assert(!applyDocumentDelta(&other, change));
+    cr_assert(applyDocumentDelta(&other, log.changeSince("e", 0)) == recordOf(9, 2));
 }
 
 // Guards against a whole record to all VMs for each slot that changes.
--- a/libs/transfer/include/transfer/DocumentCache.h
+++ b/libs/transfer/include/transfer/DocumentCache.h
@@ -36,7 +36,7 @@
 };
 
 /** Puts a newer document in the place of the newest. */
-void putNewest(DocumentCache &shelf, PackedDocument packed, Instant now);
+void setNewest(DocumentCache &shelf, PackedDocument packed, Instant now);
 
 /** Keeps a document that others may read, beside the newest. */
 void addCached(DocumentCache &shelf, PackedDocument packed, Instant now);
--- a/libs/transfer/include/transfer/DocumentParts.h
+++ b/libs/transfer/include/transfer/DocumentParts.h
@@ -46,6 +46,6 @@
 DocumentPart partOf(const PartialDocument &partial, std::uint64_t offset, std::size_t maxBytes);
 
 /** Adds a part; the first part of another document takes the place of the one so far. */
-PartOutcome takePart(PartialDocument &partial, DocumentPart part);
+PartOutcome appendPart(PartialDocument &partial, DocumentPart part);
 
 } // namespace monsoonbay
--- a/libs/transfer/include/transfer/PackedDocument.h
+++ b/libs/transfer/include/transfer/PackedDocument.h
@@ -33,6 +33,6 @@
 std::optional<std::string> unpackDocument(const PackedDocument &packed);
 
 /** The document, also if it is a change of `base`; nothing if it is damaged, or of another one. */
-std::optional<std::string> unpackOnto(const PackedDocument &base, const PackedDocument &packed);
+std::optional<std::string> unpackWithBase(const PackedDocument &base, const PackedDocument &packed);
 
 } // namespace monsoonbay
--- a/libs/transfer/include/transfer/PartSizing.h
+++ b/libs/transfer/include/transfer/PartSizing.h
@@ -20,7 +20,7 @@
 };
 
 /** A part came, or did not come in time. */
-void growParts(PartSizing &pacing) noexcept;
-void shrinkParts(PartSizing &pacing) noexcept;
+void growParts(PartSizing &partSize) noexcept;
+void shrinkParts(PartSizing &partSize) noexcept;
 
 } // namespace monsoonbay
--- a/libs/transfer/src/DocumentCache.cpp
+++ b/libs/transfer/src/DocumentCache.cpp
@@ -75,7 +75,7 @@
 
 // Symptom without those that were replaced: where configurations change faster than a link carries
 // one, each reader begins anew with each, and none is ever in force.
-void putNewest(DocumentCache &shelf, PackedDocument packed, Instant now)
+void setNewest(DocumentCache &shelf, PackedDocument packed, Instant now)
 {
     if (shelf.newestReadAt != Instant{})
         shelf.cachedDocuments.push_front({shelf.newest, shelf.newestReadAt});
--- a/libs/transfer/src/DocumentChange.cpp
+++ b/libs/transfer/src/DocumentChange.cpp
@@ -181,7 +181,7 @@
     return writer.take();
 }
 
-std::optional<std::string> applyChange(std::string_view base, std::string_view change)
+std::optional<std::string> applyDocumentDelta(std::string_view base, std::string_view change)
 {
     ChangeReader reader(change);
     const std::optional<std::uint64_t> digest = reader.number();
--- a/libs/transfer/src/DocumentParts.cpp
+++ b/libs/transfer/src/DocumentParts.cpp
@@ -35,7 +35,7 @@
     return part;
 }
 
-PartOutcome takePart(PartialDocument &partial, DocumentPart part)
+PartOutcome appendPart(PartialDocument &partial, DocumentPart part)
 {
     if (part.version == 0)
         return PartOutcome::Useless;
--- a/libs/transfer/src/PackedDocument.cpp
+++ b/libs/transfer/src/PackedDocument.cpp
@@ -75,7 +75,7 @@
     return unpackBytes(packed);
 }
 
-std::optional<std::string> unpackOnto(const PackedDocument &base, const PackedDocument &packed)
+std::optional<std::string> unpackWithBase(const PackedDocument &base, const PackedDocument &packed)
 {
     if (packed.baseDigest == 0)
         return unpackDocument(packed);
@@ -85,7 +85,7 @@
     const std::optional<std::string> change = unpackBytes(packed);
     if (!before || !change)
         return std::nullopt;
-    return applyChange(*before, *change);
+    return applyDocumentDelta(*before, *change);
 }
 
 } // namespace monsoonbay
--- a/libs/transfer/src/PartSizing.cpp
+++ b/libs/transfer/src/PartSizing.cpp
@@ -11,16 +11,16 @@
 
 } // namespace
 
-void growParts(PartSizing &pacing) noexcept
+void growParts(PartSizing &partSize) noexcept
 {
-    pacing.nextBytes = std::min(2 * pacing.nextBytes, maxPartBytes);
+    partSize.nextBytes = std::min(2 * partSize.nextBytes, maxPartBytes);
 }
 
 // Where a hundred mates read from one VM at once, or its link is slow, a part of the usual length
 // may take longer than is waited for; a shorter one still comes.
-void shrinkParts(PartSizing &pacing) noexcept
+void shrinkParts(PartSizing &partSize) noexcept
 {
-    pacing.nextBytes = std::max(pacing.nextBytes / 2, shortestPart);
+    partSize.nextBytes = std::max(partSize.nextBytes / 2, shortestPart);
 }
 
 } // namespace monsoonbay
--- a/libs/transfer/tests/Changes.cpp
+++ b/libs/transfer/tests/Changes.cpp
@@ -26,9 +26,9 @@
 Test(changes, any_document_is_made_of_any_other)
 {
     const bool holds = rc::check([](const std::string &base, const std::string &document) {
-        RC_ASSERT(applyChange(base, deltaBetween(base, document)) == document);
+        RC_ASSERT(applyDocumentDelta(base, deltaBetween(base, document)) == document);
         const std::string joined = base + document + base;
-        RC_ASSERT(applyChange(base, deltaBetween(base, joined)) == joined);
+        RC_ASSERT(applyDocumentDelta(base, deltaBetween(base, joined)) == joined);
     });
     cr_assert(holds);
 }
@@ -39,11 +39,11 @@
     const std::string base = documentOf(200, 5000);
     const std::string document = documentOf(260, 5000);
     const std::string change = deltaBetween(base, document);
-    cr_assert(!applyChange(documentOf(199, 4000), change));
+    cr_assert(!applyDocumentDelta(documentOf(199, 4000), change));
     for (std::size_t index = 0; index < change.size(); ++index) {
         std::string damaged = change;
         damaged[index] = static_cast<char>(damaged[index] ^ 0x11);
-        const std::optional<std::string> made = applyChange(base, damaged);
+        const std::optional<std::string> made = applyDocumentDelta(base, damaged);
         cr_assert(!made || made == document, "byte %zu", index);
     }
 }
@@ -57,7 +57,7 @@
     const std::optional<PackedDocument> change = packDelta(base, 2, document);
     cr_assert(change.has_value());
     cr_assert_lt(change->bytes.size(), grown.bytes.size() / 50);
-    cr_assert(unpackOnto(base, *change) == unpackDocument(grown));
+    cr_assert(unpackWithBase(base, *change) == unpackDocument(grown));
     cr_assert(!unpackDocument(*change), "it is no document by itself");
 }
 
@@ -66,8 +66,8 @@
 {
     DocumentCache shelf;
     const PackedDocument base = packDocument(1, documentOf(10, 5000));
-    putNewest(shelf, base, begin);
-    putNewest(shelf, packDocument(2, documentOf(2000, 4000)), begin);
+    setNewest(shelf, base, begin);
+    setNewest(shelf, packDocument(2, documentOf(2000, 4000)), begin);
     for (int reader = 0; reader < 30; ++reader)
         cr_assert_eq(readPart(shelf, {0, 0, 0, 1024, base.digest}, begin).baseDigest, base.digest);
     cr_assert_eq(shelf.cachedDocuments.size(), 1);
@@ -78,8 +78,8 @@
 {
     DocumentCache shelf;
     const PackedDocument base = packDocument(1, documentOf(2000, 5000));
-    putNewest(shelf, base, begin);
-    putNewest(shelf, packDocument(2, documentOf(2010, 5000)), begin);
+    setNewest(shelf, base, begin);
+    setNewest(shelf, packDocument(2, documentOf(2010, 5000)), begin);
     const std::size_t maxBytes = 16384;
     cr_assert_eq(readPart(shelf, {0, 0, 0, maxBytes, base.digest}, begin).baseDigest, base.digest);
     cr_assert_eq(readPart(shelf, {0, 0, 0, maxBytes, 0}, begin).baseDigest, 0);
--- a/libs/transfer/tests/Parts.cpp
+++ b/libs/transfer/tests/Parts.cpp
@@ -30,11 +30,11 @@
     const bool holds = rc::check([](const std::string &plain) {
         const auto maxBytes = *rc::gen::inRange<std::size_t>(1, 64);
         DocumentCache shelf;
-        putNewest(shelf, packed(7, plain), begin);
+        setNewest(shelf, packed(7, plain), begin);
         PartialDocument partial;
         PartOutcome outcome = PartOutcome::More;
         while (outcome == PartOutcome::More)
-            outcome = takePart(partial, readPart(shelf, wantedNext(partial, maxBytes), begin));
+            outcome = appendPart(partial, readPart(shelf, wantedNext(partial, maxBytes), begin));
         RC_ASSERT(outcome == PartOutcome::Whole);
         RC_ASSERT(unpackDocument(partial.packed) == plain);
     });
@@ -55,7 +55,7 @@
         for (int step = 0; step < steps; ++step) {
             const PackedDocument &from = *rc::gen::elementOf(documents);
             const auto offset = *rc::gen::inRange<std::uint64_t>(0, from.bytes.size() + 2);
-            const PartOutcome outcome = takePart(partial, partOf(from, offset, 5));
+            const PartOutcome outcome = appendPart(partial, partOf(from, offset, 5));
             if (outcome != PartOutcome::Whole)
                 continue;
             const auto same =
@@ -87,14 +87,14 @@
     std::string plain;
     for (int line = 0; line < 400; ++line)
         plain += std::to_string(line * 7919);
-    putNewest(shelf, packed(1, plain), begin);
+    setNewest(shelf, packed(1, plain), begin);
     PartialDocument partial;
     Instant now = begin;
     PartOutcome outcome = PartOutcome::More;
     for (std::int64_t version = 2; outcome == PartOutcome::More; ++version) {
-        outcome = takePart(partial, readPart(shelf, wantedNext(partial, 50), now));
+        outcome = appendPart(partial, readPart(shelf, wantedNext(partial, 50), now));
         now += std::chrono::milliseconds(100);
-        putNewest(shelf, packed(version, plain + std::to_string(version)), now);
+        setNewest(shelf, packed(version, plain + std::to_string(version)), now);
     }
     cr_assert(outcome == PartOutcome::Whole);
     cr_assert_eq(partial.packed.version, 1);
@@ -104,22 +104,22 @@
 Test(parts, what_its_reader_has_left_is_forgotten)
 {
     DocumentCache shelf;
-    putNewest(shelf, packed(1, "one"), begin);
+    setNewest(shelf, packed(1, "one"), begin);
     readPart(shelf, {0, 0, 0, 4}, begin);
-    putNewest(shelf, packed(2, "two"), begin);
+    setNewest(shelf, packed(2, "two"), begin);
     cr_assert_eq(shelf.cachedDocuments.size(), 1);
-    putNewest(shelf, packed(3, "three"), begin + std::chrono::seconds(5));
+    setNewest(shelf, packed(3, "three"), begin + std::chrono::seconds(5));
     cr_assert(shelf.cachedDocuments.empty());
     cr_assert_eq(readPart(shelf, {1, 1, 2, 4}, begin + std::chrono::seconds(5)).version, 3);
 }
 
 Test(parts, overdue_parts_get_shorter_and_come_back)
 {
-    PartSizing pacing;
+    PartSizing partSize;
     for (int overdue = 0; overdue < 20; ++overdue)
-        shrinkParts(pacing);
-    cr_assert_eq(pacing.nextBytes, 1024);
+        shrinkParts(partSize);
+    cr_assert_eq(partSize.nextBytes, 1024);
     for (int arrived = 0; arrived < 20; ++arrived)
-        growParts(pacing);
-    cr_assert_eq(pacing.nextBytes, maxPartBytes);
+        growParts(partSize);
+    cr_assert_eq(partSize.nextBytes, maxPartBytes);
 }
