--- a/libs/daemon/include/daemon/Daemon.h
+++ b/libs/daemon/include/daemon/Daemon.h
@@ -18,7 +18,7 @@
 /** How a daemon ended. */
 struct ShutdownReport
 {
-    std::uint64_t cutRequests = 0; ///< in flight when the bound or a second signal ended it
+    std::uint64_t abortedRequests = 0; ///< in flight when the bound or a second signal ended it
 };
 
 /** One entry VM of the system. The kernel of all roles; main() and tests run it. */
--- a/libs/daemon/src/Coordinator.cpp
+++ b/libs/daemon/src/Coordinator.cpp
@@ -55,7 +55,7 @@
             [&](PlacementState &state) { updateWant(state, fromNews(news, node.self, now), now); });
         return;
     }
-    postNews(node, coordinator, [&news](v1::PeerNews &message) { *message.add_wants() = news; });
+    postUpdates(node, coordinator, [&news](v1::PeerNews &message) { *message.add_wants() = news; });
 }
 
 void takeDemand(Node &node, const v1::Demand &demand, Instant now)
@@ -69,7 +69,7 @@
 
 void takeVerdict(Node &node, const v1::Verdict &verdict)
 {
-    WaitEnd end;
+    WaitResult end;
     end.refusal = static_cast<ErrorKind>(verdict.kind());
     end.retryAfter = std::chrono::milliseconds(verdict.expected_wait_ms());
     node.waiters.wake(AdapterId{verdict.adapter()}, end);
@@ -123,7 +123,7 @@
                 takeDemand(node, demand, BootClock::now());
             continue;
         }
-        postNews(node, vm, [&report](v1::PeerNews &message) {
+        postUpdates(node, vm, [&report](v1::PeerNews &message) {
             message.mutable_demands()->MergeFrom(report.demands());
         });
     }
@@ -146,7 +146,7 @@
         reportLoadResult(node, order.permit, news, LoadOutcome::Declined);
         return;
     }
-    postNews(node, owner, [&news](v1::PeerNews &message) { *message.add_orders() = news; });
+    postUpdates(node, owner, [&news](v1::PeerNews &message) { *message.add_orders() = news; });
 }
 
 void sendVerdict(Node &node, const WantVerdict &verdict)
@@ -159,8 +159,8 @@
         takeVerdict(node, news);
         return;
     }
-    postNews(node, verdict.origin,
-             [&news](v1::PeerNews &message) { *message.add_verdicts() = news; });
+    postUpdates(node, verdict.origin,
+                [&news](v1::PeerNews &message) { *message.add_verdicts() = news; });
 }
 
 // The owner of a target died with an order in its hands. Its successor finds out what became of the
@@ -266,11 +266,11 @@
         takeResult(node, result);
         return;
     }
-    postNews(node, coordinator,
-             [&result](v1::PeerNews &message) { *message.add_results() = result; });
+    postUpdates(node, coordinator,
+                [&result](v1::PeerNews &message) { *message.add_results() = result; });
 }
 
-void takeCoordinationNews(Node &node, VmId from, const v1::PeerNews &news)
+void applyCoordinationUpdates(Node &node, VmId from, const v1::PeerNews &news)
 {
     const Instant now = BootClock::now();
     for (const v1::Demand &demand : news.demands())
--- a/libs/daemon/src/Coordinator.h
+++ b/libs/daemon/src/Coordinator.h
@@ -8,7 +8,7 @@
 void updateCoordinator(Node &node, const std::vector<Member> &alive);
 
 /** Takes wants, demand, verdicts, orders and results out of a peer's message. */
-void takeCoordinationNews(Node &node, VmId from, const v1::PeerNews &news);
+void applyCoordinationUpdates(Node &node, VmId from, const v1::PeerNews &news);
 
 /** Counts a request for the demand estimate. */
 void countDemand(Node &node, AdapterId adapter, bool hit);
--- a/libs/daemon/src/Daemon.cpp
+++ b/libs/daemon/src/Daemon.cpp
@@ -40,7 +40,7 @@
         return takeRecord(node, request);
     };
     handlers.fetchManifest = [&node](const v1::FetchManifestRequest &request) {
-        return giveManifest(node, request);
+        return serveManifest(node, request);
     };
     return handlers;
 }
@@ -164,9 +164,9 @@
     while (this->impl->inFlight() > 0 && mayWait())
         std::this_thread::sleep_for(pollEvery);
     ShutdownReport report;
-    report.cutRequests = this->impl->inFlight();
-    if (report.cutRequests > 0)
-        logEvent(EventId::ShutdownCut, {{"requests", std::to_string(report.cutRequests)}});
+    report.abortedRequests = this->impl->inFlight();
+    if (report.abortedRequests > 0)
+        logEvent(EventId::ShutdownCut, {{"requests", std::to_string(report.abortedRequests)}});
     else
         logEvent(EventId::ShutdownDone, {});
     std::this_thread::sleep_for(farewell);
--- a/libs/daemon/src/Ingress.cpp
+++ b/libs/daemon/src/Ingress.cpp
@@ -195,7 +195,7 @@
         run.lastEnd.kind = ErrorKind::CallerGone;
 }
 
-asio::awaitable<WaitEnd> waitForResident(RequestRun &run)
+asio::awaitable<WaitResult> waitForResident(RequestRun &run)
 {
     Node &node = run.node;
     const AdapterId adapter = run.request.adapter.id();
@@ -208,7 +208,7 @@
         waiter->timer.cancel();
     };
     reportWant(node, adapter);
-    WaitEnd end;
+    WaitResult end;
     end.refusal = ErrorKind::DeadlinePassed;
     while (!run.callerGone) {
         const Instant until = std::min(run.request.deadline, BootClock::now() + askAgainEvery);
@@ -254,7 +254,7 @@
             found.refusal = ErrorKind::DeadlinePassed;
             co_return found;
         }
-        const WaitEnd end = co_await waitForResident(run);
+        const WaitResult end = co_await waitForResident(run);
         run.stalled += BootClock::now() - began;
         if (end.refusal != ErrorKind::Ok) {
             found.refusal = end.refusal;
@@ -500,7 +500,7 @@
         if (run.request.streamed)
             kept.contentType = "text/event-stream";
         const bool notRun = step.step == NextStep::Refuse;
-        co_await concludeAtHolders(run.node, run.request, std::move(kept), notRun);
+        co_await completeAtHolders(run.node, run.request, std::move(kept), notRun);
     }
     co_await conclude(run, step, std::move(whole));
 }
--- a/libs/daemon/src/KeyClient.cpp
+++ b/libs/daemon/src/KeyClient.cpp
@@ -83,7 +83,7 @@
     co_return outcome;
 }
 
-asio::awaitable<void> concludeAtHolders(Node &node, const CallerRequest &request,
+asio::awaitable<void> completeAtHolders(Node &node, const CallerRequest &request,
                                         StoredAnswer answer, bool notRun)
 {
     for (const VmId holder : holdersOf(node, request)) {
--- a/libs/daemon/src/KeyClient.h
+++ b/libs/daemon/src/KeyClient.h
@@ -16,7 +16,7 @@
 asio::awaitable<KeyOutcome> reserveAtHolders(Node &node, const CallerRequest &request);
 
 /** Tells the holders how the request ended; "not run" frees the key. */
-asio::awaitable<void> concludeAtHolders(Node &node, const CallerRequest &request,
+asio::awaitable<void> completeAtHolders(Node &node, const CallerRequest &request,
                                         StoredAnswer answer, bool notRun);
 
 } // namespace monsoonbay
--- a/libs/daemon/src/ManifestReader.cpp
+++ b/libs/daemon/src/ManifestReader.cpp
@@ -287,7 +287,7 @@
     co_return reply.is_object() ? reply.value("offset", std::uint64_t{0}) : 0;
 }
 
-void noteManifestOfPeer(Node &node, VmId peer, std::uint64_t offset)
+void fetchIfNewer(Node &node, VmId peer, std::uint64_t offset)
 {
     // A reader of the log is usually ahead by itself; the peers are asked only about what the log
     // has not given, which while it is up resolves within a poll.
--- a/libs/daemon/src/Node.h
+++ b/libs/daemon/src/Node.h
@@ -62,9 +62,9 @@
 struct OwnedEngine
 {
     Guarded<SlotTable> table;
-    std::atomic<std::uint64_t> newsChange{0};
-    std::atomic<std::uint64_t> toldHash{0};
-    std::atomic<std::int64_t> toldAt{0};
+    std::atomic<std::uint64_t> statusRevision{0};
+    std::atomic<std::uint64_t> reportedStatusHash{0};
+    std::atomic<std::int64_t> statusReportedAt{0};
 };
 
 /** Counts of one adapter's requests since the last report to the coordinator. */
--- a/libs/daemon/src/OwnerLoop.cpp
+++ b/libs/daemon/src/OwnerLoop.cpp
@@ -87,7 +87,7 @@
     if (restarted)
         logEvent(EventId::EngineRestarted, {{"target", info->declaration.name}});
     if (changed)
-        tellTarget(node, target);
+        reportTarget(node, target);
 }
 
 void forgetSlots(Node &node, TargetId target)
@@ -157,7 +157,7 @@
                   {"local", std::to_string(claim.token.local)}});
     applyEngineReport(node, claim.target, result.body, askedAt);
     if (began)
-        tellTarget(node, claim.target);
+        reportTarget(node, claim.target);
 }
 
 asio::awaitable<void> appendClaim(Node &node, std::vector<TargetId> targets)
@@ -191,7 +191,7 @@
     for (const TargetId target : began) {
         logEvent(EventId::TargetClaimed,
                  {{"target", targetName(node, target)}, {"token", std::to_string(offset)}});
-        tellTarget(node, target);
+        reportTarget(node, target);
     }
 }
 
@@ -240,13 +240,13 @@
         logEvent(EventId::LoadDeclined,
                  {{"target", info->declaration.name}, {"adapter", entry->ref.text()}});
         reportLoadResult(node, order.permit(), order, LoadOutcome::Declined);
-        tellTarget(node, target);
+        reportTarget(node, target);
         co_return;
     }
     logEvent(
         EventId::LoadOrdered,
         {{"target", info->declaration.name}, {"adapter", entry->ref.text()}, {"evict", evicted}});
-    tellTarget(node, target);
+    reportTarget(node, target);
     HttpCall call = orderCall(token, "load", entry->ref.text(), evicted);
     const HttpResult result = co_await node.http.call(info->endpoint, std::move(call), loadTimeout);
     const bool stale = !result.error && result.status == 409;
@@ -263,7 +263,7 @@
                  {{"target", info->declaration.name}, {"adapter", entry->ref.text()}});
     }
     const LoadOutcome failed = stale ? LoadOutcome::Declined : LoadOutcome::Failed;
-    tellTarget(node, target);
+    reportTarget(node, target);
     reportLoadResult(node, order.permit(), order, result.ok() ? LoadOutcome::Loaded : failed);
     coordinate(node);
 }
@@ -303,7 +303,7 @@
         if (table.loading)
             status.loading = table.loading->id();
         // Taken under the table's lock, so that a later count never carries an older content.
-        status.version.change = ++engine->newsChange;
+        status.version.change = ++engine->statusRevision;
     });
     return status;
 }
@@ -336,7 +336,7 @@
     if (!status.usable || status.leaving)
         return;
     for (const AdapterId adapter : status.resident)
-        node.waiters.wake(adapter, WaitEnd{});
+        node.waiters.wake(adapter, WaitResult{});
 }
 
 std::uint64_t contentHash(const TargetStatus &status)
@@ -367,12 +367,12 @@
         if (!status)
             continue;
         const std::shared_ptr<OwnedEngine> engine = engineOf(node, target);
-        const std::int64_t age = now - engine->toldAt;
-        const bool differs = contentHash(*status) != engine->toldHash;
+        const std::int64_t age = now - engine->statusReportedAt;
+        const bool differs = contentHash(*status) != engine->reportedStatusHash;
         const bool due = (differs && age >= Duration(tellLoadEvery).count())
             || age >= Duration(repeatEvery).count();
         if (due)
-            tellTarget(node, target);
+            reportTarget(node, target);
     }
 }
 
@@ -405,7 +405,7 @@
     status.target = order.target;
     status.owner = node.self;
     status.usable = false;
-    status.version.change = ++engineOf(node, order.target)->newsChange;
+    status.version.change = ++engineOf(node, order.target)->statusRevision;
     const v1::TargetNews news = toNews(status, true);
     postToAll(node, [&news](v1::PeerNews &message) { *message.add_targets() = news; });
     node.directory.apply(status);
@@ -414,7 +414,7 @@
 
 } // namespace
 
-void takeTargetNews(Node &node, const v1::TargetNews &news)
+void applyTargetStatus(Node &node, const v1::TargetNews &news)
 {
     const TargetId target{news.target()};
     const VmId owner{news.owner()};
@@ -456,14 +456,14 @@
     spawn(node, runLoad(node, order));
 }
 
-void tellTarget(Node &node, TargetId target)
+void reportTarget(Node &node, TargetId target)
 {
     const std::optional<TargetStatus> status = ownStatus(node, target);
     if (!status)
         return;
     const std::shared_ptr<OwnedEngine> engine = engineOf(node, target);
-    engine->toldHash = contentHash(*status);
-    engine->toldAt = BootClock::now().time_since_epoch().count();
+    engine->reportedStatusHash = contentHash(*status);
+    engine->statusReportedAt = BootClock::now().time_since_epoch().count();
     applyStatus(node, *status);
     const v1::TargetNews news = toNews(*status, false);
     postToAll(node, [&news](v1::PeerNews &message) { *message.add_targets() = news; });
--- a/libs/daemon/src/OwnerLoop.h
+++ b/libs/daemon/src/OwnerLoop.h
@@ -5,13 +5,13 @@
 namespace monsoonbay {
 
 /** Takes an owner's news of a target into the directory, placement and ownership. */
-void takeTargetNews(Node &node, const v1::TargetNews &news);
+void applyTargetStatus(Node &node, const v1::TargetNews &news);
 
 /** Carries out a load order on an engine that this VM owns. */
 void executeLoad(Node &node, const v1::LoadOrder &order);
 
 /** Tells everyone what is resident on a target that this VM owns. */
-void tellTarget(Node &node, TargetId target);
+void reportTarget(Node &node, TargetId target);
 
 /** Gives all targets up and tells everyone, for a shutdown. */
 void releaseTargets(Node &node);
--- a/libs/daemon/src/OwnerRun.cpp
+++ b/libs/daemon/src/OwnerRun.cpp
@@ -310,7 +310,7 @@
     --node.ownerRuns;
     endSpan(node, std::move(span), *info, progress);
     if (progress.kind == ErrorKind::NotResident)
-        tellTarget(node, target);
+        reportTarget(node, target);
     const bool abandoned = progress.kind == ErrorKind::CallerGone && !progress.ended;
     if (abandoned)
         asio::co_spawn(asio::make_strand(node.context),
--- a/libs/daemon/src/PeerExchange.cpp
+++ b/libs/daemon/src/PeerExchange.cpp
@@ -86,7 +86,7 @@
         recordExchange(state, peer, now);
         applyGossip(state, gossip, now);
     });
-    noteManifestOfPeer(node, peer, reply.manifest_offset());
+    fetchIfNewer(node, peer, reply.manifest_offset());
 }
 
 asio::awaitable<bool> sendNews(Node &node, VmId to, v1::PeerNews news, Duration timeout)
@@ -219,7 +219,7 @@
 
 } // namespace
 
-void postNews(Node &node, VmId to, const std::function<void(v1::PeerNews &)> &add)
+void postUpdates(Node &node, VmId to, const std::function<void(v1::PeerNews &)> &add)
 {
     const bool start = node.outboxes.with([&](auto &outboxes) {
         Outbox &outbox = outboxes[to];
@@ -237,7 +237,7 @@
 {
     for (const VmId vm : aliveVms(node)) {
         if (vm != node.self)
-            postNews(node, vm, add);
+            postUpdates(node, vm, add);
     }
 }
 
@@ -255,9 +255,9 @@
         state.highest = std::max(state.highest, told);
     });
     for (const v1::TargetNews &target : news.targets())
-        takeTargetNews(node, target);
-    takeCoordinationNews(node, from, news);
-    noteManifestOfPeer(node, from, news.manifest_offset());
+        applyTargetStatus(node, target);
+    applyCoordinationUpdates(node, from, news);
+    fetchIfNewer(node, from, news.manifest_offset());
 
     v1::PeerNewsReply reply;
     if (news.indirect_probe() != 0) {
@@ -343,7 +343,7 @@
     return reply;
 }
 
-v1::FetchManifestReply giveManifest(Node &node, const v1::FetchManifestRequest &request)
+v1::FetchManifestReply serveManifest(Node &node, const v1::FetchManifestRequest &request)
 {
     v1::FetchManifestReply reply;
     const AcceptedManifest state =
--- a/libs/daemon/src/PeerExchange.h
+++ b/libs/daemon/src/PeerExchange.h
@@ -7,7 +7,7 @@
 namespace monsoonbay {
 
 /** Adds to the next message to a peer and sends it as soon as the one before is through. */
-void postNews(Node &node, VmId to, const std::function<void(v1::PeerNews &)> &add);
+void postUpdates(Node &node, VmId to, const std::function<void(v1::PeerNews &)> &add);
 
 /** Adds to the next message to every peer that counts as alive. */
 void postToAll(Node &node, const std::function<void(v1::PeerNews &)> &add);
@@ -19,6 +19,6 @@
 asio::awaitable<void> membershipLoop(Node &node);
 
 v1::RecordReply takeRecord(Node &node, const v1::RecordRequest &request);
-v1::FetchManifestReply giveManifest(Node &node, const v1::FetchManifestRequest &request);
+v1::FetchManifestReply serveManifest(Node &node, const v1::FetchManifestRequest &request);
 
 } // namespace monsoonbay
--- a/libs/daemon/src/Waiters.cpp
+++ b/libs/daemon/src/Waiters.cpp
@@ -57,7 +57,7 @@
 }
 
 // The waiter's fields belong to its strand, so the wake-up is posted there and not done here.
-void Waiters::wake(AdapterId adapter, const WaitEnd &end)
+void Waiters::wake(AdapterId adapter, const WaitResult &end)
 {
     std::vector<WaiterPtr> woken;
     {
--- a/libs/daemon/src/Waiters.h
+++ b/libs/daemon/src/Waiters.h
@@ -19,7 +19,7 @@
 namespace asio = boost::asio;
 
 /** How waiting for an adapter ended. */
-struct WaitEnd
+struct WaitResult
 {
     ErrorKind refusal = ErrorKind::Ok; ///< Ok: ask the directory again
     Duration retryAfter{};
@@ -51,7 +51,7 @@
         Instant deadline{};
         double weight = 1;
         bool woken = false;
-        WaitEnd end;
+        WaitResult end;
     };
     using WaiterPtr = std::shared_ptr<Waiter>;
 
@@ -59,7 +59,7 @@
     void remove(AdapterId adapter, const WaiterPtr &waiter);
 
     /** Lets all who wait for the adapter go on, or refuses them. */
-    void wake(AdapterId adapter, const WaitEnd &end);
+    void wake(AdapterId adapter, const WaitResult &end);
 
     WaitSummary summary(AdapterId adapter) const;
     std::vector<WaitSummary> summaries() const;
--- a/libs/residency/tests/Placing.cpp
+++ b/libs/residency/tests/Placing.cpp
@@ -150,16 +150,16 @@
     cr_assert_eq(decide(state, now).orders.size(), 1);
     const Instant deadline = now + std::chrono::seconds(30);
     std::size_t refused = 0;
-    Instant toldAt{};
+    Instant statusReportedAt{};
     while (now < deadline && refused == 0) {
         now += std::chrono::milliseconds(100);
         Want again = wantOf(1, 1, now, deadline - now);
         updateWant(state, again, now);
         refused += decide(state, now).verdicts.size();
-        toldAt = now;
+        statusReportedAt = now;
     }
     cr_assert_eq(refused, 1);
-    cr_assert_lt(toldAt, deadline - std::chrono::seconds(10));
+    cr_assert_lt(statusReportedAt, deadline - std::chrono::seconds(10));
 }
 
 // Symptom: after an outage of the store every caller was refused for ever. Sequence: a load sits
--- a/tests/src/Failures.cpp
+++ b/tests/src/Failures.cpp
@@ -83,7 +83,7 @@
     cr_assert_eq(world.get(world.operators(owner), "/readyz").status, 503);
     const HttpResult late = world.ask({}, owner);
     cr_assert(late.error || (problemOf(late) == "shutting-down" && saysNotRun(late)));
-    cr_assert_eq(world.daemons[owner]->wait().cutRequests, 0);
+    cr_assert_eq(world.daemons[owner]->wait().abortedRequests, 0);
     for (const std::size_t request : {own, throughPeer}) {
         const HttpResult result = world.join(request);
         cr_assert(textOf(result).complete);
@@ -102,7 +102,7 @@
     cr_assert(World::eventually([&] { return world.runsNow(2); }));
     world.shutdown(0);
     world.shutdown(0);
-    cr_assert_geq(world.daemons[0]->wait().cutRequests, 1);
+    cr_assert_geq(world.daemons[0]->wait().abortedRequests, 1);
     world.daemons[0].reset();
     cr_assert_not(textOf(world.join(running)).complete);
 }
--- a/tools/monsoonbayd/src/Main.cpp
+++ b/tools/monsoonbayd/src/Main.cpp
@@ -99,7 +99,7 @@
     // The settings of this kind of daemon are fixed for its life; SIGHUP must not end it.
     const SignalThread signals([&daemon] { daemon.requestShutdown(); }, [] {});
     const monsoonbay::ShutdownReport report = daemon.wait();
-    return report.cutRequests == 0 ? 0 : exitCutRequests;
+    return report.abortedRequests == 0 ? 0 : exitCutRequests;
 }
 
 /** Prints what is wrong with a document; true if nothing is. */
