--- a/libs/daemon/src/Ingress.cpp
+++ b/libs/daemon/src/Ingress.cpp
@@ -47,7 +47,7 @@
 /** Result of looking for a target. */
 struct FoundRoute
 {
-    std::optional<Route> route;
+    std::optional<TargetRoute> route;
     ErrorKind refusal = ErrorKind::NoTarget;
 };
 
@@ -178,7 +178,7 @@
     }
 }
 
-asio::awaitable<void> attemptAt(RequestRun &run, Route route, bool resume)
+asio::awaitable<void> attemptAt(RequestRun &run, TargetRoute route, bool resume)
 {
     const std::uint32_t attempt = beginAttempt(run.life);
     run.lastEnd = AttemptEnd{attempt, ErrorKind::PeerUnreachable, false, 0};
@@ -267,11 +267,11 @@
 }
 
 /** The owner now of the target that an earlier attempt went to. */
-Route routeToSame(const Node &node, const Route &before)
+TargetRoute routeToSame(const Node &node, const TargetRoute &before)
 {
     const VmId owner = node.ownership.with(
         [&](const OwnershipState &state) { return ownerOf(state, before.target); });
-    return Route{before.target, owner.value == 0 ? before.owner : owner};
+    return TargetRoute{before.target, owner.value == 0 ? before.owner : owner};
 }
 
 RequestStep judgeEnd(RequestRun &run)
@@ -281,7 +281,7 @@
         [&](RetryBudget &budget) { return endAttempt(run.life, run.lastEnd, budget, now); });
 }
 
-void countStep(Node &node, const RequestStep &step, const Route &route, AdapterId adapter)
+void countStep(Node &node, const RequestStep &step, const TargetRoute &route, AdapterId adapter)
 {
     if (step.step == NextStep::Resume) {
         node.metrics.add(Counter::Resumes);
@@ -301,7 +301,7 @@
     Node &node = run.node;
     const AdapterId adapter = run.request.adapter.id();
     RequestStep step{NextStep::Route, ErrorKind::Ok, {}};
-    Route route;
+    TargetRoute route;
     bool counted = false;
     while (step.step == NextStep::Route || step.step == NextStep::Resume) {
         if (step.wait > Duration{})
--- a/libs/daemon/src/Operators.cpp
+++ b/libs/daemon/src/Operators.cpp
@@ -103,12 +103,12 @@
     const AdapterId id = adapter.id();
     const AdapterEntry *entry = manifest->adapters.find(id);
     Json holders = Json::array();
-    for (const Route &route : node.directory.holdersOf(id)) {
+    for (const TargetRoute &route : node.directory.holdersOf(id)) {
         const std::optional<TargetInfo> info = findTarget(node, route.target);
         holders.push_back({{"target", info ? info->declaration.name : "unknown"},
                            {"owner", vmName(node, route.owner)}});
     }
-    const std::optional<Route> route = node.directory.choose(
+    const std::optional<TargetRoute> route = node.directory.choose(
         id, *node.policy, manifest->head.weights.stall, manifest->head.weights.batch);
     const std::optional<TargetInfo> chosen = route ? findTarget(node, route->target) : std::nullopt;
     const Instant now = BootClock::now();
--- a/libs/daemon/src/OwnerLoop.cpp
+++ b/libs/daemon/src/OwnerLoop.cpp
@@ -49,12 +49,12 @@
     return call;
 }
 
-std::optional<EngineReport> readReport(const std::string &body, Instant askedAt)
+std::optional<SlotReport> readReport(const std::string &body, Instant askedAt)
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("epoch") || !json.contains("resident"))
         return std::nullopt;
-    EngineReport report;
+    SlotReport report;
     report.epoch = json.value("epoch", std::uint64_t{0});
     report.askedAt = askedAt;
     report.running = json.value("running", 0);
@@ -71,7 +71,7 @@
 
 void applyEngineReport(Node &node, TargetId target, const std::string &body, Instant askedAt)
 {
-    const std::optional<EngineReport> report = readReport(body, askedAt);
+    const std::optional<SlotReport> report = readReport(body, askedAt);
     const std::optional<TargetInfo> info = findTarget(node, target);
     if (!report || !info)
         return;
--- a/libs/gateway/include/gateway/GatewaySettings.h
+++ b/libs/gateway/include/gateway/GatewaySettings.h
@@ -10,7 +10,7 @@
 #include "core/Time.h"
 #include "gateway/PlacementSettings.h"
 #include "quota/WorkspaceLimit.h"
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 #include "serving/PartitionLease.h"
 #include "serving/ServiceRetryBudget.h"
 
@@ -39,7 +39,7 @@
     RetryPolicy retries;
     AccessPolicy access;
     QuotaPolicy quota;
-    bool quotaGiven = false; ///< then use is noted in the store; see quota/SpendNote.h
+    bool quotaGiven = false; ///< then use is noted in the store; see quota/UsageSnapshot.h
     LeaseTiming lease;
     EngineWeights weights;
     PlacementSettings placement;
--- a/libs/gateway/include/gateway/PlacementSettings.h
+++ b/libs/gateway/include/gateway/PlacementSettings.h
@@ -9,7 +9,7 @@
 {
     /** Engines that are expected to meet a call's objective go first; see ForecastChoice.h. */
     bool forecast = false;
-    /** Calls ask the VM that orders an engine what waits there; see PrefillReserving.h. */
+    /** Calls ask the VM that orders an engine what waits there; see PrefillReservation.h. */
     bool reservePrefill = false;
     /** Engines that declined a load are not asked before the time that they named. */
     bool keepDeclines = false;
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -13,7 +13,7 @@
 #include <boost/beast/http/message.hpp>
 
 #include "gateway/GatewaySettings.h"
-#include "quota/SpendNote.h"
+#include "quota/UsageSnapshot.h"
 #include "serving/AdapterScheduler.h"
 #include "serving/CallMetadata.h"
 #include "serving/PartitionLease.h"
@@ -72,7 +72,7 @@
     std::function<void()> listFailed; ///< an attempt to read the list failed
     std::function<void(PlatformVm)> peer; ///< another VM of the system
     /** Before the first `peersRead`, unless a note cannot be read. */
-    std::function<void(std::vector<SpendNote>)> spendNotes;
+    std::function<void(std::vector<UsageSnapshot>)> spendNotes;
     std::function<void()> peersRead; ///< all VMs in the store's list have been told
     /** True while this VM is to read configuration and targets. */
     std::function<bool()> isReading;
@@ -170,7 +170,8 @@
                                                 HolderClaims);
 
     /** Replaces the spend note of this VM's zone; true if the store acknowledged it. */
-    asio::awaitable<bool> (*writeUsageSnapshot)(HttpClient &, const GatewaySettings &, SpendNote);
+    asio::awaitable<bool> (*writeUsageSnapshot)(HttpClient &, const GatewaySettings &,
+                                                UsageSnapshot);
 };
 
 /** Makes a platform known under its name; called by plug-ins before main. */
--- a/libs/gateway/src/TargetWords.cpp
+++ b/libs/gateway/src/AnswerHints.cpp
@@ -1,9 +1,9 @@
-#include "TargetWords.h"
+#include "AnswerHints.h"
 
 #include <algorithm>
 
 #include "FleetCount.h"
-#include "TargetStarts.h"
+#include "TargetRestarts.h"
 #include "observe/Events.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/CallAnswer.cpp
+++ b/libs/gateway/src/CallAnswer.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "CallerAccess.h"
-#include "PassedHeaders.h"
+#include "CallerAuthentication.h"
+#include "EndToEndHeaders.h"
 #include "observe/Events.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/CallListener.cpp
+++ b/libs/gateway/src/CallListener.cpp
@@ -12,7 +12,7 @@
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/write.hpp>
 
-#include "Forwarding.h"
+#include "CallServing.h"
 #include "PeerForwarding.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/Placing.cpp
+++ b/libs/gateway/src/CallPlacement.cpp
@@ -1,19 +1,19 @@
-#include "Placing.h"
+#include "CallPlacement.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "EngineOrders.h"
+#include "AnswerHints.h"
+#include "CapacityWaiting.h"
+#include "EngineCommands.h"
 #include "LeaseKeeping.h"
-#include "PlaceWaiting.h"
-#include "PrefillReserving.h"
+#include "PrefillReservation.h"
 #include "RelayLoops.h"
 #include "StreamResuming.h"
-#include "TargetWords.h"
-#include "UseNotes.h"
+#include "UsageReports.h"
 #include "serving/EngineForecast.h"
-#include "serving/PlainChoice.h"
+#include "serving/PlainTargetChoice.h"
 
 namespace monsoonbay {
 
--- a/libs/gateway/src/Forwarding.cpp
+++ b/libs/gateway/src/CallServing.cpp
@@ -1,19 +1,19 @@
-#include "Forwarding.h"
+#include "CallServing.h"
 
 #include <algorithm>
 
+#include "AnswerHints.h"
 #include "CallAnswer.h"
-#include "CallerAccess.h"
+#include "CallPlacement.h"
+#include "CallerAuthentication.h"
 #include "ConfigDownload.h"
 #include "FleetCount.h"
-#include "HarmfulWatch.h"
+#include "HarmfulCallTracking.h"
 #include "LinkWatch.h"
+#include "LostCalls.h"
 #include "PeerForwarding.h"
-#include "Placing.h"
 #include "PrefixSharing.h"
 #include "StreamResuming.h"
-#include "TargetEnds.h"
-#include "TargetWords.h"
 #include "WorkspaceQuota.h"
 #include "observe/Events.h"
 
--- a/libs/gateway/src/CallerAccess.cpp
+++ b/libs/gateway/src/CallerAuthentication.cpp
@@ -1,4 +1,4 @@
-#include "CallerAccess.h"
+#include "CallerAuthentication.h"
 
 #include <algorithm>
 
--- a/libs/gateway/src/CallerStream.cpp
+++ b/libs/gateway/src/CallerStream.cpp
@@ -8,7 +8,7 @@
 #include <boost/beast/http/serializer.hpp>
 #include <boost/beast/http/write.hpp>
 
-#include "PassedHeaders.h"
+#include "EndToEndHeaders.h"
 #include "StreamResuming.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/PlaceWaiting.cpp
+++ b/libs/gateway/src/CapacityWaiting.cpp
@@ -1,11 +1,11 @@
-#include "PlaceWaiting.h"
+#include "CapacityWaiting.h"
 
 #include <algorithm>
 
-#include "EngineOrders.h"
+#include "AnswerHints.h"
+#include "EngineCommands.h"
 #include "LeaseKeeping.h"
 #include "SharedEngines.h"
-#include "TargetWords.h"
 #include "core/Jitter.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/ClassFields.cpp
+++ b/libs/gateway/src/ClassDemandCodec.cpp
@@ -1,4 +1,4 @@
-#include "ClassFields.h"
+#include "ClassDemandCodec.h"
 
 #include <algorithm>
 #include <numeric>
--- a/libs/gateway/src/ConfigDownload.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -4,7 +4,7 @@
 
 #include "ConfigDecoding.h"
 #include "Feeds.h"
-#include "NewsCodec.h"
+#include "PeerCodec.h"
 #include "PeerExchange.h"
 #include "observe/Events.h"
 
--- a/libs/gateway/src/PassedHeaders.cpp
+++ b/libs/gateway/src/EndToEndHeaders.cpp
@@ -1,4 +1,4 @@
-#include "PassedHeaders.h"
+#include "EndToEndHeaders.h"
 
 #include <string_view>
 
--- a/libs/gateway/src/EngineOrders.cpp
+++ b/libs/gateway/src/EngineCommands.cpp
@@ -1,12 +1,12 @@
-#include "EngineOrders.h"
+#include "EngineCommands.h"
 
 #include <algorithm>
 
 #include "LeaseKeeping.h"
-#include "NewsCodec.h"
+#include "PeerCodec.h"
 #include "SharedEngines.h"
-#include "TargetStarts.h"
-#include "UseNotes.h"
+#include "TargetRestarts.h"
+#include "UsageReports.h"
 #include "observe/Events.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 #include <set>
 
-#include "EngineOrders.h"
-#include "HarmfulWatch.h"
+#include "EngineCommands.h"
+#include "HarmfulCallTracking.h"
+#include "LostCalls.h"
 #include "PeerExchange.h"
-#include "SpendNotes.h"
-#include "TargetEnds.h"
-#include "TargetStarts.h"
-#include "ZoneView.h"
+#include "TargetRestarts.h"
+#include "UsageSnapshots.h"
+#include "ZonePeers.h"
 #include "observe/Events.h"
 
 namespace monsoonbay {
@@ -239,7 +239,7 @@
     sink.peer = [&node](PlatformVm vm) {
         addPeer(node, vm.peers, {std::move(vm.name), std::move(vm.zone), vm.capacity});
     };
-    sink.spendNotes = [&node](std::vector<SpendNote> notes) {
+    sink.spendNotes = [&node](std::vector<UsageSnapshot> notes) {
         applyStoredSnapshots(node, std::move(notes));
     };
     sink.peersRead = [&node] {
--- a/libs/gateway/src/FleetCount.cpp
+++ b/libs/gateway/src/FleetCount.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "ZoneView.h"
+#include "ZonePeers.h"
 
 namespace monsoonbay {
 
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -32,7 +32,7 @@
 #include "serving/AdvertisedLimit.h"
 #include "serving/CallIdentity.h"
 #include "serving/ChangeLog.h"
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 #include "serving/EngineLog.h"
 #include "serving/EngineRecord.h"
 #include "serving/HarmfulCalls.h"
@@ -273,7 +273,7 @@
     auto operator<=>(const ListSource &) const = default;
 };
 
-/** What is known of the prompts that engines still have to read; see PrefillReserving.h. */
+/** What is known of the prompts that engines still have to read; see PrefillReservation.h. */
 struct PrefillCounts
 {
     std::unordered_map<std::string, PrefillQueue> ordered; ///< of engines that this VM orders
--- a/libs/gateway/src/HarmfulWatch.cpp
+++ b/libs/gateway/src/HarmfulCallTracking.cpp
@@ -1,4 +1,4 @@
-#include "HarmfulWatch.h"
+#include "HarmfulCallTracking.h"
 
 #include <algorithm>
 #include <utility>
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -4,7 +4,7 @@
 
 #include "FleetCount.h"
 #include "LinkWatch.h"
-#include "NewsCodec.h"
+#include "PeerCodec.h"
 #include "PeerExchange.h"
 #include "SharedEngines.h"
 #include "observe/Events.h"
--- a/libs/gateway/src/LinkWatch.cpp
+++ b/libs/gateway/src/LinkWatch.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "TargetPool.h"
-#include "ZoneView.h"
+#include "ZonePeers.h"
 #include "observe/Events.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/TargetEnds.cpp
+++ b/libs/gateway/src/LostCalls.cpp
@@ -1,9 +1,9 @@
-#include "TargetEnds.h"
+#include "LostCalls.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "HarmfulWatch.h"
+#include "HarmfulCallTracking.h"
 #include "LinkWatch.h"
 #include "observe/Events.h"
 
--- a/libs/gateway/src/NewsCodec.cpp
+++ b/libs/gateway/src/PeerCodec.cpp
@@ -1,8 +1,8 @@
-#include "NewsCodec.h"
+#include "PeerCodec.h"
 
 #include <algorithm>
 
-#include "ClassFields.h"
+#include "ClassDemandCodec.h"
 #include "observe/Events.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/NewsCodec.h
+++ b/libs/gateway/src/PeerCodec.h
@@ -25,7 +25,7 @@
                   gateway::v1::EngineState &state);
 EngineChange decodeChange(const gateway::v1::EngineState &state);
 
-/** The adapters go to the holder of an engine only, see UseNotes.h. */
+/** The adapters go to the holder of an engine only, see UsageReports.h. */
 /** Rank of the call that a load is for. */
 void encodeRank(int rank, gateway::v1::LoadRequest &request);
 int decodeRank(const gateway::v1::LoadRequest &request);
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -2,22 +2,22 @@
 
 #include <algorithm>
 
+#include "AnswerHints.h"
 #include "ConfigDownload.h"
-#include "EngineOrders.h"
+#include "EngineCommands.h"
 #include "Feeds.h"
 #include "FleetCount.h"
 #include "LeaseKeeping.h"
 #include "LinkWatch.h"
-#include "NewsCodec.h"
-#include "NewsTelling.h"
+#include "PeerCodec.h"
 #include "PrefixSharing.h"
 #include "SharedEngines.h"
-#include "SpendNotes.h"
-#include "TargetWords.h"
+#include "StateUpdates.h"
 #include "UpdateBytes.h"
-#include "UseNotes.h"
+#include "UsageReports.h"
+#include "UsageSnapshots.h"
 #include "WorkspaceQuota.h"
-#include "ZoneView.h"
+#include "ZonePeers.h"
 #include "observe/Events.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/PeerForwarding.cpp
+++ b/libs/gateway/src/PeerForwarding.cpp
@@ -5,7 +5,7 @@
 #include <boost/beast/http/status.hpp>
 #include <nlohmann/json.hpp>
 
-#include "CallerAccess.h"
+#include "CallerAuthentication.h"
 #include "LinkWatch.h"
 #include "observe/Events.h"
 
--- a/libs/gateway/src/PrefillReserving.cpp
+++ b/libs/gateway/src/PrefillReservation.cpp
@@ -1,4 +1,4 @@
-#include "PrefillReserving.h"
+#include "PrefillReservation.h"
 
 #include <algorithm>
 #include <limits>
--- a/libs/gateway/src/PrefillReserving.h
+++ b/libs/gateway/src/PrefillReservation.h
@@ -2,7 +2,7 @@
 
 #include "ActiveCall.h"
 #include "Gateway.pb.h"
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 
 namespace monsoonbay {
 
--- a/libs/gateway/src/PrefixCodec.cpp
+++ b/libs/gateway/src/PrefixCodec.cpp
@@ -8,7 +8,7 @@
 
 namespace v1 = gateway::v1;
 
-v1::PrefixNews encodePrefixNews(const PrefixNews &news)
+v1::PrefixNews encodePrefixUpdates(const PrefixUpdates &news)
 {
     v1::PrefixNews told;
     told.set_seen(news.seen);
@@ -25,9 +25,9 @@
     return told;
 }
 
-PrefixNews decodePrefixNews(const v1::PrefixNews &told)
+PrefixUpdates decodePrefixUpdates(const v1::PrefixNews &told)
 {
-    PrefixNews news;
+    PrefixUpdates news;
     news.seen = told.seen();
     news.change = told.change();
     for (const v1::EnginePrefixes &engine : told.engines()) {
--- a/libs/gateway/src/PrefixSharing.cpp
+++ b/libs/gateway/src/PrefixSharing.cpp
@@ -1,6 +1,6 @@
 #include "PrefixSharing.h"
 
-#include "NewsCodec.h"
+#include "PeerCodec.h"
 #include "PrefixCodec.h"
 
 namespace monsoonbay {
@@ -78,7 +78,7 @@
 void addPrefixesToReport(const GatewayNode &node, const PeerState &peer, bool mate, Instant now,
                          v1::Report &report)
 {
-    PrefixNews news;
+    PrefixUpdates news;
     news.seen = peer.seenPrefix;
     if (mate) {
         PrefixReader reader;
@@ -86,8 +86,8 @@
         reader.seen = peer.sentBoot == peer.boot ? peer.sentPrefix : 0;
         news.reads = prefixesFor(node.prefixes.log, reader, now);
     }
-    if (news != PrefixNews())
-        *report.mutable_prefixes() = encodePrefixNews(news);
+    if (news != PrefixUpdates())
+        *report.mutable_prefixes() = encodePrefixUpdates(news);
 }
 
 void addPrefixesToDigest(const GatewayNode &node, const v1::Report &report, bool mate,
@@ -103,12 +103,12 @@
     // A number that was never given is not of this log.
     if (report.known_boot() == node.boot && seen <= log.last)
         reader.seen = seen;
-    PrefixNews news;
+    PrefixUpdates news;
     news.reads = prefixesFor(log, reader, BootClock::now());
     if (news.reads.empty())
         return;
     news.change = log.last;
-    *digest.mutable_prefixes() = encodePrefixNews(news);
+    *digest.mutable_prefixes() = encodePrefixUpdates(news);
 }
 
 namespace {
@@ -121,7 +121,7 @@
     const Instant now = BootClock::now();
     const std::uint64_t from = tellerOf(sourceVm);
     for (const PrefixRead &read : reads) {
-        if (noteHeard(node.prefixes.book, read.engine, read.prefix, now))
+        if (recordReported(node.prefixes.book, read.engine, read.prefix, now))
             logPrefix(node.prefixes.log, read, source, from, now);
     }
 }
@@ -131,14 +131,14 @@
 void applyReportedPrefixes(GatewayNode &node, const v1::Report &report)
 {
     takeReads(node, decodeEndpoint(report.from()), PrefixSource::Zone,
-              decodePrefixNews(report.prefixes()).reads);
+              decodePrefixUpdates(report.prefixes()).reads);
 }
 
 void applyDigestPrefixes(GatewayNode &node, PeerState &peer, const v1::Digest &digest)
 {
     if (peer.seenBoot != digest.from().boot())
         peer.seenPrefix = 0;
-    const PrefixNews news = decodePrefixNews(digest.prefixes());
+    const PrefixUpdates news = decodePrefixUpdates(digest.prefixes());
     if (news.change > 0)
         peer.seenPrefix = news.change;
     takeReads(node, peer.endpoint, PrefixSource::Elsewhere, news.reads);
--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -5,9 +5,9 @@
 #include "FleetCount.h"
 #include "PeerExchange.h"
 #include "SharedEngines.h"
-#include "ZoneView.h"
+#include "ZonePeers.h"
 #include "observe/Events.h"
-#include "serving/NewsAge.h"
+#include "serving/UpdateAge.h"
 
 namespace monsoonbay {
 
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -5,8 +5,8 @@
 #include <set>
 
 #include "LeaseKeeping.h"
-#include "TargetStarts.h"
-#include "UseNotes.h"
+#include "TargetRestarts.h"
+#include "UsageReports.h"
 
 namespace monsoonbay {
 
--- a/libs/gateway/src/NewsTelling.cpp
+++ b/libs/gateway/src/StateUpdates.cpp
@@ -1,17 +1,17 @@
-#include "NewsTelling.h"
+#include "StateUpdates.h"
 
 #include <algorithm>
 #include <set>
 #include <vector>
 
-#include "EngineOrders.h"
+#include "AnswerHints.h"
+#include "EngineCommands.h"
 #include "Feeds.h"
-#include "HarmfulWatch.h"
-#include "NewsCodec.h"
+#include "HarmfulCallTracking.h"
+#include "PeerCodec.h"
 #include "PeerExchange.h"
 #include "SharedEngines.h"
-#include "TargetWords.h"
-#include "ZoneView.h"
+#include "ZonePeers.h"
 
 namespace monsoonbay {
 
--- a/libs/gateway/src/StreamResuming.cpp
+++ b/libs/gateway/src/StreamResuming.cpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <set>
 
-#include "TargetStarts.h"
+#include "TargetRestarts.h"
 #include "observe/Events.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/TargetStarts.cpp
+++ b/libs/gateway/src/TargetRestarts.cpp
@@ -1,6 +1,6 @@
-#include "TargetStarts.h"
+#include "TargetRestarts.h"
 
-#include "TargetEnds.h"
+#include "LostCalls.h"
 #include "observe/Events.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/UseNotes.cpp
+++ b/libs/gateway/src/UsageReports.cpp
@@ -1,9 +1,9 @@
-#include "UseNotes.h"
+#include "UsageReports.h"
 
 #include <vector>
 
 #include "LeaseKeeping.h"
-#include "NewsCodec.h"
+#include "PeerCodec.h"
 #include "SharedEngines.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/UsageSnapshotState.h
+++ b/libs/gateway/src/UsageSnapshotState.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "quota/SpendNote.h"
+#include "quota/UsageSnapshot.h"
 #include "quota/UsageSnapshotWriter.h"
 
 namespace monsoonbay {
--- a/libs/gateway/src/SpendNotes.cpp
+++ b/libs/gateway/src/UsageSnapshots.cpp
@@ -1,8 +1,8 @@
-#include "SpendNotes.h"
+#include "UsageSnapshots.h"
 
 #include <algorithm>
 
-#include "ClassFields.h"
+#include "ClassDemandCodec.h"
 #include "FleetCount.h"
 #include "WorkspaceQuota.h"
 #include "observe/Events.h"
@@ -99,7 +99,7 @@
 void logCounted(const GatewayNode &node, const char *source)
 {
     std::size_t named = 0;
-    for (const SpendNote &note : node.spend.atStart.zones)
+    for (const UsageSnapshot &note : node.spend.atStart.zones)
         named += note.size();
     logEvent(EventId::UseCountedAtStart,
              {{"source", source},
@@ -111,7 +111,7 @@
 asio::awaitable<void> writeNote(GatewayNode &node)
 {
     const Instant began = BootClock::now();
-    SpendNote note;
+    UsageSnapshot note;
     for (const auto &[workspace, percent] : beginSnapshot(node.spend.noting, began))
         note[workspace] = {percent, unitsHeard(node, workspace, UnitsOf::AllZones, began)};
     node.spend.permits = permitsOf(node.spend.noting);
@@ -148,7 +148,7 @@
 }
 
 // Notes that another VM told are of before this one's start and stay.
-void applyStoredSnapshots(GatewayNode &node, std::vector<SpendNote> notes)
+void applyStoredSnapshots(GatewayNode &node, std::vector<UsageSnapshot> notes)
 {
     const Instant now = BootClock::now();
     if (node.spend.atStart.wereRead || node.settings.firstStart)
@@ -205,7 +205,7 @@
     const Duration readAgo = now - node.spend.atStart.readAt;
     digest.mutable_spend()->set_notes_read_ago_ms(static_cast<std::uint64_t>(toMillis(readAgo))
                                                   + 1);
-    for (const SpendNote &note : node.spend.atStart.zones) {
+    for (const UsageSnapshot &note : node.spend.atStart.zones) {
         v1::ZoneNote *told = digest.mutable_spend()->add_notes_at_start();
         for (const auto &[workspace, noted] : note) {
             v1::NotedSpend *entry = told->add_workspaces();
@@ -228,7 +228,7 @@
     told.wereRead = true;
     told.readAt = now - std::chrono::milliseconds(news.notes_read_ago_ms() - 1);
     for (const v1::ZoneNote &note : news.notes_at_start()) {
-        SpendNote &zone = told.zones.emplace_back();
+        UsageSnapshot &zone = told.zones.emplace_back();
         for (const v1::NotedSpend &entry : note.workspaces())
             zone[entry.workspace()] = {decodePercent(entry.percent()),
                                        decodeUnits(entry.units_by_age())};
--- a/libs/gateway/src/SpendNotes.h
+++ b/libs/gateway/src/UsageSnapshots.h
@@ -5,7 +5,7 @@
 
 namespace monsoonbay {
 
-/** Notes of the use of workspaces in the store; see quota/SpendNote.h. */
+/** Notes of the use of workspaces in the store; see quota/UsageSnapshot.h. */
 
 /** False where there are no limits, or the settings do not say how they are to be kept. */
 bool keepsUsageSnapshots(const GatewayNode &node);
@@ -14,7 +14,7 @@
 double allowedShare(const GatewayNode &node, const std::string &workspace, Instant now);
 
 /** What the store held when this VM read its list of VMs first. */
-void applyStoredSnapshots(GatewayNode &node, std::vector<SpendNote> notes);
+void applyStoredSnapshots(GatewayNode &node, std::vector<UsageSnapshot> notes);
 
 /** Adds the units by age of workspaces whose use is to be noted. */
 void fillUnitsByAge(GatewayNode &node, bool wholeZone, gateway::v1::Report &report);
--- a/libs/gateway/src/WorkspaceQuota.cpp
+++ b/libs/gateway/src/WorkspaceQuota.cpp
@@ -2,8 +2,8 @@
 
 #include "FleetCount.h"
 #include "RelayLoops.h"
-#include "SpendNotes.h"
-#include "ZoneView.h"
+#include "UsageSnapshots.h"
+#include "ZonePeers.h"
 #include "core/Jitter.h"
 #include "observe/Events.h"
 #include "quota/Admission.h"
--- a/libs/gateway/src/ZoneView.cpp
+++ b/libs/gateway/src/ZonePeers.cpp
@@ -1,4 +1,4 @@
-#include "ZoneView.h"
+#include "ZonePeers.h"
 
 #include <algorithm>
 
--- a/libs/gateway/tests/ConfigReadings.cpp
+++ b/libs/gateway/tests/ConfigDownloads.cpp
@@ -1,6 +1,6 @@
+#include "CallServing.h"
 #include "ConfigDownload.h"
 #include "Feeds.h"
-#include "Forwarding.h"
 #include "GatewayNode.h"
 #include "PeerExchange.h"
 
--- a/libs/gateway/tests/HarmfulWatches.cpp
+++ b/libs/gateway/tests/HarmfulWatches.cpp
@@ -1,7 +1,7 @@
 #include "Feeds.h"
 #include "GatewayNode.h"
-#include "HarmfulWatch.h"
-#include "NewsCodec.h"
+#include "HarmfulCallTracking.h"
+#include "PeerCodec.h"
 #include "PeerExchange.h"
 
 #include <memory>
--- a/libs/gateway/tests/LinkWatches.cpp
+++ b/libs/gateway/tests/LinkWatches.cpp
@@ -2,8 +2,8 @@
 #include "GatewayNode.h"
 #include "LeaseKeeping.h"
 #include "LinkWatch.h"
+#include "LostCalls.h"
 #include "PeerExchange.h"
-#include "TargetEnds.h"
 
 #include <criterion/criterion.h>
 
--- a/libs/gateway/tests/LoadNews.cpp
+++ b/libs/gateway/tests/LoadReplies.cpp
@@ -1,6 +1,6 @@
-#include "EngineOrders.h"
+#include "EngineCommands.h"
 #include "GatewayNode.h"
-#include "NewsCodec.h"
+#include "PeerCodec.h"
 #include "PeerExchange.h"
 #include "SharedEngines.h"
 
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -1,8 +1,8 @@
+#include "AnswerHints.h"
 #include "Feeds.h"
 #include "GatewayNode.h"
 #include "PeerExchange.h"
 #include "RelayLoops.h"
-#include "TargetWords.h"
 
 #include <criterion/criterion.h>
 
--- a/libs/gateway/tests/PrefillReservations.cpp
+++ b/libs/gateway/tests/PrefillReservations.cpp
@@ -1,5 +1,5 @@
 #include "GatewayNode.h"
-#include "PrefillReserving.h"
+#include "PrefillReservation.h"
 
 #include <criterion/criterion.h>
 
--- a/libs/gateway/tests/Prefixes.cpp
+++ b/libs/gateway/tests/Prefixes.cpp
@@ -1,11 +1,11 @@
 #include "ActiveCall.h"
 #include "Feeds.h"
 #include "GatewayNode.h"
-#include "NewsCodec.h"
+#include "PeerCodec.h"
 #include "PeerExchange.h"
 #include "PrefixCodec.h"
 #include "PrefixSharing.h"
-#include "TargetStarts.h"
+#include "TargetRestarts.h"
 
 #include <random>
 
@@ -111,15 +111,15 @@
     cr_assert_eq(relay.believed(), 0);
     first.call(soon);
     const v1::Digest echo = exchange(first, relay);
-    cr_assert(decodePrefixNews(echo.prefixes()).reads.empty(), "not told back");
+    cr_assert(decodePrefixUpdates(echo.prefixes()).reads.empty(), "not told back");
     cr_assert_eq(relay.believed(), 6300);
     exchange(mate, relay);
     cr_assert_eq(mate.believed(), 6300);
     exchange(farRelay, relay);
     exchange(far, farRelay);
     cr_assert_eq(far.believed(), 6300);
-    cr_assert(decodePrefixNews(exchange(mate, relay).prefixes()).reads.empty(), "told once");
-    cr_assert(decodePrefixNews(exchange(relay, farRelay).prefixes()).reads.empty(),
+    cr_assert(decodePrefixUpdates(exchange(mate, relay).prefixes()).reads.empty(), "told once");
+    cr_assert(decodePrefixUpdates(exchange(relay, farRelay).prefixes()).reads.empty(),
               "not told round");
 }
 
@@ -196,15 +196,16 @@
 // Guards against bad values on the wire that are believed, or that end the VM.
 Test(prefixes, bad_values_are_left_out)
 {
-    PrefixNews news;
+    PrefixUpdates news;
     news.reads = {{1, {10, 999}}, {1, {11, 1000}}, {1, {12, 2'000'000'000}}, {2, {13, 5000}}};
-    const v1::PrefixNews told = encodePrefixNews(news);
-    const PrefixNews taken = decodePrefixNews(told);
+    const v1::PrefixNews told = encodePrefixUpdates(news);
+    const PrefixUpdates taken = decodePrefixUpdates(told);
     cr_assert_eq(taken.reads.size(), 2);
     cr_assert_eq(taken.reads[0].prefix.hash, 11);
     cr_assert_eq(taken.reads[1].engine, 2);
     news.reads.assign(1000, {3, {14, 5000}});
-    cr_assert_eq(decodePrefixNews(encodePrefixNews(news)).reads.size(), maxPrefixesPerMessage);
+    cr_assert_eq(decodePrefixUpdates(encodePrefixUpdates(news)).reads.size(),
+                 maxPrefixesPerMessage);
     // Every way of cutting or changing a message can be read.
     const std::string sound = told.SerializeAsString();
     std::mt19937 random(7);
@@ -215,7 +216,7 @@
         v1::PrefixNews spoiled;
         // What was read before the damage is kept.
         static_cast<void>(spoiled.ParseFromString(bytes));
-        for (const PrefixRead &read : decodePrefixNews(spoiled).reads)
+        for (const PrefixRead &read : decodePrefixUpdates(spoiled).reads)
             cr_assert(read.prefix.tokens >= minReportedTokens);
     }
 }
@@ -240,10 +241,10 @@
             logPrefix(log, {engine, {random(), 6300}}, PrefixSource::Elsewhere, 9, now);
         }
         v1::Digest digest;
-        PrefixNews news;
+        PrefixUpdates news;
         news.reads = prefixesFor(log, reader, now);
         news.change = log.last;
-        *digest.mutable_prefixes() = encodePrefixNews(news);
+        *digest.mutable_prefixes() = encodePrefixUpdates(news);
         bytes += digest.ByteSizeLong();
         reader.seen = log.last;
     }
--- a/libs/gateway/tests/SpendNews.cpp
+++ b/libs/gateway/tests/UsageUpdates.cpp
@@ -1,7 +1,7 @@
 #include "FleetCount.h"
 #include "GatewayNode.h"
 #include "PeerExchange.h"
-#include "SpendNotes.h"
+#include "UsageSnapshots.h"
 
 #include <criterion/criterion.h>
 
@@ -48,9 +48,9 @@
     return report;
 }
 
-SpendNote noteOf(int percent)
+UsageSnapshot noteOf(int percent)
 {
-    NotedSpend noted;
+    SnapshotEntry noted;
     noted.percent = percent;
     noted.units[3] = 700;
     return {{"ferry", noted}};
@@ -91,7 +91,7 @@
     applyStoredSnapshots(second, {noteOf(100)});
     second.spend.atStart.readAt += 500ms;
     applyUsageUpdates(second, digest, false, BootClock::now());
-    cr_assert_eq(second.spend.atStart.zones, std::vector<SpendNote>{noteOf(60)});
+    cr_assert_eq(second.spend.atStart.zones, std::vector<UsageSnapshot>{noteOf(60)});
     v1::Report later = reportOfMate(2);
     later.set_known_boot(first.boot);
     cr_assert_not(answerReport(first, later).has_spend(), "told once");
--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -1,8 +1,8 @@
 #include <deque>
 
+#include "CapacityWaiting.h"
 #include "GatewayNode.h"
 #include "PeerExchange.h"
-#include "PlaceWaiting.h"
 #include "SharedEngines.h"
 
 #include <boost/asio/co_spawn.hpp>
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -1,7 +1,7 @@
-#include "CallerAccess.h"
+#include "CallerAuthentication.h"
 #include "FleetCount.h"
 #include "GatewayNode.h"
-#include "NewsCodec.h"
+#include "PeerCodec.h"
 #include "PeerExchange.h"
 #include "WorkspaceQuota.h"
 
--- a/libs/quota/include/quota/SpendNote.h
+++ b/libs/quota/include/quota/UsageSnapshot.h
@@ -21,24 +21,24 @@
 constexpr int allPercent = 100;
 
 /** What a note holds of one workspace. */
-struct NotedSpend
+struct SnapshotEntry
 {
     int percent =
         allPercent; ///< of what may be used in a window; use stays below until the next note
     UnitsByAge units{}; ///< let run by all VMs in touch, when the note was written
 
-    auto operator<=>(const NotedSpend &) const = default;
+    auto operator<=>(const SnapshotEntry &) const = default;
 };
 
 /** Use that has to survive a restart of all VMs, as one zone keeps it in the store. */
-using SpendNote = std::map<std::string, NotedSpend>; ///< by workspace
+using UsageSnapshot = std::map<std::string, SnapshotEntry>; ///< by workspace
 
 /** What a VM read of the notes when it started. */
 struct StartupSnapshots
 {
     bool wereRead = false;
     Instant readAt{};
-    std::vector<SpendNote> zones;
+    std::vector<UsageSnapshot> zones;
 
     auto operator<=>(const StartupSnapshots &) const = default;
 };
--- a/libs/quota/include/quota/UsageSnapshotWriter.h
+++ b/libs/quota/include/quota/UsageSnapshotWriter.h
@@ -6,7 +6,7 @@
 
 #include "core/Time.h"
 #include "quota/Admission.h"
-#include "quota/SpendNote.h"
+#include "quota/UsageSnapshot.h"
 
 namespace monsoonbay {
 
--- a/libs/quota/include/quota/UsageWindow.h
+++ b/libs/quota/include/quota/UsageWindow.h
@@ -38,6 +38,7 @@
 WorkspaceUse usageOf(UsageWindow &record, const QuotaPolicy &policy, Instant now);
 
 /** Units a second that were asked for, as it was told `before` ago. */
-double askedBefore(UsageWindow &record, const QuotaPolicy &policy, Duration before, Instant now);
+double requestRateBefore(UsageWindow &record, const QuotaPolicy &policy, Duration before,
+                         Instant now);
 
 } // namespace monsoonbay
--- a/libs/quota/src/Admission.cpp
+++ b/libs/quota/src/Admission.cpp
@@ -65,8 +65,8 @@
 double askedNow(UsageWindow &own, const QuotaPolicy &policy, const FleetUsage &fleet,
                 std::int64_t units, Instant now)
 {
-    const double here = askedBefore(own, policy, Duration::zero(), now);
-    const double before = askedBefore(own, policy, fleet.updateAge, now);
+    const double here = requestRateBefore(own, policy, Duration::zero(), now);
+    const double before = requestRateBefore(own, policy, fleet.updateAge, now);
     const double others = std::max(static_cast<double>(fleet.use.requestedPerSecond) - here, 0.0);
     const double few = fewCalls * typicalUnits(fleet.use, units) / toSeconds(policy.window);
     const double growth = (here + few) / (before + few);
--- a/libs/quota/src/SpendNote.cpp
+++ b/libs/quota/src/UsageSnapshot.cpp
@@ -1,4 +1,4 @@
-#include "quota/SpendNote.h"
+#include "quota/UsageSnapshot.h"
 
 #include <algorithm>
 #include <limits>
@@ -21,12 +21,12 @@
 // `shareWithoutSnapshot` is fresh; which one is not known. Taken together, the units of an old note
 // and of a fresh one would be counted as leaving although the old ones had left before the start.
 double mostUsed(const std::string &workspace, const WorkspaceLimit &limit,
-                const QuotaPolicy &policy, const std::vector<SpendNote> &zones, Duration after)
+                const QuotaPolicy &policy, const std::vector<UsageSnapshot> &zones, Duration after)
 {
     const double usable = usableInWindow(limit, policy);
     double share = shareWithoutSnapshot;
     std::int64_t left = std::numeric_limits<std::int64_t>::max();
-    for (const SpendNote &note : zones) {
+    for (const UsageSnapshot &note : zones) {
         const auto noted = note.find(workspace);
         if (noted == note.end())
             continue;
--- a/libs/quota/src/UsageWindow.cpp
+++ b/libs/quota/src/UsageWindow.cpp
@@ -64,7 +64,8 @@
     return use;
 }
 
-double askedBefore(UsageWindow &record, const QuotaPolicy &policy, Duration before, Instant now)
+double requestRateBefore(UsageWindow &record, const QuotaPolicy &policy, Duration before,
+                         Instant now)
 {
     advance(record.asked, policy.window, now);
     const std::int64_t age = ageOf(record.asked, policy.window, now - before);
--- a/libs/quota/tests/FleetModel.cpp
+++ b/libs/quota/tests/FleetModel.cpp
@@ -87,7 +87,7 @@
     std::size_t relay = 0;
     Instant relaySince{};
     UsageSnapshotWriter noting;
-    SpendNote writing;
+    UsageSnapshot writing;
     Instant writtenAt{};
 };
 
@@ -544,7 +544,7 @@
     Instant now{};
     std::deque<Snapshot> snapshots;
     std::vector<Zone> zones;
-    std::vector<SpendNote> store; ///< by zone
+    std::vector<UsageSnapshot> store; ///< by zone
     std::size_t nextRestart = 0;
     Instant lastUp{}; ///< all VMs are back from the restart that was drawn last
     std::deque<Ran> recent;
--- a/libs/quota/tests/SpendNotes.cpp
+++ b/libs/quota/tests/UsageSnapshots.cpp
@@ -54,7 +54,7 @@
     return day;
 }
 
-StartupSnapshots readNotes(SpendNote note)
+StartupSnapshots readNotes(UsageSnapshot note)
 {
     return {true, start, {std::move(note)}};
 }
@@ -162,7 +162,7 @@
     const double usable = usableInWindow(day.limit, day.policy);
     cr_assert_float_eq(countedAtStart(StartupSnapshots(), 7s), 1.0, 0.001, "nothing was read");
     cr_assert_float_eq(countedAtStart(readNotes({}), 7s), 0.5, 0.001, "no note names it");
-    NotedSpend noted;
+    SnapshotEntry noted;
     noted.percent = 80;
     cr_assert_float_eq(countedAtStart(readNotes({{"a", noted}}), 7s), 0.8, 0.001);
     noted.units[8] = static_cast<std::int64_t>(0.2 * usable);
@@ -175,7 +175,7 @@
 Test(spend_notes, what_was_counted_at_a_start_leaves_with_its_window)
 {
     const FleetScenario day = dayOf(1);
-    NotedSpend noted;
+    SnapshotEntry noted;
     noted.percent = 90;
     addAssumedUnits(noted.units, "a", day.limit, day.policy, readNotes({}), 1, start, start + 2s);
     const double usable = usableInWindow(day.limit, day.policy);
@@ -204,7 +204,7 @@
 Test(spend_notes, units_of_two_zones_notes_are_not_added)
 {
     const double usable = usableInWindow(dayOf(1).limit, dayOf(1).policy);
-    NotedSpend noted;
+    SnapshotEntry noted;
     noted.units[8] = static_cast<std::int64_t>(0.3 * usable);
     StartupSnapshots notes = readNotes({{"a", noted}});
     notes.zones.push_back({{"a", noted}});
--- a/libs/residency/include/residency/SlotTable.h
+++ b/libs/residency/include/residency/SlotTable.h
@@ -39,7 +39,7 @@
 };
 
 /** An engine's word about itself. */
-struct EngineReport
+struct SlotReport
 {
     std::uint64_t epoch = 0; ///< changes with a restart
     Instant askedAt{}; ///< when the request for this report was sent
@@ -89,7 +89,7 @@
 void endLoad(SlotTable &table, bool loaded, Instant now);
 
 /** Takes the engine's word; returns true if the engine restarted since the last one. */
-bool applyReport(SlotTable &table, const EngineReport &report, Instant now);
+bool applyReport(SlotTable &table, const SlotReport &report, Instant now);
 
 const OwnedSlot *findSlot(const SlotTable &table, AdapterId adapter);
 
--- a/libs/residency/src/SlotTable.cpp
+++ b/libs/residency/src/SlotTable.cpp
@@ -32,7 +32,7 @@
     ++table.changes;
 }
 
-const ReportedSlot *reportOf(const EngineReport &report, const AdapterRef &adapter)
+const ReportedSlot *reportOf(const SlotReport &report, const AdapterRef &adapter)
 {
     const auto found =
         std::find_if(report.resident.begin(), report.resident.end(),
@@ -41,7 +41,7 @@
 }
 
 // A slot that was loaded, or pinned, after the report was asked for is newer than the report.
-void reconcile(SlotTable &table, const EngineReport &report, Instant now)
+void reconcile(SlotTable &table, const SlotReport &report, Instant now)
 {
     for (const ReportedSlot &reported : report.resident) {
         OwnedSlot *slot = slotOf(table, reported.adapter.id());
@@ -134,7 +134,7 @@
     addSlot(table, adapter, 0, now);
 }
 
-bool applyReport(SlotTable &table, const EngineReport &report, Instant now)
+bool applyReport(SlotTable &table, const SlotReport &report, Instant now)
 {
     const bool first = !table.known;
     const bool restarted = !first && report.epoch != table.epoch;
--- a/libs/residency/tests/Slots.cpp
+++ b/libs/residency/tests/Slots.cpp
@@ -24,9 +24,9 @@
     std::map<int, int> running; ///< by resident adapter
     int loading = -1;
 
-    EngineReport report(Instant askedAt) const
+    SlotReport report(Instant askedAt) const
     {
-        EngineReport report;
+        SlotReport report;
         report.epoch = this->epoch;
         report.askedAt = askedAt;
         for (const auto &[adapter, count] : this->running)
@@ -56,7 +56,7 @@
         Instant now = Instant{} + std::chrono::seconds(1);
         applyReport(table, engine.report(now), now);
         std::vector<HeldRun> runs;
-        std::vector<EngineReport> inTransit;
+        std::vector<SlotReport> inTransit;
         const auto deeds = *rc::gen::container<std::vector<std::pair<int, int>>>(
             rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange(0, 6)));
         for (const auto &[deed, number] : deeds) {
@@ -126,7 +126,7 @@
     SlotTable table;
     table.slots = 1;
     const Instant now = Instant{} + std::chrono::seconds(1);
-    EngineReport report;
+    SlotReport report;
     report.epoch = 1;
     applyReport(table, report, now);
     const AdapterRef adapter = adapterOf(1);
@@ -149,7 +149,7 @@
 {
     SlotTable table;
     table.slots = 1;
-    EngineReport report;
+    SlotReport report;
     report.epoch = 1;
     report.resident.push_back({adapterOf(1), 1});
     applyReport(table, report, Instant{});
--- a/libs/routing/include/routing/ResidentDirectory.h
+++ b/libs/routing/include/routing/ResidentDirectory.h
@@ -44,7 +44,7 @@
 };
 
 /** Where a request may go. */
-struct Route
+struct TargetRoute
 {
     TargetId target;
     VmId owner;
@@ -68,8 +68,8 @@
     void setLeaving(TargetId target, bool leaving);
 
     /** The best target that holds the adapter, by the policy and the weights. */
-    std::optional<Route> choose(AdapterId adapter, const PlacementPolicy &policy,
-                                double stallWeight, double batchWeight) const;
+    std::optional<TargetRoute> choose(AdapterId adapter, const PlacementPolicy &policy,
+                                      double stallWeight, double batchWeight) const;
 
     /** The target turned out not to hold the adapter: the entry goes, until newer news. */
     void removeHolder(AdapterId adapter, TargetId target);
@@ -79,7 +79,7 @@
 
     std::vector<TargetStatus> statuses() const;
     std::optional<TargetStatus> statusOf(TargetId target) const;
-    std::vector<Route> holdersOf(AdapterId adapter) const;
+    std::vector<TargetRoute> holdersOf(AdapterId adapter) const;
 
 private:
     static constexpr std::size_t shardCount = 64;
--- a/libs/routing/src/ResidentDirectory.cpp
+++ b/libs/routing/src/ResidentDirectory.cpp
@@ -121,8 +121,9 @@
     entry->takesWork.store(entry->status.usable && !entry->status.leaving && !leaving);
 }
 
-std::optional<Route> ResidentDirectory::choose(AdapterId adapter, const PlacementPolicy &policy,
-                                               double stallWeight, double batchWeight) const
+std::optional<TargetRoute> ResidentDirectory::choose(AdapterId adapter,
+                                                     const PlacementPolicy &policy,
+                                                     double stallWeight, double batchWeight) const
 {
     std::array<RouteCandidate, maxCandidates> candidates;
     std::array<VmId, maxCandidates> owners;
@@ -151,7 +152,7 @@
         policy.route(std::span(candidates.data(), count), stallWeight, batchWeight);
     if (best >= count)
         return std::nullopt;
-    return Route{candidates[best].target, owners[best]};
+    return TargetRoute{candidates[best].target, owners[best]};
 }
 
 void ResidentDirectory::removeHolder(AdapterId adapter, TargetId target)
@@ -203,7 +204,7 @@
     return entry->status;
 }
 
-std::vector<Route> ResidentDirectory::holdersOf(AdapterId adapter) const
+std::vector<TargetRoute> ResidentDirectory::holdersOf(AdapterId adapter) const
 {
     std::vector<EntryPtr> entries;
     {
@@ -213,10 +214,10 @@
         if (found != shard.holders.end())
             entries = found->second;
     }
-    std::vector<Route> routes;
+    std::vector<TargetRoute> routes;
     for (const EntryPtr &entry : entries) {
         const std::lock_guard guard(entry->mutex);
-        routes.push_back(Route{entry->status.target, entry->status.owner});
+        routes.push_back(TargetRoute{entry->status.target, entry->status.owner});
     }
     return routes;
 }
--- a/libs/routing/tests/Directory.cpp
+++ b/libs/routing/tests/Directory.cpp
@@ -67,7 +67,8 @@
                         least = std::min(least, status.running);
                 }
             }
-            const std::optional<Route> route = directory.choose(AdapterId{adapter}, policy, 1, 0);
+            const std::optional<TargetRoute> route =
+                directory.choose(AdapterId{adapter}, policy, 1, 0);
             RC_ASSERT(route.has_value() == (least != 1000));
             if (route)
                 RC_ASSERT(naive.at(route->target.value).running == least);
@@ -99,7 +100,7 @@
     directory.apply(statusOf(2, 1, 1, {5}, 3));
     std::map<std::uint64_t, int> sent;
     for (int request = 0; request < 21; ++request) {
-        const Route route = *directory.choose(AdapterId{5}, policy, 1, 0);
+        const TargetRoute route = *directory.choose(AdapterId{5}, policy, 1, 0);
         directory.recordSent(route.target);
         ++sent[route.target.value];
     }
--- a/libs/serving/benchmark/Choices.cpp
+++ b/libs/serving/benchmark/Choices.cpp
@@ -6,7 +6,7 @@
 
 #include <benchmark/benchmark.h>
 
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 
 namespace {
 
--- a/libs/serving/include/serving/CapacityQueue.h
+++ b/libs/serving/include/serving/CapacityQueue.h
@@ -80,7 +80,7 @@
 int agedRank(const WaitingCall &call, Instant now) noexcept;
 
 /** True if `first` is served before `second`. */
-bool goesBefore(const WaitingCall &first, const WaitingCall &second, Instant now) noexcept;
+bool isServedBefore(const WaitingCall &first, const WaitingCall &second, Instant now) noexcept;
 
 /**
  * Calls to be woken while there is room for `loads` more loads, in the order in which they are
--- a/libs/serving/include/serving/EngineForecast.h
+++ b/libs/serving/include/serving/EngineForecast.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 
 namespace monsoonbay {
 
--- a/libs/serving/include/serving/EngineRecord.h
+++ b/libs/serving/include/serving/EngineRecord.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "config/Settings.h"
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 #include "serving/TargetEntry.h"
 
 namespace monsoonbay {
--- a/libs/serving/include/serving/ForecastChoice.h
+++ b/libs/serving/include/serving/ForecastChoice.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 
 namespace monsoonbay {
 
--- a/libs/serving/include/serving/PendingLoads.h
+++ b/libs/serving/include/serving/PendingLoads.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "core/Time.h"
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 
 namespace monsoonbay {
 
--- a/libs/serving/include/serving/PrefixIndex.h
+++ b/libs/serving/include/serving/PrefixIndex.h
@@ -65,7 +65,8 @@
                                      const std::vector<PromptPrefix> &prefixes, Instant now);
 
 /** Another VM says that the engine has read a prefix. True if that is to be told on. */
-bool noteHeard(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix, Instant now);
+bool recordReported(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix,
+                    Instant now);
 
 /** These prefixes were believed to be at the engine, and were not. */
 void recordMissing(PrefixIndex &book, std::uint64_t engine,
--- a/libs/serving/src/CapacityQueue.cpp
+++ b/libs/serving/src/CapacityQueue.cpp
@@ -94,7 +94,7 @@
     return call.rank - static_cast<int>(2 * waited / patience);
 }
 
-bool goesBefore(const WaitingCall &first, const WaitingCall &second, Instant now) noexcept
+bool isServedBefore(const WaitingCall &first, const WaitingCall &second, Instant now) noexcept
 {
     const bool firstYields = now >= first.usualUntil;
     const bool secondYields = now >= second.usualUntil;
@@ -121,7 +121,7 @@
             order.push_back(&call);
     }
     std::sort(order.begin(), order.end(), [now](const WaitingCall *first, const WaitingCall *next) {
-        return goesBefore(*first, *next, now);
+        return isServedBefore(*first, *next, now);
     });
     std::vector<std::uint64_t> woken;
     for (const WaitingCall *call : order) {
@@ -162,7 +162,7 @@
 {
     const auto ahead = static_cast<std::size_t>(
         std::count_if(queue.calls.begin(), queue.calls.end(),
-                      [&](const WaitingCall &other) { return goesBefore(other, call, now); }));
+                      [&](const WaitingCall &other) { return isServedBefore(other, call, now); }));
     const Duration byEngines = loadBegins(room, ahead, loadTime, now) - now;
     const CapacityRate pace = paceNow(queue, now);
     if (ahead == 0 || pace.busySeconds < leastBusySeconds)
--- a/libs/serving/src/EngineBoard.cpp
+++ b/libs/serving/src/EngineChoice.cpp
@@ -1,9 +1,9 @@
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 
 #include <algorithm>
 #include <limits>
 
-#include "HomeOrder.h"
+#include "PreferredEngine.h"
 #include "serving/ForecastChoice.h"
 
 namespace monsoonbay {
--- a/libs/serving/src/ForecastChoice.cpp
+++ b/libs/serving/src/ForecastChoice.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/container/small_vector.hpp>
 
-#include "HomeOrder.h"
+#include "PreferredEngine.h"
 #include "serving/EngineForecast.h"
 
 namespace monsoonbay {
@@ -111,8 +111,8 @@
 }
 
 /** True if the first goes before the second; what meets the objective before what does not. */
-bool goesBefore(const EngineFigures &one, double oneCost, const EngineFigures &other,
-                double otherCost) noexcept
+bool isBetter(const EngineFigures &one, double oneCost, const EngineFigures &other,
+              double otherCost) noexcept
 {
     if (one.meets != other.meets)
         return one.meets;
@@ -135,7 +135,7 @@
         if (figures[index].use != use || !accepts(engines[index]))
             continue;
         const double cost = figures[index].cost + engines[index].jitterMs;
-        if (best && !goesBefore(figures[index], cost, figures[*best], bestCost))
+        if (best && !isBetter(figures[index], cost, figures[*best], bestCost))
             continue;
         best = index;
         bestCost = cost;
--- a/libs/serving/src/PlainChoice.cpp
+++ b/libs/serving/src/PlainTargetChoice.cpp
@@ -1,4 +1,4 @@
-#include "serving/PlainChoice.h"
+#include "serving/PlainTargetChoice.h"
 
 #include <algorithm>
 
--- a/libs/serving/src/HomeOrder.h
+++ b/libs/serving/src/PreferredEngine.h
@@ -4,7 +4,7 @@
 #include <limits>
 #include <optional>
 
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 
 namespace monsoonbay {
 
--- a/libs/serving/src/PrefixIndex.cpp
+++ b/libs/serving/src/PrefixIndex.cpp
@@ -122,7 +122,8 @@
 
 // A doubted prefix is told on all the same: the call that showed it ran at another VM, and the
 // doubt here may be of before it.
-bool noteHeard(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix, Instant now)
+bool recordReported(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix,
+                    Instant now)
 {
     EnginePrefixes *of = engineIn(book, engine);
     if (of == nullptr)
--- a/libs/serving/src/NewsAge.cpp
+++ b/libs/serving/src/UpdateAge.cpp
@@ -1,4 +1,4 @@
-#include "serving/NewsAge.h"
+#include "serving/UpdateAge.h"
 
 #include <algorithm>
 
--- a/libs/serving/tests/EngineViews.h
+++ b/libs/serving/tests/EngineViews.h
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 
 namespace monsoonbay {
 
--- a/libs/serving/tests/Engines.cpp
+++ b/libs/serving/tests/Engines.cpp
@@ -4,7 +4,7 @@
 #include <rapidcheck.h>
 
 #include "EngineViews.h"
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 
 using namespace monsoonbay;
 
--- a/libs/serving/tests/Forecasts.cpp
+++ b/libs/serving/tests/Forecasts.cpp
@@ -7,8 +7,8 @@
 #include "EngineSimulation.h"
 #include "EngineViews.h"
 #include "serving/EngineForecast.h"
-#include "serving/NewsAge.h"
 #include "serving/ServingConfig.h"
+#include "serving/UpdateAge.h"
 
 using namespace monsoonbay;
 
--- a/libs/serving/tests/PrefillQueues.cpp
+++ b/libs/serving/tests/PrefillQueues.cpp
@@ -4,7 +4,7 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
-#include "serving/EngineBoard.h"
+#include "serving/EngineChoice.h"
 #include "serving/PrefillQueue.h"
 
 using namespace monsoonbay;
--- a/libs/serving/tests/Prefixes.cpp
+++ b/libs/serving/tests/Prefixes.cpp
@@ -101,7 +101,7 @@
                 }
                 RC_ASSERT(recordRead(book, engine, prompt, now) == news);
             } else if (kind == 2) {
-                RC_ASSERT(noteHeard(book, engine, prompt.back(), now)
+                RC_ASSERT(recordReported(book, engine, prompt.back(), now)
                           == naive.note(engine, prompt.back(), false, now));
             } else if (kind == 3) {
                 recordMissing(book, engine, prompt, now);
@@ -149,19 +149,19 @@
         return sum;
     };
     for (std::uint64_t read = 0; read < 2 * maxPrefixesPerEngine; ++read)
-        noteHeard(book, 1, {++hash, 1000}, start + read * 1ms);
+        recordReported(book, 1, {++hash, 1000}, start + read * 1ms);
     cr_assert_eq(book.engines.at(1).kept.size(), maxPrefixesPerEngine);
     cr_assert_eq(cachedPrefixTokens(book, 1, {{hash, 1000}}), 1000);
     cr_assert_eq(cachedPrefixTokens(book, 1, {{1, 1000}}), 0, "what was read first goes first");
     std::size_t most = 0;
     for (std::uint64_t engine = 2; engine < 600; ++engine) {
         for (int read = 0; read < 300; ++read)
-            noteHeard(book, engine, {++hash, 1000}, start + 1s);
+            recordReported(book, engine, {++hash, 1000}, start + 1s);
         most = std::max(most, total());
     }
     cr_assert_leq(most, maxPrefixesInIndex);
     for (std::uint64_t engine = 600; engine < 2 * maxEnginesInIndex; ++engine)
-        noteHeard(book, engine, {++hash, 1000}, start + 2s);
+        recordReported(book, engine, {++hash, 1000}, start + 2s);
     cr_assert_eq(book.engines.size(), maxEnginesInIndex);
     cr_assert_leq(total(), maxPrefixesInIndex);
     forgetUnused(book, start + 2s + unusedEngineExpiry + 1ms);
--- a/libs/serving/tests/Targets.cpp
+++ b/libs/serving/tests/Targets.cpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
-#include "serving/PlainChoice.h"
+#include "serving/PlainTargetChoice.h"
 #include "serving/TargetHealth.h"
 #include "serving/TargetTable.h"
 
--- a/tools/loadgen/src/VirtualRun.cpp
+++ b/tools/loadgen/src/VirtualRun.cpp
@@ -171,7 +171,7 @@
         engine.id = TargetId::of("engine-" + std::to_string(index));
         engine.zone = index % options.zones;
         engine.table.slots = options.slots;
-        EngineReport empty;
+        SlotReport empty;
         empty.epoch = engine.epoch;
         applyReport(engine.table, empty, Instant{});
         world.engines.push_back(std::move(engine));
@@ -589,7 +589,7 @@
         engine.nextStep = never;
         engine.table = SlotTable{};
         engine.table.slots = world.options.slots;
-        EngineReport empty;
+        SlotReport empty;
         empty.epoch = engine.epoch;
         applyReport(engine.table, empty, instantOf(world.now));
     }
