--- a/libs/daemon/src/OwnerLoop.cpp
+++ b/libs/daemon/src/OwnerLoop.cpp
@@ -79,9 +79,9 @@
     bool changed = false;
     const bool restarted = engine->table.with([&](SlotTable &table) {
         table.slots = info->declaration.slots;
-        const std::uint64_t before = table.changes;
+        const std::uint64_t before = table.revision;
         const bool cold = applyReport(table, *report, BootClock::now());
-        changed = table.changes != before;
+        changed = table.revision != before;
         return cold;
     });
     if (restarted)
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -40,7 +40,7 @@
 /** What a VM keeps in the store for its next boot. */
 struct OwnRecord
 {
-    std::int64_t starts = 0; ///< boots so far
+    std::int64_t bootCount = 0; ///< boots so far
 
     auto operator<=>(const OwnRecord &) const = default;
 };
--- a/libs/gateway/src/ActiveCall.cpp
+++ b/libs/gateway/src/ActiveCall.cpp
@@ -97,7 +97,7 @@
                 watchCaller(watched);
                 return;
             }
-            watched->callerGone = true;
+            watched->callerDisconnected = true;
             cancelActiveCall(*watched);
         });
 }
@@ -114,7 +114,7 @@
 
 void resetOnClose(ActiveCall &run)
 {
-    run.closeAfter = true;
+    run.closeConnection = true;
     setReset(run, true);
 }
 
@@ -133,27 +133,27 @@
 asio::awaitable<bool> writeAnswer(ActiveCall &run, HttpReply reply, ForwardOutcome outcome,
                                   BodyDelimiter end)
 {
-    run.answerBegun = true;
+    run.answerStarted = true;
     http::response<http::string_body> response(static_cast<http::status>(reply.status),
                                                run.request->version());
     for (const HttpHeader &header : reply.headers)
         response.insert(header.name, header.value);
     if (!reply.contentType.empty())
         response.set(http::field::content_type, reply.contentType);
-    run.closeAfter = run.closeAfter || run.node.shuttingDown;
+    run.closeConnection = run.closeConnection || run.node.shuttingDown;
     if (run.forwarded)
         writeForwardReport(response, {outcome, run.runsStarted, end, std::string()});
-    const bool framed = run.forwarded || end == BodyDelimiter::Framing;
+    const bool framed = run.forwarded || end == BodyDelimiter::SelfDelimited;
     if (!framed)
         resetOnClose(run);
-    response.keep_alive(run.request->keep_alive() && !run.closeAfter);
+    response.keep_alive(run.request->keep_alive() && !run.closeConnection);
     response.body() = std::move(reply.body);
     if (framed)
         response.prepare_payload();
     run.caller.expires_after(callerWriteTimeout);
     auto [error, bytes] = co_await http::async_write(run.caller, response, nothrowAwaitable);
     if (error)
-        run.closeAfter = true;
+        run.closeConnection = true;
     else if (!framed)
         closeOrderly(run);
     co_return !error;
@@ -188,7 +188,7 @@
               {"route", run.route != nullptr ? run.route->name : run.host + run.path},
               {"afterMs", std::to_string(toSeconds(BootClock::now() - run.arrivedAt) * 1000)},
               {"forecastMs", millisText(answer.forecast)},
-              {"sends", std::to_string(run.sends)},
+              {"sends", std::to_string(run.attempts)},
               {"workspace", run.workspace},
               {"key", run.key ? shortText(*run.key) : std::string()},
               {"configVersion", std::to_string(run.routes->config().version)}});
--- a/libs/gateway/src/ActiveCall.h
+++ b/libs/gateway/src/ActiveCall.h
@@ -24,7 +24,7 @@
 {
     Instant since{};
     Instant softDeadline{}; ///< then others go first
-    Instant by{}; ///< then it is refused
+    Instant deadline{}; ///< then it is refused
     bool waited = false; ///< it has found no place at once
     Duration forecast{}; ///< until a place was expected when it last found none; zero: not known
 };
@@ -52,18 +52,18 @@
     std::optional<ForwardedCall> forwarded; ///< by another VM
     std::optional<std::string> origin; ///< version of software that began its stream
 
-    std::vector<std::string> tried; ///< targets that were sent to, or could not be reached
+    std::vector<std::string> triedTargets; ///< targets that were sent to, or could not be reached
     int unreachableHere = 0; ///< of these, that other VMs reach
     bool noPeerAccepts = false; ///< no other VM takes it
     std::vector<std::string> loadDeclinedBy; ///< engines that will not load the adapter now
-    CapacityWait place;
+    CapacityWait capacityWait;
     std::vector<std::string> prefillAsked; ///< engines whose holder was asked what waits there
     std::string adapterMissingAt; ///< engine that lacked the adapter which it was taken to hold
     std::vector<PromptPrefix> prefixes; ///< of its prompt, if it goes to engines
     double cachedTokens = 0; ///< of its prompt, believed to be at the engine it was sent to last
-    int sends = 0;
+    int attempts = 0;
     std::optional<Instant> retryTakenAt; ///< right to a further send that is still to be used
-    Duration placing{}; ///< time spent on finding targets, loads included
+    Duration placementTime{}; ///< time spent on finding targets, loads included
     int loads = 0; ///< adapter loads that were waited for
     Duration forecast{}; ///< expected from the choice of the engine to the first event; zero: none
     Instant forecastAt{}; ///< when that engine was chosen
@@ -71,20 +71,20 @@
     Instant lastPieceAt{};
     Duration longestGap{}; ///< between two pieces
     BodyDelimiter bodyDelimiter =
-        BodyDelimiter::Framing; ///< by the last answer of a target that ended
-    std::size_t leftOver = 0; ///< bytes of that answer after its last whole event
+        BodyDelimiter::SelfDelimited; ///< by the last answer of a target that ended
+    std::size_t trailingBytes = 0; ///< bytes of that answer after its last whole event
     bool mayHaveRun = false;
     int runsStarted = 0; ///< that may have begun, here and at other VMs
-    bool callerGone = false;
+    bool callerDisconnected = false;
     bool timedOut = false;
     bool ended = false;
-    bool answerBegun = false;
-    bool closeAfter = false; ///< the caller's connection ends with this call
+    bool answerStarted = false;
+    bool closeConnection = false; ///< the caller's connection ends with this call
     TargetConnectionPtr connection; ///< of the attempt under way; closed to cancel it
 
     bool cancelled() const noexcept
     {
-        return this->callerGone || this->timedOut;
+        return this->callerDisconnected || this->timedOut;
     }
 };
 
@@ -131,7 +131,7 @@
  */
 asio::awaitable<bool> writeAnswer(ActiveCall &run, HttpReply reply,
                                   ForwardOutcome outcome = ForwardOutcome::FromTarget,
-                                  BodyDelimiter end = BodyDelimiter::Framing);
+                                  BodyDelimiter end = BodyDelimiter::SelfDelimited);
 
 /**
  * From now on the caller's connection is reset if it ends, whatever ends it. To be called before an
--- a/libs/gateway/src/AnswerHints.cpp
+++ b/libs/gateway/src/AnswerHints.cpp
@@ -10,12 +10,12 @@
 
 void markLeaving(GatewayNode &node, const std::string &target, std::string_view source)
 {
-    const auto found = node.book.records.find(target);
-    if (found == node.book.records.end() || found->second.entry.leaving)
+    const auto found = node.targetTable.records.find(target);
+    if (found == node.targetTable.records.end() || found->second.entry.leaving)
         return;
     found->second.entry.leaving = true;
-    runtimeOf(node, target).leaves = true;
-    node.facts.targets.set(target, {found->second.entry, false}, node.facts.counter);
+    runtimeOf(node, target).leaving = true;
+    node.shared.targets.set(target, {found->second.entry, false}, node.shared.counter);
     logEvent(EventId::TargetLeaving, {{"target", target}, {"source", std::string(source)}});
     node.reportDue.notifyAll();
 }
--- a/libs/gateway/src/CallAnswer.cpp
+++ b/libs/gateway/src/CallAnswer.cpp
@@ -32,17 +32,18 @@
         co_return AttemptResult::Broken;
     run.bodyDelimiter = exchange.bodyDelimiter();
     const BodyDelimiter shownBy = run.bodyDelimiter;
-    if (reply.status >= 500 && !answer.relay.begun()) {
-        answer.kept = {true, std::move(reply), shownBy};
+    if (reply.status >= 500 && !answer.callerStream.started()) {
+        answer.fallback = {true, std::move(reply), shownBy};
         co_return AttemptResult::Failed;
     }
-    if (answer.relay.begun())
+    if (answer.callerStream.started())
         co_return AttemptResult::Broken;
     const bool written =
         co_await writeAnswer(run, std::move(reply), ForwardOutcome::FromTarget, shownBy);
     if (!written)
-        co_return AttemptResult::CallerLost;
-    co_return shownBy == BodyDelimiter::Framing ? AttemptResult::Done : AttemptResult::Unproved;
+        co_return AttemptResult::CallerDisconnected;
+    co_return shownBy == BodyDelimiter::SelfDelimited ? AttemptResult::Done
+                                                      : AttemptResult::Unverified;
 }
 
 asio::awaitable<AttemptResult> passStream(ActiveCall &run, CallerStream &relay,
@@ -58,8 +59,8 @@
             const bool passed = co_await relay.pass(exchange, std::move(piece));
             if (!passed) {
                 exchange.abandon();
-                run.closeAfter = true;
-                co_return AttemptResult::CallerLost;
+                run.closeConnection = true;
+                co_return AttemptResult::CallerDisconnected;
             }
         }
         if (end == BodyRead::Broken)
@@ -67,7 +68,7 @@
         if (end == BodyRead::Some)
             continue;
         run.bodyDelimiter = exchange.bodyDelimiter();
-        run.leftOver = relay.leftOver();
+        run.trailingBytes = relay.trailingBytes();
         co_return co_await relay.finish(exchange);
     }
 }
@@ -97,13 +98,13 @@
         facts.timeLeft = std::max(timeLeft(run) - timeMargin, Duration::zero());
     facts.expectedVersion = versionInForce(run.node, run.facts.adapter);
     facts.urgency = priorityOf(run);
-    facts.resumeAfter = answer.relay.lastId();
+    facts.resumeAfter = answer.callerStream.lastId();
     return facts;
 }
 
 void recordAttempt(ActiveCall &run)
 {
-    ++run.sends;
+    ++run.attempts;
     if (!run.retryTakenAt)
         return;
     recordRetrySent(run.node.retryBudgets[run.service], run.node.settings.retries,
@@ -130,24 +131,25 @@
 {
     const bool streaming = exchange.status() < 300 && isEventStream(exchange.head());
     if (streaming)
-        co_return co_await passStream(run, answer.relay, exchange, onPiece);
+        co_return co_await passStream(run, answer.callerStream, exchange, onPiece);
     co_return co_await passWhole(run, answer, exchange);
 }
 
 asio::awaitable<void> answerFailure(ActiveCall &run, CallAnswer &answer, LocalReply last)
 {
-    if (answer.relay.begun()) {
-        answer.relay.cut();
+    if (answer.callerStream.started()) {
+        answer.callerStream.cut();
         logEvent(EventId::StreamCut,
                  {{"call", run.facts.attemptId},
                   {"timedOut", run.timedOut ? "yes" : "no"},
-                  {"sends", std::to_string(run.sends)}});
+                  {"sends", std::to_string(run.attempts)}});
         co_return;
     }
-    if (answer.kept.there) {
-        HttpReply reply = std::move(answer.kept.reply);
+    if (answer.fallback.present) {
+        HttpReply reply = std::move(answer.fallback.reply);
         run.node.metrics.add(Counter::RequestsFailed);
-        co_await writeAnswer(run, std::move(reply), ForwardOutcome::FromTarget, answer.kept.end);
+        co_await writeAnswer(run, std::move(reply), ForwardOutcome::FromTarget,
+                             answer.fallback.end);
         co_return;
     }
     if (run.mayHaveRun) {
--- a/libs/gateway/src/CallAnswer.h
+++ b/libs/gateway/src/CallAnswer.h
@@ -11,20 +11,20 @@
 /** An answer that was read whole, to be passed on unless a better one can be had. */
 struct StoredAnswer
 {
-    bool there = false;
+    bool present = false;
     HttpReply reply;
-    BodyDelimiter end = BodyDelimiter::Framing;
+    BodyDelimiter end = BodyDelimiter::SelfDelimited;
 };
 
 /** The answer to one call, over all its sends. */
 struct CallAnswer
 {
     explicit CallAnswer(ActiveCall &run)
-        : relay(run)
+        : callerStream(run)
     { }
 
-    CallerStream relay;
-    StoredAnswer kept;
+    CallerStream callerStream;
+    StoredAnswer fallback;
     LocalReply refusal;
 };
 
--- a/libs/gateway/src/CallListener.cpp
+++ b/libs/gateway/src/CallListener.cpp
@@ -184,7 +184,7 @@
 
     std::uint32_t addedHeaderBytes() const
     {
-        return this->origin == ListenerKind::OtherVms ? forwardedHeaderBytes : 0;
+        return this->origin == ListenerKind::Peers ? forwardedHeaderBytes : 0;
     }
 
     /** False: a forwarded call is not taken, and the other VM has been told why. */
@@ -232,7 +232,7 @@
             std::make_shared<ActiveCall>(this->node, connection.stream, std::move(request));
         run->host = hostOf(*run->request);
         run->path = std::string(run->request->target());
-        const int forwarded = this->origin == ListenerKind::OtherVms ? 1 : 0;
+        const int forwarded = this->origin == ListenerKind::Peers ? 1 : 0;
         if (forwarded > 0) {
             run->forwarded = readForwardedCall(*run->request);
             eraseForwardedCall(*run->request);
@@ -242,7 +242,7 @@
         co_await serveCall(run);
         --this->node.callsInFlight;
         this->node.forwardedInFlight -= forwarded;
-        co_return run->answerBegun && !run->closeAfter && !run->callerGone
+        co_return run->answerStarted && !run->closeConnection && !run->callerDisconnected
             && run->request->keep_alive();
     }
 
--- a/libs/gateway/src/CallListener.h
+++ b/libs/gateway/src/CallListener.h
@@ -7,7 +7,7 @@
 /** Whose calls come to an address. */
 enum class ListenerKind : std::uint8_t {
     Callers,
-    OtherVms, ///< which forward them; see PeerForwarding.h
+    Peers, ///< which forward them; see PeerForwarding.h
 };
 
 /** Takes connections and serves the calls on them. */
--- a/libs/gateway/src/CallPlacement.cpp
+++ b/libs/gateway/src/CallPlacement.cpp
@@ -48,7 +48,7 @@
 /** How long the call has for a load to begin. */
 Duration beginPatience(const ActiveCall &run)
 {
-    return std::max(run.place.softDeadline - BootClock::now(), leastBeginWait);
+    return std::max(run.capacityWait.softDeadline - BootClock::now(), leastBeginWait);
 }
 
 bool wasDeclined(const ActiveCall &run, const std::string &target)
@@ -165,7 +165,7 @@
         view.cachedTokens = cachedInEngine(run, entry, use, spec.engine->kvTokens);
         view.usable = isUsable(node, entry.id, use, now);
         view.hasModel = runtime.models.count(run.facts.model) > 0;
-        const EngineRecord *record = node.facts.engines.find(entry.id);
+        const EngineRecord *record = node.shared.engines.find(entry.id);
         view.warm = record != nullptr
             && hasHostCopy(runtime.copies, run.facts.adapter, HostRetention{record->copiesKept});
         view.loadMs = record == nullptr ? 0 : view.warm ? record->copyMs : record->fetchMs;
@@ -194,11 +194,11 @@
             && !hasAdapter(view, need))
             return {EngineStep::Load, index};
     }
-    const EngineChoice choice = chooseEngine(views, need, run.tried, weights);
+    const EngineChoice choice = chooseEngine(views, need, run.triedTargets, weights);
     if (choice.step != EngineStep::Load && choice.step != EngineStep::Full)
         return choice;
     const double patienceMs = 1000 * toSeconds(beginPatience(run));
-    const auto incoming = chooseLoadingEngine(views, need, run.tried, weights, patienceMs);
+    const auto incoming = chooseLoadingEngine(views, need, run.triedTargets, weights, patienceMs);
     return incoming ? EngineChoice{EngineStep::Load, *incoming} : choice;
 }
 
@@ -220,7 +220,7 @@
     Placement placement;
     while (!run.cancelled()) {
         const std::vector<EngineView> views = engineViews(run, spec);
-        need.newsAgeMs = 1000 * toSeconds(loadAge(run, BootClock::now()));
+        need.stateAgeMs = 1000 * toSeconds(loadAge(run, BootClock::now()));
         need.mayCopyEarly = run.loadDeclinedBy.empty();
         const EngineWeights weights = weightsNow(run);
         const EngineChoice choice = nextEngine(run, views, need, weights);
@@ -228,7 +228,7 @@
             placement.refusal = refuseWithoutEngine(run);
             co_return placement;
         }
-        if (BootClock::now() >= run.place.by && choice.step != EngineStep::Send) {
+        if (BootClock::now() >= run.capacityWait.deadline && choice.step != EngineStep::Send) {
             const bool anyOrderable =
                 std::any_of(views.begin(), views.end(), [&node](const EngineView &view) {
                     return view.usable && canCommand(node, view.id);
@@ -279,8 +279,9 @@
         const bool reserved = co_await reservePrefill(run, views[choice.engine], sendStep);
         if (!reserved)
             continue;
-        const auto record = node.book.records.find(id);
-        const bool mayTake = record != node.book.records.end() && mayTakeWork(record->second);
+        const auto record = node.targetTable.records.find(id);
+        const bool mayTake =
+            record != node.targetTable.records.end() && mayTakeWork(record->second);
         if (!mayTake || !takesCalls(node, id, BootClock::now()))
             continue;
         // What was heard while it loaded may be that it came back as another version.
@@ -307,18 +308,19 @@
         view.id = record->entry.id;
         view.zone = record->entry.zone;
         view.slots = record->entry.slots;
-        view.runs = runtimeOf(node, view.id).own.runs;
+        view.runs = runtimeOf(node, view.id).ownUsage.runs;
         view.usable = isUsable(node, view.id, totalLoad(node, view.id), now);
         views.push_back(std::move(view));
     }
     keepSomeUsable(views);
     Placement placement;
-    const auto chosen = choosePlainTarget(views, node.settings.zone, run.tried, node.random());
+    const auto chosen =
+        choosePlainTarget(views, node.settings.zone, run.triedTargets, node.random());
     if (!chosen) {
         placement.refusal = makeLocalReply(503, "no target can be reached", comeBackWhenTaken(run));
         return placement;
     }
-    placement.target = node.book.records.at(views[*chosen].id).entry;
+    placement.target = node.targetTable.records.at(views[*chosen].id).entry;
     return placement;
 }
 
@@ -351,10 +353,10 @@
                                                          : 0)
     , sentAt(BootClock::now())
 {
-    this->runtime.own.runs += 1;
-    this->runtime.own.waitingTokens += this->waiting;
-    this->runtime.own.heldTokens += this->held;
-    this->runtime.own.shortObjectiveRuns += this->quick;
+    this->runtime.ownUsage.runs += 1;
+    this->runtime.ownUsage.waitingTokens += this->waiting;
+    this->runtime.ownUsage.heldTokens += this->held;
+    this->runtime.ownUsage.shortObjectiveRuns += this->quick;
     if (this->adapter.empty())
         return;
     if (++this->runtime.ownAdapterRuns[this->adapter] == 1)
@@ -363,10 +365,10 @@
 
 InFlightGuard::~InFlightGuard()
 {
-    this->runtime.own.waitingTokens -= this->waiting;
-    this->runtime.own.runs -= 1;
-    this->runtime.own.heldTokens -= this->held;
-    this->runtime.own.shortObjectiveRuns -= this->quick;
+    this->runtime.ownUsage.waitingTokens -= this->waiting;
+    this->runtime.ownUsage.runs -= 1;
+    this->runtime.ownUsage.heldTokens -= this->held;
+    this->runtime.ownUsage.shortObjectiveRuns -= this->quick;
     if (this->adapter.empty())
         return;
     const auto runs = this->runtime.ownAdapterRuns.find(this->adapter);
@@ -389,7 +391,7 @@
         const double missed = toSeconds(now - this->run.forecastAt - this->run.forecast);
         node.metrics.record(Timing::ForecastError, std::abs(missed));
     }
-    this->runtime.own.waitingTokens -= this->waiting;
+    this->runtime.ownUsage.waitingTokens -= this->waiting;
     this->waiting = 0;
     this->prompt.noteFirstEvent(BootClock::now());
 }
--- a/libs/gateway/src/CallServing.cpp
+++ b/libs/gateway/src/CallServing.cpp
@@ -31,7 +31,7 @@
 
 void noteEnd(ActiveCall &run, const TargetEntry &target, SendOutcome outcome)
 {
-    if (run.callerGone)
+    if (run.callerDisconnected)
         return;
     const bool ejected =
         recordOutcome(runtimeOf(run.node, target.id).health, outcome, BootClock::now());
@@ -49,7 +49,7 @@
     const Instant first = run.firstPieceAt == Instant{} ? now : run.firstPieceAt;
     const bool forecast = run.forecast > Duration::zero() && first > run.forecastAt;
     run.node.metrics.add(Counter::RequestsAnswered);
-    if (run.bodyDelimiter == BodyDelimiter::Connection)
+    if (run.bodyDelimiter == BodyDelimiter::CloseDelimited)
         run.node.metrics.add(Counter::AnswersUnproved);
     logEvent(EventId::CallAnswered,
              {{"call", run.facts.attemptId},
@@ -60,16 +60,16 @@
               {"resumes", run.facts.resumes},
               {"firstMs", millisText(first - run.arrivedAt)},
               {"wholeMs", millisText(now - run.arrivedAt)},
-              {"placingMs", millisText(run.placing)},
+              {"placingMs", millisText(run.placementTime)},
               {"forecastMs", millisText(run.forecast)},
               {"forecastTookMs", millisText(forecast ? first - run.forecastAt : Duration::zero())},
               {"longestGapMs", millisText(run.longestGap)},
               {"loads", std::to_string(run.loads)},
-              {"sends", std::to_string(run.sends)},
+              {"sends", std::to_string(run.attempts)},
               {"promptTokens", std::to_string(static_cast<int>(run.facts.promptTokens))},
               {"cachedTokens", std::to_string(static_cast<int>(run.cachedTokens))},
               {"endShownBy", std::string(delimiterName(run.bodyDelimiter))},
-              {"leftOver", std::to_string(run.leftOver)},
+              {"leftOver", std::to_string(run.trailingBytes)},
               {"late",
                first - run.arrivedAt > run.route->latencyObjective
                        || run.longestGap > run.route->gapObjective
@@ -121,8 +121,8 @@
             }
             const Instant placingFrom = BootClock::now();
             Placement placement = co_await placeCall(this->run);
-            this->run.placing += BootClock::now() - placingFrom;
-            if (this->run.callerGone)
+            this->run.placementTime += BootClock::now() - placingFrom;
+            if (this->run.callerDisconnected)
                 co_return;
             if (!placement.target) {
                 co_await answerFailure(this->run, this->answer, std::move(placement.refusal));
@@ -133,7 +133,7 @@
             if (refusedLate)
                 co_return;
             const TargetEntry target = std::move(*placement.target);
-            this->run.tried.push_back(target.id);
+            this->run.triedTargets.push_back(target.id);
             const AttemptResult end = co_await this->sendTo(target);
             this->run.connection.reset();
             if (end == AttemptResult::Done) {
@@ -144,11 +144,11 @@
                 co_await answerFailure(this->run, this->answer, this->answer.refusal);
                 co_return;
             }
-            if (end == AttemptResult::Unproved)
+            if (end == AttemptResult::Unverified)
                 noteAnswered(this->run, target);
-            const bool over = end == AttemptResult::Done || end == AttemptResult::Unproved
-                || end == AttemptResult::CallerLost;
-            if (over || this->run.callerGone)
+            const bool over = end == AttemptResult::Done || end == AttemptResult::Unverified
+                || end == AttemptResult::CallerDisconnected;
+            if (over || this->run.callerDisconnected)
                 co_return;
             const bool again = this->mayTryAgain(end);
             this->logBounced(target.id, target.software, end, again);
@@ -169,7 +169,7 @@
         if (harmful == nullptr)
             co_return false;
         LocalReply last = makeLocalReply(
-            503, std::to_string(harmful->ends) + " targets ended while they ran this call",
+            503, std::to_string(harmful->crashes) + " targets ended while they ran this call",
             std::max<Duration>(blockedUntil(*harmful) - BootClock::now(), shortRetryAfter));
         co_await answerFailure(this->run, this->answer, std::move(last));
         co_return true;
@@ -180,11 +180,11 @@
     {
         const AttemptResult end = co_await forwardCall(this->run, this->answer);
         this->run.connection.reset();
-        if (end == AttemptResult::Refused && !this->run.callerGone)
+        if (end == AttemptResult::Refused && !this->run.callerDisconnected)
             co_await answerFailure(this->run, this->answer, this->answer.refusal);
         const bool over = end == AttemptResult::Refused || end == AttemptResult::Done
-            || end == AttemptResult::Unproved || end == AttemptResult::CallerLost;
-        if (over || this->run.callerGone)
+            || end == AttemptResult::Unverified || end == AttemptResult::CallerDisconnected;
+        if (over || this->run.callerDisconnected)
             co_return true;
         const bool again = this->mayTryAgain(end);
         this->logBounced("another VM", "", end, again);
@@ -206,9 +206,9 @@
                   {"software", software},
                   {"end", std::to_string(static_cast<int>(end))},
                   {"error", this->sendError ? this->sendError.message() : ""},
-                  {"othersGood", std::to_string(others.goods)},
-                  {"othersFailed", std::to_string(others.faults)},
-                  {"sends", std::to_string(this->run.sends)},
+                  {"othersGood", std::to_string(others.successes)},
+                  {"othersFailed", std::to_string(others.failures)},
+                  {"sends", std::to_string(this->run.attempts)},
                   {"again", again ? "yes" : "no"},
                   {"repeats", std::to_string(retriesTaken(budget))},
                   {"vmsCounted", std::to_string(slackSharing(this->node, BootClock::now()).vms)},
@@ -221,7 +221,7 @@
     {
         if (this->run.timedOut || timeLeft(this->run) < leastTimeForRetry)
             return false;
-        if (this->run.tried.size() >= mostPlacesTried)
+        if (this->run.triedTargets.size() >= mostPlacesTried)
             return false;
         if (end == AttemptResult::Unreachable)
             return true;
@@ -338,7 +338,7 @@
             runtimeOf(this->node, target.id).resident.erase(this->run.facts.adapter);
             dropPrefixesOf(this->node, target.id, this->run.facts.adapter);
             this->run.adapterMissingAt = target.id;
-            this->run.tried.pop_back();
+            this->run.triedTargets.pop_back();
             co_return;
         }
         noteEnd(this->run, target, SendOutcome::Refused);
--- a/libs/gateway/src/CallerAuthentication.cpp
+++ b/libs/gateway/src/CallerAuthentication.cpp
@@ -61,7 +61,7 @@
 asio::awaitable<std::optional<LocalReply>> authenticateCaller(ActiveCall &run)
 {
     GatewayNode &node = run.node;
-    if (run.route->open || node.routes->config().workspaces.empty())
+    if (run.route->unauthenticated || node.routes->config().workspaces.empty())
         co_return std::nullopt;
     if (run.facts.callerKey.empty())
         co_return makeLocalReply(401, "the call has no key, or more than one", Duration::zero());
--- a/libs/gateway/src/CallerStream.cpp
+++ b/libs/gateway/src/CallerStream.cpp
@@ -28,7 +28,7 @@
         this->events.lastId = run.facts.resumeAfter;
 }
 
-bool CallerStream::begun() const noexcept
+bool CallerStream::started() const noexcept
 {
     return this->headSent;
 }
@@ -38,7 +38,7 @@
     return this->events.lastId;
 }
 
-std::size_t CallerStream::leftOver() const noexcept
+std::size_t CallerStream::trailingBytes() const noexcept
 {
     return this->events.pending.size();
 }
@@ -70,17 +70,17 @@
     if (this->showsTooLittle(shownBy))
         co_return AttemptResult::Broken;
     const bool headed = co_await this->writeHead(exchange);
-    AttemptResult end = AttemptResult::CallerLost;
+    AttemptResult end = AttemptResult::CallerDisconnected;
     if (headed)
         end = co_await this->writeEnd(shownBy);
-    if (end == AttemptResult::CallerLost)
-        this->run.closeAfter = true;
+    if (end == AttemptResult::CallerDisconnected)
+        this->run.closeConnection = true;
     co_return end;
 }
 
 void CallerStream::cut()
 {
-    this->run.closeAfter = true;
+    this->run.closeConnection = true;
     if (!this->chunked)
         abortAnswer(this->run);
 }
@@ -92,9 +92,9 @@
 {
     if (isInsideEvent(this->events))
         return true;
-    if (shownBy == BodyDelimiter::Framing)
+    if (shownBy == BodyDelimiter::SelfDelimited)
         return false;
-    const bool promisedMore = this->headSent && this->promised == BodyDelimiter::Framing;
+    const bool promisedMore = this->headSent && this->promised == BodyDelimiter::SelfDelimited;
     return promisedMore || !this->eventCame;
 }
 
@@ -104,11 +104,12 @@
         const auto last = http::make_chunk_last();
         auto [error, bytes] = co_await asio::async_write(this->run.caller, last, nothrowAwaitable);
         if (error)
-            co_return AttemptResult::CallerLost;
+            co_return AttemptResult::CallerDisconnected;
     } else {
         closeOrderly(this->run);
     }
-    co_return shownBy == BodyDelimiter::Framing ? AttemptResult::Done : AttemptResult::Unproved;
+    co_return shownBy == BodyDelimiter::SelfDelimited ? AttemptResult::Done
+                                                      : AttemptResult::Unverified;
 }
 
 // The head is held back until the first event is there: until then a run that breaks off can be
@@ -123,18 +124,19 @@
         head.insert(header.name, header.value);
     this->promised = exchange.bodyDelimiter();
     const bool canChunk = this->run.request->version() >= firstVersionWithChunks;
-    this->chunked = this->run.forwarded || (canChunk && this->promised == BodyDelimiter::Framing);
+    this->chunked =
+        this->run.forwarded || (canChunk && this->promised == BodyDelimiter::SelfDelimited);
     if (this->run.forwarded)
         writeForwardReport(head,
                            {ForwardOutcome::FromTarget, this->run.runsStarted, this->promised,
                             exchange.software()});
-    this->run.closeAfter = this->run.closeAfter || this->run.node.shuttingDown;
+    this->run.closeConnection = this->run.closeConnection || this->run.node.shuttingDown;
     if (!this->chunked)
         resetOnClose(this->run);
-    head.keep_alive(this->run.request->keep_alive() && !this->run.closeAfter);
+    head.keep_alive(this->run.request->keep_alive() && !this->run.closeConnection);
     head.chunked(this->chunked);
     this->headSent = true;
-    this->run.answerBegun = true;
+    this->run.answerStarted = true;
     this->run.caller.expires_after(callerWriteTimeout);
     http::response_serializer<http::empty_body> serializer(head);
     auto [error, bytes] =
--- a/libs/gateway/src/CallerStream.h
+++ b/libs/gateway/src/CallerStream.h
@@ -17,13 +17,13 @@
     explicit CallerStream(ActiveCall &run);
 
     /** True once the caller has the head of its answer: only the stream itself can go on. */
-    bool begun() const noexcept;
+    bool started() const noexcept;
 
     /** Id of the last event that the caller has. */
     std::optional<std::uint64_t> lastId() const noexcept;
 
     /** Bytes that came after the last whole event. */
-    std::size_t leftOver() const noexcept;
+    std::size_t trailingBytes() const noexcept;
 
     /** A further run begins. */
     void restart();
@@ -51,7 +51,7 @@
     bool headSent = false;
     bool chunked = true; ///< the caller's answer; otherwise it ends with its connection
     BodyDelimiter promised =
-        BodyDelimiter::Framing; ///< by the head: what will show the answer's end
+        BodyDelimiter::SelfDelimited; ///< by the head: what will show the answer's end
     bool eventCame = false; ///< of the run under way
 };
 
--- a/libs/gateway/src/CapacityWaiting.cpp
+++ b/libs/gateway/src/CapacityWaiting.cpp
@@ -31,7 +31,7 @@
 {
 public:
     WaitingPlace(ActiveCall &run, const WaitingCall &call, asio::steady_timer &limit)
-        : places(run.node.places.services[run.service])
+        : places(run.node.capacityWaiters.services[run.service])
         , id(call.id)
         , there(enqueueCall(this->places.queue, call, BootClock::now()))
     {
@@ -83,11 +83,11 @@
                const TargetRuntime &runtime, Instant now)
 {
     for (WaitingCall &call : queue.calls) {
-        if (call.there)
+        if (call.adapterReady)
             continue;
         const std::string &adapter = places.waiters.at(call.id).run->facts.adapter;
         const auto held = runtime.resident.find(adapter);
-        call.there = adapter.empty()
+        call.adapterReady = adapter.empty()
             || (held != runtime.resident.end() && held->second >= versionInForce(node, adapter))
             || timeUntilLoaded(runtime.incoming, adapter, now);
     }
@@ -101,12 +101,12 @@
     const ModelSpec *model = baseModel(spec);
     const int capacity = model != nullptr ? adapterCapacity(spec, *model) : 0;
     for (WaitingCall &call : places.queue.calls)
-        call.there = false;
+        call.adapterReady = false;
     for (const TargetRecord *record : targetsOf(node, service)) {
         const std::string &target = record->entry.id;
         const TargetUsage use = totalLoad(node, target);
         if (!takesOneMore(node, record->entry, spec, use, now)) {
-            room.open = true;
+            room.unknownLater = true;
             continue;
         }
         const TargetRuntime &runtime = runtimeOf(node, target);
@@ -114,14 +114,14 @@
         if (!canCommand(node, target))
             continue;
         if (blocksLoadRequest(runtime.loadMark, now, Duration::zero())) {
-            room.open = room.open || !runtime.loadMark.forecast;
-            room.later.push_back(runtime.loadMark.until);
+            room.unknownLater = room.unknownLater || !runtime.loadMark.forecast;
+            room.expectedAt.push_back(runtime.loadMark.until);
             continue;
         }
         const int idle =
             idleSlotsAt(node, record->entry, use, capacity) - loadsAskedAt(node, target);
         room.loads += std::clamp(idle, 0, maxLoadsPerEngine);
-        room.open = true;
+        room.unknownLater = true;
     }
     return room;
 }
@@ -136,24 +136,25 @@
     facts.promptMs = run.facts.promptTokens / run.node.settings.weights.promptTokensPerMs;
     facts.minObjective = run.routes->minObjective(run.service);
     const WaitLimits patience = waitLimits(facts);
-    run.place = CapacityWait();
+    run.capacityWait = CapacityWait();
     run.prefillAsked.clear();
-    run.place.since = BootClock::now();
-    run.place.softDeadline = run.place.since + patience.usual;
+    run.capacityWait.since = BootClock::now();
+    run.capacityWait.softDeadline = run.capacityWait.since + patience.usual;
     const bool waitsOn = run.node.settings.placement.queue;
-    run.place.by = run.place.since + (waitsOn ? patience.whole : patience.usual);
+    run.capacityWait.deadline =
+        run.capacityWait.since + (waitsOn ? patience.extended : patience.usual);
 }
 
 void recordPlacement(ActiveCall &run)
 {
-    if (run.place.waited)
-        recordCapacityFound(run.node.places.services[run.service].queue, BootClock::now());
+    if (run.capacityWait.waited)
+        recordCapacityFound(run.node.capacityWaiters.services[run.service].queue, BootClock::now());
 }
 
 int idleSlotsAt(GatewayNode &node, const TargetEntry &entry, const TargetUsage &use, int capacity)
 {
-    const auto scheduler = node.desks.find(entry.id);
-    if (scheduler != node.desks.end() && scheduler->second->scheduler.sequence >= 0
+    const auto scheduler = node.heldEngines.find(entry.id);
+    if (scheduler != node.heldEngines.end() && scheduler->second->scheduler.sequence >= 0
         && mayCommandNow(node, entry.id))
         return idleSlots(scheduler->second->scheduler, BootClock::now());
     return capacity - use.busySlots;
@@ -162,7 +163,7 @@
 std::size_t callsWaiting(const GatewayNode &node)
 {
     std::size_t waiting = 0;
-    for (const auto &[service, places] : node.places.services)
+    for (const auto &[service, places] : node.capacityWaiters.services)
         waiting += places.queue.calls.size();
     return waiting;
 }
@@ -170,10 +171,10 @@
 LocalReply refuseForCapacity(ActiveCall &run, std::string reason)
 {
     std::uniform_real_distribution<double> draw(0, 1);
-    const Duration comeBack = std::max(run.place.forecast, shortRetryAfter);
+    const Duration comeBack = std::max(run.capacityWait.forecast, shortRetryAfter);
     LocalReply answer =
         makeLocalReply(503, std::move(reason), withJitter(comeBack, draw(run.node.random)));
-    answer.forecast = run.place.forecast;
+    answer.forecast = run.capacityWait.forecast;
     return answer;
 }
 
@@ -185,25 +186,25 @@
         co_return std::nullopt;
     }
     const Instant now = BootClock::now();
-    ServiceWaiters &places = node.places.services[run.service];
+    ServiceWaiters &places = node.capacityWaiters.services[run.service];
     WaitingCall call;
-    call.id = ++node.places.lastId;
+    call.id = ++node.capacityWaiters.lastId;
     call.rank = run.route->priority;
-    call.since = run.place.since;
-    call.usualUntil = run.place.softDeadline;
-    call.until = run.place.by;
-    call.notBefore = now + (run.place.waited ? afterNoPlace : Duration::zero());
+    call.since = run.capacityWait.since;
+    call.softDeadline = run.capacityWait.softDeadline;
+    call.deadline = run.capacityWait.deadline;
+    call.notBefore = now + (run.capacityWait.waited ? afterNoPlace : Duration::zero());
     const ServiceCapacity room = lookForRoom(node, run.service, *spec.engine, places, now);
-    const Duration loadTime = fetchTime(node.loadEstimator.pace, loadsUnderWay(node) + 1);
-    run.place.forecast = expectedCapacityWait(places.queue, call, room, loadTime, now);
-    if (now + run.place.forecast > run.place.by)
+    const Duration loadTime = fetchTime(node.loadEstimator.times, loadsUnderWay(node) + 1);
+    run.capacityWait.forecast = expectedCapacityWait(places.queue, call, room, loadTime, now);
+    if (now + run.capacityWait.forecast > run.capacityWait.deadline)
         co_return refuseForCapacity(run, "no engine will have room in time");
-    asio::steady_timer limit(node.context, std::max(run.place.by - now, leastLook));
+    asio::steady_timer limit(node.context, std::max(run.capacityWait.deadline - now, leastLook));
     const WaitingPlace place(run, call, limit);
     if (!place.joined())
         co_return refuseForCapacity(run, "too many calls wait for an engine");
-    run.place.waited = true;
-    node.callWaits.notifyAll();
+    run.capacityWait.waited = true;
+    node.callStartedWaiting.notifyAll();
     node.metrics.set(Gauge::CallsWaiting, callsWaiting(node));
     constexpr auto nothrowAwaitable = asio::as_tuple(asio::use_awaitable);
     co_await limit.async_wait(nothrowAwaitable);
@@ -212,7 +213,7 @@
 
 void wakeWaitingCalls(GatewayNode &node, const std::string &service, Instant now)
 {
-    ServiceWaiters &places = node.places.services[service];
+    ServiceWaiters &places = node.capacityWaiters.services[service];
     for (const auto &[id, waiter] : places.waiters) {
         if (waiter.run->cancelled())
             waiter.limit->cancel();
@@ -233,14 +234,14 @@
     while (!node.stopped) {
         node.metrics.set(Gauge::CallsWaiting, callsWaiting(node));
         if (callsWaiting(node) == 0) {
-            co_await node.callWaits.wait(idleLook);
+            co_await node.callStartedWaiting.wait(idleLook);
             continue;
         }
         co_await node.engineChanged.wait(roomLook);
         // More news mostly follows; one look serves all of it.
         const Duration pause = leastLook + lookPerCall * static_cast<int>(callsWaiting(node));
         co_await pauseFor(node, pause);
-        for (const auto &[service, places] : node.places.services) {
+        for (const auto &[service, places] : node.capacityWaiters.services) {
             if (!places.queue.calls.empty())
                 wakeWaitingCalls(node, service, BootClock::now());
         }
--- a/libs/gateway/src/ConfigDownload.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -65,8 +65,8 @@
                   {"version", std::to_string(peer.configVersion)},
                   {"why", std::string(why)},
                   {"waitedMs", std::to_string(toMillis(waited))},
-                  {"bytesSoFar", std::to_string(node.configDownload.soFar.packed.bytes.size())},
-                  {"ofBytes", std::to_string(node.configDownload.soFar.totalBytes)}});
+                  {"bytesSoFar", std::to_string(node.configDownload.partial.packed.bytes.size())},
+                  {"ofBytes", std::to_string(node.configDownload.partial.totalBytes)}});
     peer.configRetryAt =
         BootClock::now() + firstRetry * (1 << std::min(peer.configFailures, mostRetryDoublings));
     ++peer.configFailures;
@@ -111,9 +111,9 @@
                           std::optional<DecodedConfig> decoded, Instant readAt)
 {
     ConfigDownload &reading = node.configDownload;
-    const PackedDocument read = std::move(reading.soFar.packed);
+    const PackedDocument read = std::move(reading.partial.packed);
     const Duration took = readAt - reading.begunAt;
-    reading.soFar = PartialDocument();
+    reading.partial = PartialDocument();
     reading.expected = 0;
     reading.redirectFailed = false;
     reading.decoding = false;
@@ -149,7 +149,7 @@
     ConfigDownload &reading = node.configDownload;
     reading.decoding = true;
     ConfigDecode decode = [platform = node.platform, base = node.config.newest,
-                           packed = reading.soFar.packed] {
+                           packed = reading.partial.packed] {
         return decodeConfig(*platform, base, packed);
     };
     if (node.decoding)
@@ -192,14 +192,14 @@
         reading.expected = 0;
         reading.lastProgressAt = asked;
     }
-    if (!isOfUse(node, reading.soFar.packed))
-        reading.soFar = PartialDocument();
-    if (reading.soFar.packed.bytes.empty() && reading.expected == 0) {
+    if (!isOfUse(node, reading.partial.packed))
+        reading.partial = PartialDocument();
+    if (reading.partial.packed.bytes.empty() && reading.expected == 0) {
         reading.begunAt = asked;
         reading.lastProgressAt = asked;
     }
     const auto answer =
-        co_await node.links.readConfig(source, nextConfigRequest(node), partTimeout);
+        co_await node.peerLinks.readConfig(source, nextConfigRequest(node), partTimeout);
     const auto found = node.peers.find(source);
     if (found == node.peers.end())
         co_return;
@@ -232,7 +232,7 @@
         return std::nullopt;
     if (hasRequested(node.config, wanted))
         return readPart(node.config, wanted, now);
-    const PartialDocument &soFar = node.configDownload.soFar;
+    const PartialDocument &soFar = node.configDownload.partial;
     const bool isRead =
         soFar.packed.version == wanted.version && soFar.packed.digest == wanted.digest;
     if (!isRead)
@@ -244,7 +244,7 @@
 std::optional<DocumentPart> firstPart(GatewayNode &node, const PartRequest &wanted,
                                       std::int64_t expected, Instant now)
 {
-    const PartialDocument &soFar = node.configDownload.soFar;
+    const PartialDocument &soFar = node.configDownload.partial;
     const bool readsNewer = soFar.packed.version > node.config.newest.version;
     if (readsNewer) {
         const std::uint64_t base = soFar.packed.baseDigest;
@@ -307,9 +307,9 @@
 {
     const ConfigDownload &reading = node.configDownload;
     v1::ConfigRequest request;
-    request.set_version(reading.soFar.packed.version);
-    request.set_digest(reading.soFar.packed.digest);
-    request.set_offset(reading.soFar.packed.bytes.size());
+    request.set_version(reading.partial.packed.version);
+    request.set_digest(reading.partial.packed.digest);
+    request.set_offset(reading.partial.packed.bytes.size());
     encodeSelf(node, *request.mutable_from());
     request.set_base_digest(node.config.newest.digest);
     request.set_expected(reading.expected);
@@ -333,9 +333,9 @@
         return;
     }
     const Instant now = BootClock::now();
-    const PartOutcome outcome = appendPart(reading.soFar, decodePart(answer));
-    if (outcome == PartOutcome::Whole && !isOfUse(node, reading.soFar.packed)) {
-        reading.soFar = PartialDocument();
+    const PartOutcome outcome = appendPart(reading.partial, decodePart(answer));
+    if (outcome == PartOutcome::Whole && !isOfUse(node, reading.partial.packed)) {
+        reading.partial = PartialDocument();
         return;
     }
     switch (outcome) {
--- a/libs/gateway/src/EngineCommands.cpp
+++ b/libs/gateway/src/EngineCommands.cpp
@@ -41,7 +41,7 @@
 
 HeldEngine &deskOf(GatewayNode &node, const std::string &target)
 {
-    std::unique_ptr<HeldEngine> &scheduler = node.desks[target];
+    std::unique_ptr<HeldEngine> &scheduler = node.heldEngines[target];
     if (!scheduler)
         scheduler = std::make_unique<HeldEngine>(node.context);
     return *scheduler;
@@ -85,13 +85,13 @@
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr)
         co_return false;
-    held.ordering = true;
+    held.commandInFlight = true;
     held.commandSince = BootClock::now();
     const EngineAddress address{target, entry->endpoint};
     const auto report = co_await node.platform->report(node.http, address, reportTimeout);
-    held.ordering = false;
+    held.commandInFlight = false;
     if (report)
-        recordStartTime(node, target, report->born);
+        recordStartTime(node, target, report->startTime);
     const bool taken = report && applyEngineReport(held.scheduler, *report, BootClock::now());
     if (taken)
         publishDesk(node, target);
@@ -126,18 +126,18 @@
     const Duration expectedForModel = modelTime(node, *entry);
     const auto slot = held.scheduler.slots.find(adapter);
     const Duration unusedFor = slot != held.scheduler.slots.end()
-        ? BootClock::now() - slot->second.usedAt
+        ? BootClock::now() - slot->second.lastUsedAt
         : Duration::zero();
-    const std::int64_t bornBefore = held.scheduler.born;
-    held.ordering = true;
+    const std::int64_t bornBefore = held.scheduler.startTime;
+    held.commandInFlight = true;
     held.commandSince = BootClock::now();
     const CommandOutcome outcome =
         co_await node.platform->order(node.http, address, order, orderTimeout);
-    held.ordering = false;
+    held.commandInFlight = false;
     const Instant now = BootClock::now();
     // The engine was started anew meanwhile, under the same id: nobody knows which start took the
     // order, if any did. The scheduler is that of the new one, and a report tells what it holds.
-    if (held.scheduler.born != bornBefore) {
+    if (held.scheduler.startTime != bornBefore) {
         invalidateSequence(held.scheduler);
         held.changed.notifyAll();
         co_return CommandOutcome::Unknown;
@@ -167,19 +167,20 @@
         invalidateSequence(held.scheduler);
         backOff(held, now);
     }
-    logEvent(EventId::OrderGiven,
-             {{"target", target},
-              {"operation", order.load ? "load" : "unload"},
-              {"adapter", adapter},
-              {"version", std::to_string(order.version)},
-              {"token", std::to_string(order.token)},
-              {"expected", std::to_string(order.expectedSequence)},
-              {"unusedMs", millisText(unusedFor)},
-              {"expectedMs", millisText(order.load ? expected.time : Duration::zero())},
-              {"underWay", std::to_string(expected.underWay)},
-              {"copiesKept", std::to_string(static_cast<int>(node.loadEstimator.memory.loads))},
-              {"fetched", order.load && expected.fetched ? "yes" : "no"},
-              {"outcome", std::to_string(static_cast<int>(outcome))}});
+    logEvent(
+        EventId::OrderGiven,
+        {{"target", target},
+         {"operation", order.load ? "load" : "unload"},
+         {"adapter", adapter},
+         {"version", std::to_string(order.version)},
+         {"token", std::to_string(order.token)},
+         {"expected", std::to_string(order.expectedSequence)},
+         {"unusedMs", millisText(unusedFor)},
+         {"expectedMs", millisText(order.load ? expected.time : Duration::zero())},
+         {"underWay", std::to_string(expected.concurrentLoads)},
+         {"copiesKept", std::to_string(static_cast<int>(node.loadEstimator.memory.retainedLoads))},
+         {"fetched", order.load && expected.fetched ? "yes" : "no"},
+         {"outcome", std::to_string(static_cast<int>(outcome))}});
     publishDesk(node, target);
     held.changed.notifyAll();
     co_return outcome;
@@ -232,7 +233,7 @@
 /** True if an order or report that is under way is likely lost. */
 bool isUnanswered(const HeldEngine &held, Instant now)
 {
-    return held.ordering && now - held.commandSince > usualAnswer;
+    return held.commandInFlight && now - held.commandSince > usualAnswer;
 }
 
 /** When the engine can be ordered next, as far as can be foreseen. */
@@ -277,7 +278,7 @@
 {
     if (held.scheduler.slots.count(key) > 0)
         return now;
-    const Duration loadTime = fetchTime(node.loadEstimator.pace, loadsUnderWay(node) + 1);
+    const Duration loadTime = fetchTime(node.loadEstimator.times, loadsUnderWay(node) + 1);
     const int ahead = loadsAhead(held.queue, held.scheduler, key);
     return expectedBegin(held.scheduler, ahead, loadTime, ordersFrom(held, now));
 }
@@ -312,7 +313,7 @@
     const Instant begun = BootClock::now();
     const std::string &target = request.target();
     const std::string key = adapterKey(request.model(), request.adapter());
-    if (request.missed() && !deskOf(node, target).ordering)
+    if (request.missed() && !deskOf(node, target).commandInFlight)
         recordMissing(deskOf(node, target).scheduler, key, node.loadEstimator, begun);
     const Duration beginWithin = request.begin_within_ms() > 0
         ? Duration(std::chrono::milliseconds(request.begin_within_ms()))
@@ -334,7 +335,7 @@
                                        ? DeclineReason::EngineSilent
                                        : DeclineReason::QueueTooLong,
                                    begin);
-        if (held.ordering) {
+        if (held.commandInFlight) {
             co_await held.changed.wait(orderTimeout);
             continue;
         }
@@ -358,7 +359,7 @@
             co_return declineReply(DeclineReason::ModelMissing);
         updateRuns(held.scheduler, adapterRuns(node, target), now);
         learnFromLoads(held.scheduler, node.loadEstimator, now);
-        extendLoadEstimates(held.scheduler, node.loadEstimator.pace);
+        extendLoadEstimates(held.scheduler, node.loadEstimator.times);
         if (completeDueLoads(held.scheduler, now))
             publishDesk(node, target);
         const SchedulerDecision choice = nextCommand(held.scheduler, key, request.version(), now);
@@ -374,7 +375,7 @@
         switch (choice.step) {
         case SchedulerStep::Ready: {
             const Duration trial =
-                probeCallDelay(held.scheduler, key, node.loadEstimator.pace, now);
+                probeCallDelay(held.scheduler, key, node.loadEstimator.times, now);
             if (trial > Duration::zero()) {
                 co_await held.changed.wait(trial);
                 break;
@@ -467,7 +468,7 @@
     const auto underWay = node.loadsInFlight.find(key);
     if (underWay != node.loadsInFlight.end()) {
         const std::shared_ptr<LoadInFlight> other = underWay->second;
-        ++other->callers;
+        ++other->waiters;
         co_await other->done.wait(most);
         const ResidentVersions &resident = runtimeOf(node, target).resident;
         const auto found = resident.find(adapter);
@@ -491,7 +492,7 @@
         const PeerState *holder = holderOf(node, target);
         if (holder != nullptr) {
             const Endpoint peer = holder->endpoint;
-            reply = co_await node.links.load(peer, request, most);
+            reply = co_await node.peerLinks.load(peer, request, most);
             const auto asked = node.peers.find(peer);
             if (!reply && asked != node.peers.end())
                 asked->second.loadFailedAt = BootClock::now();
@@ -504,7 +505,7 @@
         std::int64_t &known = runtimeOf(node, target).resident[adapter];
         known = std::max(known, reply->version());
         node.metrics.record(Timing::LoadStall, toSeconds(BootClock::now() - begun));
-        if (ask->callers > 1)
+        if (ask->waiters > 1)
             node.metrics.add(Counter::LoadsShared);
     }
     node.loadsInFlight.erase(key);
@@ -527,8 +528,8 @@
 {
     if (version <= versionInForce(node, adapter))
         return;
-    node.facts.adapterVersions.set(adapter, version, node.facts.counter);
-    for (const auto &[id, record] : node.book.records) {
+    node.shared.adapterVersions.set(adapter, version, node.shared.counter);
+    for (const auto &[id, record] : node.targetTable.records) {
         const ResidentVersions &resident = runtimeOf(node, id).resident;
         const auto held = resident.find(adapter);
         const bool older = held != resident.end() && held->second < version;
@@ -565,12 +566,12 @@
 {
     HeldEngine &held = deskOf(node, target);
     const TargetEntry *entry = entryOf(node, target);
-    if (entry == nullptr || held.looking)
+    if (entry == nullptr || held.checkingLoads)
         co_return;
-    held.looking = true;
+    held.checkingLoads = true;
     const EngineAddress address{target, entry->endpoint};
     const auto report = co_await node.platform->report(node.http, address, reportTimeout);
-    held.looking = false;
+    held.checkingLoads = false;
     if (!report
         || !applyCompletedLoads(held.scheduler, *report, node.loadEstimator, BootClock::now()))
         co_return;
@@ -591,9 +592,9 @@
     // Before anybody asks for a load: peers are told how many slots are idle.
     held.scheduler.adapterSlots = adapterCapacity(*spec, *model);
     learnFromLoads(held.scheduler, node.loadEstimator, now);
-    if (isReportCheckDue(held.scheduler, node.loadEstimator.pace, now))
+    if (isReportCheckDue(held.scheduler, node.loadEstimator.times, now))
         spawn(node, "look at loads", lookAtLoads(node, target));
-    if (held.ordering || now < held.retryAt)
+    if (held.commandInFlight || now < held.retryAt)
         co_return;
     if (now < held.scheduler.modelReadyAt)
         co_return;
@@ -618,7 +619,7 @@
 {
     while (!node.stopped) {
         std::vector<std::string> mine;
-        for (const auto &[id, record] : node.book.records) {
+        for (const auto &[id, record] : node.targetTable.records) {
             if (mayCommandNow(node, id))
                 mine.push_back(id);
         }
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -32,26 +32,26 @@
 // together they read about as often as one relay does.
 bool readsListItself(const GatewayNode &node, Instant now)
 {
-    if (!isListStale(node.book, now))
+    if (!isListStale(node.targetTable, now))
         return false;
-    const Instant lastOwn = std::max(node.book.ownRead, node.bootedAt);
+    const Instant lastOwn = std::max(node.targetTable.lastOwnReadAt, node.bootedAt);
     return now - lastOwn > maxListAge * std::max(countZonePeers(node), 1);
 }
 
 void takeTarget(GatewayNode &node, TargetEntry entry)
 {
     const std::string id = entry.id;
-    if (recordStartTime(node, id, entry.born) == StartOrder::Older)
+    if (recordStartTime(node, id, entry.startTime) == StartOrder::Older)
         return;
-    const auto known = node.book.records.find(id);
-    const bool wasLeaving = known != node.book.records.end() && known->second.entry.leaving;
+    const auto known = node.targetTable.records.find(id);
+    const bool wasLeaving = known != node.targetTable.records.end() && known->second.entry.leaving;
     // An older entry may be read after another VM's word, and must not be told on in its place.
     entry.leaving = entry.leaving || wasLeaving;
     const bool leaving = entry.leaving;
-    const bool isNew = known == node.book.records.end();
+    const bool isNew = known == node.targetTable.records.end();
     TargetRuntime &runtime = runtimeOf(node, id);
     // What the list says of an engine lags; the VM that orders it tells better.
-    if (node.facts.engines.find(id) == nullptr) {
+    if (node.shared.engines.find(id) == nullptr) {
         ResidentVersions resident;
         for (const HeldAdapter &held : entry.adapters)
             resident[held.adapter] = held.version;
@@ -62,15 +62,15 @@
     const bool sameForPeers = !isNew && !wasLapsed && leaving == wasLeaving
         && withoutAdapters(known->second.entry) == withoutAdapters(entry);
     if (!sameForPeers)
-        node.facts.targets.set(id, {entry, false}, node.facts.counter);
+        node.shared.targets.set(id, {entry, false}, node.shared.counter);
     if (isNew)
         logEvent(EventId::TargetListed,
                  {{"target", id},
                   {"service", entry.service},
                   {"zone", entry.zone},
                   {"address", entry.endpoint.text()}});
-    runtime.leaves = leaving;
-    recordListed(node.book, std::move(entry));
+    runtime.leaving = leaving;
+    recordListed(node.targetTable, std::move(entry));
     if (leaving && !wasLeaving) {
         logEvent(EventId::TargetLeaving, {{"target", id}, {"source", "list"}});
         node.reportDue.notifyAll();
@@ -81,25 +81,25 @@
 
 void sweep(GatewayNode &node)
 {
-    for (const auto &[id, record] : node.book.records) {
+    for (const auto &[id, record] : node.targetTable.records) {
         if (record.expiredAt != Instant{})
-            node.facts.targets.set(id, {record.entry, false, true}, node.facts.counter);
+            node.shared.targets.set(id, {record.entry, false, true}, node.shared.counter);
     }
-    for (const std::string &id : dropGone(node.book, BootClock::now())) {
-        node.prefill.told.erase(id);
-        node.prefill.ordered.erase(id);
+    for (const std::string &id : dropGone(node.targetTable, BootClock::now())) {
+        node.prefill.reported.erase(id);
+        node.prefill.held.erase(id);
         logEvent(EventId::TargetGone, {{"target", id}});
         recordEndByList(node, id, 0);
-        node.facts.targets.set(id, {TargetEntry(), true}, node.facts.counter);
-        node.facts.engines.erase(id);
+        node.shared.targets.set(id, {TargetEntry(), true}, node.shared.counter);
+        node.shared.engines.erase(id);
         node.reportedEngines.erase(id);
         node.reportedRuns.erase(id);
         const auto runtime = node.targets.find(id);
         // Calls that are under way there still hold on to its counts.
-        if (runtime != node.targets.end() && runtime->second->own.runs == 0)
+        if (runtime != node.targets.end() && runtime->second->ownUsage.runs == 0)
             node.targets.erase(runtime);
-        const auto scheduler = node.desks.find(id);
-        if (scheduler != node.desks.end() && !scheduler->second->ordering)
+        const auto scheduler = node.heldEngines.find(id);
+        if (scheduler != node.heldEngines.end() && !scheduler->second->commandInFlight)
             scheduler->second->scheduler = AdapterScheduler();
     }
 }
@@ -178,7 +178,7 @@
 
 void dropTargetsUnlistedByPeer(GatewayNode &node, const std::set<std::string> &listed)
 {
-    for (auto &[id, record] : node.book.records)
+    for (auto &[id, record] : node.targetTable.records)
         record.gone = record.gone || listed.count(id) == 0;
     sweep(node);
 }
@@ -187,13 +187,13 @@
 // zone's may not have seen the same outage.
 void dropTargetByPeer(GatewayNode &node, const std::string &target, bool ownRelay)
 {
-    const auto found = node.book.records.find(target);
-    if (found == node.book.records.end())
+    const auto found = node.targetTable.records.find(target);
+    if (found == node.targetTable.records.end())
         return;
     if (ownRelay)
         found->second.gone = true;
     else
-        recordRemoved(node.book, target, BootClock::now());
+        recordRemoved(node.targetTable, target, BootClock::now());
     sweep(node);
 }
 
@@ -211,7 +211,7 @@
         applyAdapterVersion(node, adapter, version);
     };
     sink.listRead = [&node] {
-        recordListRead(node.book, BootClock::now());
+        recordListRead(node.targetTable, BootClock::now());
         // What was read here the relay may never have known, and would not say that it is gone.
         node.listSource = ListSource();
         node.started.notifyAll();
@@ -220,21 +220,21 @@
         takeTarget(node, std::move(entry));
     };
     sink.targetRemoved = [&node](const std::string &id) {
-        recordRemoved(node.book, id, BootClock::now());
+        recordRemoved(node.targetTable, id, BootClock::now());
         sweep(node);
     };
     sink.wholeList = [&node](std::vector<TargetEntry> entries,
                              const std::vector<std::string> &unreadable) {
         for (const TargetEntry &entry : entries)
             takeTarget(node, entry);
-        recordFullList(node.book, std::move(entries), unreadable, BootClock::now());
+        recordFullList(node.targetTable, std::move(entries), unreadable, BootClock::now());
         sweep(node);
     };
     sink.unreadable = [](std::string_view what, const std::string &key) {
         logEvent(EventId::DocumentUnreadable, {{"what", std::string(what)}, {"source", key}});
     };
     sink.listFailed = [&node] {
-        recordListFailure(node.book, BootClock::now());
+        recordListFailure(node.targetTable, BootClock::now());
     };
     sink.peer = [&node](PlatformVm vm) {
         addPeer(node, vm.peers, {std::move(vm.name), std::move(vm.zone), vm.capacity});
@@ -258,7 +258,7 @@
         return zones >= backingRelays;
     };
     sink.ownRecord = [&node](OwnRecord own) {
-        node.starts = own.starts;
+        node.bootCount = own.bootCount;
     };
     sink.storeReachable = [&node](bool reachable, const std::string &why) {
         recordStoreAnswer(node, reachable, BootClock::now());
@@ -275,7 +275,7 @@
     while (!node.stopped) {
         sweep(node);
         pruneEvidence(node, BootClock::now());
-        forgetUnused(node.prefixes.book, BootClock::now());
+        forgetUnused(node.prefixes.table, BootClock::now());
         co_await pauseFor(node, sweepEvery);
     }
 }
--- a/libs/gateway/src/FleetCount.cpp
+++ b/libs/gateway/src/FleetCount.cpp
@@ -24,18 +24,18 @@
 
 bool isRelayLive(const GatewayNode &node, Instant now)
 {
-    return node.upstream.at != Instant{} && now - node.upstream.at <= reporterTimeout;
+    return node.relayState.at != Instant{} && now - node.relayState.at <= reporterTimeout;
 }
 
 int reachableVms(const GatewayNode &node, Instant now)
 {
     const int below = 1 + vmsReported(node.reported);
-    return isRelayLive(node, now) ? std::max(node.upstream.reachableVms, below) : below;
+    return isRelayLive(node, now) ? std::max(node.relayState.reachableVms, below) : below;
 }
 
 int knownVms(const GatewayNode &node, Instant now)
 {
-    const bool counted = node.fleet.heardAt != Instant{};
+    const bool counted = node.fleet.seenAt != Instant{};
     const int listed = counted ? 0 : 1 + namedPeers(node);
     return std::max({node.fleet.known, reachableVms(node, now), listed});
 }
@@ -44,7 +44,7 @@
 // only after a while.
 bool knowsFleetSize(const GatewayNode &node, Instant now)
 {
-    const bool heardForLong = node.upstream.at != Instant{} && now - node.bootedAt > othersHeard;
+    const bool heardForLong = node.relayState.at != Instant{} && now - node.bootedAt > othersHeard;
     return node.vmListRead || heardForLong;
 }
 
@@ -60,9 +60,9 @@
 {
     const std::optional<Instant> confirmed = configConfirmedAt(node);
     VmCount count;
-    count.inTouch = reachableVms(node, now);
+    count.reachable = reachableVms(node, now);
     count.listed = 1 + namedPeers(node);
-    count.storeHeard = confirmed && now - *confirmed < storeHeard;
+    count.storeReachable = confirmed && now - *confirmed < storeHeard;
     updateFleetSize(node.fleet, count, now);
 }
 
--- a/libs/gateway/src/ForwardedCall.cpp
+++ b/libs/gateway/src/ForwardedCall.cpp
@@ -16,7 +16,7 @@
 constexpr const char *outcomeHeader = "Monsoonbay-Outcome";
 constexpr const char *runsHeader = "Monsoonbay-Runs";
 constexpr std::array allRefusals{ForwardRefusal::Malformed, ForwardRefusal::Stopping,
-                                 ForwardRefusal::LinksLost, ForwardRefusal::OtherConfig,
+                                 ForwardRefusal::LinksLost, ForwardRefusal::ConfigMismatch,
                                  ForwardRefusal::Busy};
 constexpr const char *endHeader = "Monsoonbay-End";
 constexpr const char *softwareHeader = "Monsoonbay-Software";
@@ -55,7 +55,7 @@
         return "stopping";
     case ForwardRefusal::LinksLost:
         return "links lost";
-    case ForwardRefusal::OtherConfig:
+    case ForwardRefusal::ConfigMismatch:
         return "other configuration";
     case ForwardRefusal::Busy:
         return "busy";
@@ -119,7 +119,7 @@
         head.set(outcomeHeader, report.outcome == ForwardOutcome::NotRun ? notRun : mayHaveRun);
     head.set(runsHeader, std::to_string(report.runs));
     head.erase(endHeader);
-    if (report.end == BodyDelimiter::Connection)
+    if (report.end == BodyDelimiter::CloseDelimited)
         head.set(endHeader, byConnection);
     head.erase(softwareHeader);
     if (!report.software.empty())
@@ -135,7 +135,7 @@
     const auto runs = head[runsHeader];
     std::from_chars(runs.data(), runs.data() + runs.size(), report.runs);
     if (head[endHeader] == byConnection)
-        report.end = BodyDelimiter::Connection;
+        report.end = BodyDelimiter::CloseDelimited;
     report.software = std::string(head[softwareHeader]);
     return report;
 }
--- a/libs/gateway/src/ForwardedCall.h
+++ b/libs/gateway/src/ForwardedCall.h
@@ -33,7 +33,7 @@
     Malformed, ///< the header cannot be read
     Stopping,
     LinksLost, ///< it does not reach the targets itself
-    OtherConfig, ///< its configuration is another one
+    ConfigMismatch, ///< its configuration is another one
     Busy, ///< it has enough forwarded calls
 };
 
@@ -63,7 +63,8 @@
 {
     ForwardOutcome outcome = ForwardOutcome::FromTarget;
     int runs = 0; ///< that may have begun, those before it was forwarded among them
-    BodyDelimiter end = BodyDelimiter::Framing; ///< what showed the end of the target's answer
+    BodyDelimiter end =
+        BodyDelimiter::SelfDelimited; ///< what showed the end of the target's answer
     std::string software; ///< version of the target's
 
     auto operator<=>(const ForwardReport &) const = default;
--- a/libs/gateway/src/Gateway.cpp
+++ b/libs/gateway/src/Gateway.cpp
@@ -79,7 +79,7 @@
             countSent(this->node, request.from().zone(), bytesOf(part));
             return part;
         };
-        handlers.word = [this](const gateway::v1::WordRequest &request) {
+        handlers.leaseConfirmation = [this](const gateway::v1::WordRequest &request) {
             return answerLeaseConfirmation(this->node, request);
         };
         handlers.reportUsage = [this](const gateway::v1::UseNote &note) {
@@ -97,12 +97,12 @@
         handlers.origin = [this](const gateway::v1::OriginRequest &request) {
             return handleOriginRequest(this->node, request);
         };
-        this->peersPort = this->node.links.listen(
+        this->peersPort = this->node.peerLinks.listen(
             this->node.context, settings.peersListen.value_or(settings.peers), std::move(handlers));
         if (!settings.peersListen)
             this->node.settings.peers.port = this->peersPort;
         if (settings.forwards)
-            this->forwards.emplace(this->node, *settings.forwards, ListenerKind::OtherVms);
+            this->forwards.emplace(this->node, *settings.forwards, ListenerKind::Peers);
         spawn(this->node, "follow platform", followPlatform(this->node));
         spawn(this->node, "lease", leaseLoop(this->node));
         spawn(this->node, "extend lease", extendLoop(this->node));
@@ -173,7 +173,7 @@
 Gateway::~Gateway()
 {
     this->impl->node.stopped = true;
-    this->impl->node.links.close();
+    this->impl->node.peerLinks.close();
 }
 
 GatewayPorts Gateway::ports() const
--- a/libs/gateway/src/GatewayNode.cpp
+++ b/libs/gateway/src/GatewayNode.cpp
@@ -56,7 +56,7 @@
     , bootedAt(BootClock::now())
     , started(this->context)
     , engineChanged(this->context)
-    , callWaits(this->context)
+    , callStartedWaiting(this->context)
     , reportDue(this->context)
 { }
 
@@ -72,8 +72,8 @@
 
 const TargetEntry *entryOf(const GatewayNode &node, const std::string &target)
 {
-    const auto found = node.book.records.find(target);
-    return found == node.book.records.end() ? nullptr : &found->second.entry;
+    const auto found = node.targetTable.records.find(target);
+    return found == node.targetTable.records.end() ? nullptr : &found->second.entry;
 }
 
 void setResident(GatewayNode &node, const std::string &target, ResidentVersions resident)
@@ -100,7 +100,7 @@
 
 void updateLiveGateways(GatewayNode &node, Instant now)
 {
-    const int above = node.upstream.at == Instant{} ? 0 : node.upstream.vms;
+    const int above = node.relayState.at == Instant{} ? 0 : node.relayState.vms;
     const int heard = std::max(1 + vmsReported(node.reported), above);
     const bool forgotten = now - node.recentVmsAt > silentCounts;
     if (heard < node.recentVms && !forgotten)
@@ -111,7 +111,7 @@
 
 std::int64_t versionInForce(const GatewayNode &node, const std::string &adapter)
 {
-    const std::int64_t *version = node.facts.adapterVersions.find(adapter);
+    const std::int64_t *version = node.shared.adapterVersions.find(adapter);
     return version == nullptr ? 0 : *version;
 }
 
@@ -148,7 +148,7 @@
 
 bool isStarting(const GatewayNode &node) noexcept
 {
-    return node.routes->config().version == 0 || node.book.lastRead == Instant{};
+    return node.routes->config().version == 0 || node.targetTable.lastReadAt == Instant{};
 }
 
 Instant pausedUntil(const GatewayNode &node, const std::string &target, Instant now)
@@ -162,7 +162,7 @@
 std::vector<const TargetRecord *> targetsOf(const GatewayNode &node, const std::string &service)
 {
     std::vector<const TargetRecord *> found;
-    for (const auto &[id, record] : node.book.records) {
+    for (const auto &[id, record] : node.targetTable.records) {
         if (record.entry.service == service && mayTakeWork(record))
             found.push_back(&record);
     }
@@ -175,8 +175,8 @@
     const auto below = node.reported.total.find(target);
     if (below != node.reported.total.end())
         addUsage(others, below->second);
-    const auto above = node.upstream.others.find(target);
-    if (above != node.upstream.others.end())
+    const auto above = node.relayState.others.find(target);
+    if (above != node.relayState.others.end())
         addUsage(others, above->second);
     return others;
 }
@@ -187,7 +187,7 @@
     const auto own = node.targets.find(target);
     if (own == node.targets.end())
         return total;
-    addUsage(total, own->second->own);
+    addUsage(total, own->second->ownUsage);
     addHealth(total, own->second->health, BootClock::now());
     return total;
 }
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -70,7 +70,7 @@
 struct LostCalls
 {
     std::deque<LostCall> calls;
-    bool looking = false; ///< the target is being looked at
+    bool checking = false; ///< the target is being looked at
 
     auto operator<=>(const LostCalls &) const = default;
 };
@@ -82,12 +82,12 @@
     TargetHealth health;
     LinkObservation link;
     TargetPool pool;
-    Instant startKnownAt{}; ///< it was asked, and was the start that its entry tells of
+    Instant startConfirmedAt{}; ///< it was asked, and was the start that its entry tells of
     LostCalls lost;
     Instant pausedUntil{}; ///< by its own word to this VM
     AdvertisedLimit limit;
-    bool leaves = false; ///< it has said so; also once the list has dropped it
-    TargetUsage own;
+    bool leaving = false; ///< it has said so; also once the list has dropped it
+    TargetUsage ownUsage;
     std::map<std::string, int> ownAdapterRuns; ///< calls under way, by adapter
     std::unordered_map<std::string, std::int64_t> resident; ///< version by adapter key
     HostCopies copies; ///< adapters that load fast again there
@@ -101,7 +101,7 @@
 {
     Instant triedAt{}; ///< when it was asked last
     Instant askedAt{}; ///< when it was asked for its last answer; zero: it never answered
-    PeerLeaseState word;
+    PeerLeaseState confirmation;
 
     auto operator<=>(const PeerLeaseConfirmation &) const = default;
 };
@@ -116,19 +116,21 @@
     std::uint64_t boot = 0; ///< 0: never heard
     std::uint64_t sequence = 0; ///< of its newest report
     Instant addedAt{};
-    Instant heardAt{}; ///< it reported, asked or answered; zero: never
-    Instant reportedAt{}; ///< its newest report
+    Instant lastHeardAt{}; ///< it reported, asked or answered; zero: never
+    Instant lastReportAt{}; ///< its newest report
     bool starting = false;
     bool stopping = false;
-    bool leftLeaseGroup = false; ///< by its last word, this boot orders no engines any more
+    bool leftLeaseGroup =
+        false; ///< by its last leaseConfirmation, this boot orders no engines any more
     bool storeUnreachable = false;
-    bool holding = false; ///< it is one of those that order engines of its zone
+    bool leaseHolder = false; ///< it is one of those that order engines of its zone
     bool linksLost = false; ///< it does not reach engines that others reach
     std::int64_t configVersion = 0; ///< that it last told to have in force
-    Instant storeReachedAt{}; ///< the store answered it last, by its own word; zero: not known
+    Instant storeReachedAt{}; ///< the store answered it last, by its own leaseConfirmation; zero:
+                              ///< not known
 
     // Exchanges that this VM begins.
-    bool asking = false; ///< one is under way
+    bool exchangeRunning = false; ///< one is under way
     int failures = 0; ///< in a row
     Instant retryAt{}; ///< not before this, after a failure
     std::uint64_t seenBoot = 0; ///< its boot of which `seenChange` counts
@@ -146,7 +148,7 @@
     int configFailures = 0; ///< reads of its configuration that failed, in a row
     Instant configRetryAt{}; ///< no further one before this
 
-    PeerLeaseConfirmation word;
+    PeerLeaseConfirmation leaseConfirmation;
     Instant loadFailedAt{}; ///< it did not answer when asked for a load
 };
 
@@ -166,7 +168,7 @@
     { }
 
     Signal done;
-    int callers = 1; ///< that wait for it
+    int waiters = 1; ///< that wait for it
 };
 
 /** An engine that this VM orders. */
@@ -177,9 +179,9 @@
     { }
 
     AdapterScheduler scheduler;
-    bool ordering = false; ///< an order or report is under way
+    bool commandInFlight = false; ///< an order or report is under way
     Instant commandSince{}; ///< of the last one
-    bool looking = false; ///< a report is read to see whether loads are done
+    bool checkingLoads = false; ///< a report is read to see whether loads are done
     Instant retryAt{}; ///< no order or report before this
     int refusals = 0; ///< in a row
     LoadQueue queue;
@@ -240,7 +242,7 @@
 /** Prefixes of prompts that engines have read, and what other VMs are told of them. */
 struct SharedPrefixes
 {
-    PrefixIndex book;
+    PrefixIndex table;
     PrefixLog log;
 };
 
@@ -276,15 +278,15 @@
 /** What is known of the prompts that engines still have to read; see PrefillReservation.h. */
 struct PrefillCounts
 {
-    std::unordered_map<std::string, PrefillQueue> ordered; ///< of engines that this VM orders
-    std::unordered_map<std::string, PrefillQueue> told; ///< by the VMs that order the others
+    std::unordered_map<std::string, PrefillQueue> held; ///< of engines that this VM orders
+    std::unordered_map<std::string, PrefillQueue> reported; ///< by the VMs that order the others
     std::map<Endpoint, Instant> unansweredAt; ///< VMs that did not answer, and when
 };
 
 /** A configuration that is being read from peers, part after part. */
 struct ConfigDownload
 {
-    PartialDocument soFar;
+    PartialDocument partial;
     PartSizing partSize;
     Endpoint source; ///< of the last part
     std::int64_t expected = 0; ///< version that a peer said `source` has, or is reading; 0: none
@@ -301,7 +303,7 @@
 
     GatewaySettings settings;
     const PlatformPort *platform;
-    CapacityWaiters places; ///< the context still destroys calls that wait here
+    CapacityWaiters capacityWaiters; ///< the context still destroys calls that wait here
     asio::io_context context;
     std::optional<asio::thread_pool> decoding; ///< one more thread, for long documents
     HttpClient http;
@@ -323,9 +325,9 @@
     FleetSize fleet;
     UsageSnapshotState spend;
     Signal configOffered; ///< a peer has a newer one
-    SharedState facts;
+    SharedState shared;
     SharedPrefixes prefixes;
-    TargetTable book;
+    TargetTable targetTable;
     std::unordered_map<std::string, std::unique_ptr<TargetRuntime>> targets;
     std::unordered_map<std::string, ServiceRetryBudget> retryBudgets; ///< by service
 
@@ -336,34 +338,34 @@
     std::map<Endpoint, PeerState> peers;
     std::uint64_t reportSequence = 0;
     UsageLedger reported; ///< by VMs that report here, and by the relays of other zones
-    RelayState upstream;
+    RelayState relayState;
     ListSource listSource;
     /** Adapters in use at engines that this VM orders, by engine and by the VM that told. */
     std::unordered_map<std::string, std::map<Endpoint, ReportedRuns>> reportedRuns;
     std::set<std::string> runsChanged; ///< engines whose holder is to be told of own calls
     Signal runsDue;
-    std::uint64_t advanceSequence = 0;
+    std::uint64_t usageSequence = 0;
     std::map<std::string, Endpoint> zoneRelays; ///< of other zones, as their VMs say
     std::set<std::string> reportedEngines; ///< held by VMs that report here
     bool relaying = false; ///< this VM reads the store for its zone
     bool vmListRead = false; ///< the store's list of VMs was read
-    std::int64_t starts = 0; ///< of this VM, by the store; 0: not known yet
+    std::int64_t bootCount = 0; ///< of this VM, by the store; 0: not known yet
     int recentVms = 1; ///< most VMs heard of lately
     Instant recentVmsAt{};
-    GatewayPeers links;
+    GatewayPeers peerLinks;
 
     PartitionLease lease;
     Instant bootedAt;
-    bool mayHold = false; ///< joins those that order engines of the zone
-    Instant joinedAt{}; ///< when it first did; zero: not yet
+    bool mayHoldLease = false; ///< joins those that order engines of the zone
+    Instant joinedLeaseAt{}; ///< when it first did; zero: not yet
     bool leaseYielded = false; ///< to mates, until this VM reaches the engines again
-    bool renewed = false; ///< the last renewal was granted
+    bool leaseRenewed = false; ///< the last renewal was granted
     bool renewalFailing = false;
     bool heldBefore = false; ///< a boot before this one noted that it orders engines
     std::vector<PartitionRelease> peerReleases; ///< of other VMs of the zone, told on
     bool recordingClaims = false; ///< notes in the store are being read or added
     Instant claimRetryAt{}; ///< no further attempt before this
-    std::unordered_map<std::string, std::unique_ptr<HeldEngine>> desks;
+    std::unordered_map<std::string, std::unique_ptr<HeldEngine>> heldEngines;
     /** By engine and adapter. */
     std::map<std::pair<std::string, std::string>, std::shared_ptr<LoadInFlight>> loadsInFlight;
     LoadEstimator loadEstimator;
@@ -376,7 +378,7 @@
 
     Signal started; ///< a first configuration, or a first list of targets, is there
     Signal engineChanged; ///< residents or loads of engines changed
-    Signal callWaits; ///< a call has begun to wait for a place
+    Signal callStartedWaiting; ///< a call has begun to wait for a place
     Signal reportDue; ///< something that the relay should hear before the next regular report
     bool storeUp = false;
     Instant storeFailedAt{}; ///< last attempt to read the store that failed; zero: none
--- a/libs/gateway/src/GatewayPeers.cpp
+++ b/libs/gateway/src/GatewayPeers.cpp
@@ -51,7 +51,7 @@
     grpc::ServerUnaryReactor *AskWord(grpc::CallbackServerContext *call,
                                       const v1::WordRequest *request, v1::Word *word) override
     {
-        return this->answerAtOnce(call, request, word, this->handlers.word);
+        return this->answerAtOnce(call, request, word, this->handlers.leaseConfirmation);
     }
 
     grpc::ServerUnaryReactor *NoteUse(grpc::CallbackServerContext *call, const v1::UseNote *note,
--- a/libs/gateway/src/GatewayPeers.h
+++ b/libs/gateway/src/GatewayPeers.h
@@ -20,7 +20,7 @@
 {
     std::function<gateway::v1::Digest(const gateway::v1::Report &)> exchange;
     std::function<gateway::v1::ConfigPart(const gateway::v1::ConfigRequest &)> readConfig;
-    std::function<gateway::v1::Word(const gateway::v1::WordRequest &)> word;
+    std::function<gateway::v1::Word(const gateway::v1::WordRequest &)> leaseConfirmation;
     std::function<gateway::v1::UseNoted(const gateway::v1::UseNote &)> reportUsage;
     std::function<asio::awaitable<gateway::v1::LoadReply>(gateway::v1::LoadRequest)> load;
     std::function<gateway::v1::PrefillReply(const gateway::v1::PrefillRequest &)> reservePrefill;
--- a/libs/gateway/src/GatewaySettings.cpp
+++ b/libs/gateway/src/GatewaySettings.cpp
@@ -125,7 +125,7 @@
         return;
     reader.onlyKeys(object, path, {"ttlMs", "apartMs"});
     lease.ttl = readMs(reader, object, path, "ttlMs", lease.ttl, 1000, 60000);
-    lease.apart = readMs(reader, object, path, "apartMs", lease.apart, 0, 60000);
+    lease.handoverGap = readMs(reader, object, path, "apartMs", lease.handoverGap, 0, 60000);
 }
 
 } // namespace
--- a/libs/gateway/src/HarmfulCallTracking.cpp
+++ b/libs/gateway/src/HarmfulCallTracking.cpp
@@ -18,10 +18,10 @@
 
 void addEvidence(GatewayNode &node, std::uint64_t id, KnownEvidence known)
 {
-    if (node.facts.evidence.find(id) != nullptr)
+    if (node.shared.evidence.find(id) != nullptr)
         return;
     node.evidenceCalls += known.evidence.calls.size();
-    node.facts.evidence.set(id, std::move(known), node.facts.counter);
+    node.shared.evidence.set(id, std::move(known), node.shared.counter);
     node.evidenceChanged = true;
 }
 
@@ -41,11 +41,11 @@
 
 void dropEvidence(GatewayNode &node, std::uint64_t id)
 {
-    const KnownEvidence *known = node.facts.evidence.find(id);
+    const KnownEvidence *known = node.shared.evidence.find(id);
     if (known == nullptr)
         return;
     node.evidenceCalls -= known->evidence.calls.size();
-    node.facts.evidence.erase(id);
+    node.shared.evidence.erase(id);
     node.evidenceChanged = true;
 }
 
@@ -61,7 +61,7 @@
 std::vector<std::uint64_t> byWorth(const GatewayNode &node)
 {
     std::vector<std::tuple<bool, Instant, std::uint64_t>> ordered;
-    for (const auto &[id, entry] : node.facts.evidence.all()) {
+    for (const auto &[id, entry] : node.shared.evidence.all()) {
         const CallEvidence &evidence = entry.value.evidence;
         ordered.emplace_back(isHeldAgainst(node.harmful, evidence), evidence.at, id);
     }
@@ -78,7 +78,7 @@
     logEvent(EventId::CallFoundHarmful,
              {{"identity", identityText(identity)},
               {"callers", call.caller ? "this one" : "all"},
-              {"targetsEnded", std::to_string(call.ends)},
+              {"targetsEnded", std::to_string(call.crashes)},
               {"firstEndAgoMs", std::to_string(toMillis(BootClock::now() - call.firstCrashAt))}});
 }
 
@@ -110,7 +110,7 @@
     if (!std::exchange(node.evidenceChanged, false))
         return;
     std::vector<const CallEvidence *> evidence;
-    for (const auto &[id, entry] : node.facts.evidence.all())
+    for (const auto &[id, entry] : node.shared.evidence.all())
         evidence.push_back(&entry.value.evidence);
     const HarmfulCalls before = std::exchange(node.harmful, findHarmfulCalls(evidence));
     for (const HarmfulCall &call : node.harmful.calls) {
@@ -123,7 +123,7 @@
 void pruneEvidence(GatewayNode &node, Instant now)
 {
     std::vector<std::uint64_t> old;
-    for (const auto &[id, entry] : node.facts.evidence.all()) {
+    for (const auto &[id, entry] : node.shared.evidence.all()) {
         if (now - entry.value.evidence.at > evidenceTtl)
             old.push_back(id);
     }
@@ -131,7 +131,7 @@
         dropEvidence(node, id);
     const auto tooMuch = [&node] {
         return node.evidenceCalls > mostCallsKept
-            || node.facts.evidence.all().size() > mostEvidence;
+            || node.shared.evidence.all().size() > mostEvidence;
     };
     if (tooMuch()) {
         for (const std::uint64_t id : byWorth(node)) {
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -51,7 +51,8 @@
 
 bool isForgotten(const PeerState &peer)
 {
-    return BootClock::now() - std::max(peer.heardAt, peer.word.askedAt) > goneAfter;
+    return BootClock::now() - std::max(peer.lastHeardAt, peer.leaseConfirmation.askedAt)
+        > goneAfter;
 }
 
 bool mayBeUnknownToHolder(const GatewayNode &node, Instant now)
@@ -60,10 +61,10 @@
     // its address. They forget a VM only after it has been down for `goneAfter`.
     if (node.heldBefore)
         return false;
-    if (now - node.joinedAt >= newcomerWait)
+    if (now - node.joinedLeaseAt >= newcomerWait)
         return false;
     for (const auto &[endpoint, peer] : node.peers) {
-        if (peer.zone == node.settings.zone && peer.word.askedAt == Instant{})
+        if (peer.zone == node.settings.zone && peer.leaseConfirmation.askedAt == Instant{})
             return true;
     }
     return false;
@@ -98,10 +99,10 @@
 {
     std::vector<PeerLeaseState> words;
     for (const auto &[endpoint, peer] : node.peers) {
-        const bool mate =
-            peer.zone == node.settings.zone && peer.heardAt != Instant{} && !peer.leftLeaseGroup;
+        const bool mate = peer.zone == node.settings.zone && peer.lastHeardAt != Instant{}
+            && !peer.leftLeaseGroup;
         if (mate && !isForgotten(peer))
-            words.push_back(peer.word.word);
+            words.push_back(peer.leaseConfirmation.confirmation);
     }
     return words;
 }
@@ -118,7 +119,7 @@
 
 bool isNotedBy(const HolderRecords &notes, const std::string &vm)
 {
-    return std::any_of(notes.last.begin(), notes.last.end(),
+    return std::any_of(notes.byPartition.begin(), notes.byPartition.end(),
                        [&vm](const auto &note) { return note.second.vm == vm; });
 }
 
@@ -140,7 +141,7 @@
     }
     HolderClaims told;
     told.generation = node.lease.generation;
-    told.end = notes->end;
+    told.end = notes->logEnd;
     for (const HolderClaim &claim : claims)
         told.partitions.push_back(claim.partition);
     const bool added = co_await node.platform->recordHolderClaims(node.http, node.settings, told);
@@ -151,7 +152,7 @@
         node.claimRetryAt = Instant{};
     }
     const auto again = std::count_if(claims.begin(), claims.end(),
-                                     [](const HolderClaim &claim) { return claim.again; });
+                                     [](const HolderClaim &claim) { return claim.resumes; });
     logEvent(EventId::OrdersNoted,
              {{"generation", std::to_string(told.generation)},
               {"partitions", std::to_string(claims.size())},
@@ -189,7 +190,7 @@
     const std::optional<Instant> lostSince = engineLinksLostSince(node);
     if (!lostSince || now - *lostSince < ordersKept)
         return false;
-    const int linked = isRelayLive(node, now) ? node.upstream.linkedZonePeers
+    const int linked = isRelayLive(node, now) ? node.relayState.linkedZonePeers
                                               : linkedVms(node, node.settings.peers);
     return linked > 0;
 }
@@ -207,7 +208,7 @@
               {"before", std::to_string(node.lease.activeFrom.size())},
               {"why", "the links to engines are lost, and a VM of the zone reaches them"}});
     node.leaseYielded = true;
-    node.renewed = false;
+    node.leaseRenewed = false;
     node.renewalFailing = false;
     dropLease(node.lease, BootClock::now());
     retractEngines(node);
@@ -222,7 +223,7 @@
     Instant dealtAt{};
     while (!node.stopped && !node.leftLeaseGroup) {
         // Without its own record in the store it could not tell its boots apart; see EngineRecord.
-        if (!node.mayHold || node.starts == 0) {
+        if (!node.mayHoldLease || node.bootCount == 0) {
             co_await pauseFor(node, extendEvery);
             continue;
         }
@@ -233,12 +234,12 @@
             continue;
         }
         node.leaseYielded = false;
-        if (node.joinedAt == Instant{})
-            node.joinedAt = BootClock::now();
+        if (node.joinedLeaseAt == Instant{})
+            node.joinedLeaseAt = BootClock::now();
         const LeaseRenewal renewal = renewalOf(node);
         const Instant sentAt = BootClock::now();
         auto grant = co_await node.platform->renew(node.http, node.settings, renewal, renewTimeout);
-        node.renewed = grant.has_value();
+        node.leaseRenewed = grant.has_value();
         node.renewalFailing = !grant;
         if (grant)
             recordStoreAnswer(node, true, BootClock::now());
@@ -253,7 +254,7 @@
                           {"before", std::to_string(before)}});
         }
         // What another gateway may have ordered meanwhile is not known here any more.
-        for (const auto &[target, scheduler] : node.desks) {
+        for (const auto &[target, scheduler] : node.heldEngines) {
             if (!mayCommandNow(node, target))
                 invalidateSequence(scheduler->scheduler);
         }
@@ -273,23 +274,23 @@
     encodeSelf(node, *request.mutable_from());
     const Instant askedAt = BootClock::now();
     const auto word =
-        co_await node.links.askLeaseConfirmation(endpoint, std::move(request), wordTimeout);
+        co_await node.peerLinks.askLeaseConfirmation(endpoint, std::move(request), wordTimeout);
     const auto found = node.peers.find(endpoint);
     if (!word || found == node.peers.end())
         co_return;
     PeerState &peer = found->second;
-    peer.heardAt = BootClock::now();
+    peer.lastHeardAt = BootClock::now();
     peer.leftLeaseGroup = word->left();
     // It counts from the question: the answer may have been under way for long.
-    peer.word.askedAt = askedAt;
-    peer.word.word = {askedAt, word->generation(), !word->may_hold()};
+    peer.leaseConfirmation.askedAt = askedAt;
+    peer.leaseConfirmation.confirmation = {askedAt, word->generation(), !word->may_hold()};
 }
 
 Duration wordSpacing(const GatewayNode &node, const PeerState &peer)
 {
     if (node.renewalFailing)
         return wordEvery;
-    return peer.word.askedAt == Instant{} ? introduceEvery : sureEvery;
+    return peer.leaseConfirmation.askedAt == Instant{} ? introduceEvery : sureEvery;
 }
 
 } // namespace
@@ -301,11 +302,11 @@
         std::vector<Endpoint> due;
         for (auto &[endpoint, peer] : node.peers) {
             const bool mate = peer.zone == node.settings.zone && !peer.name.empty();
-            if (!mate || node.joinedAt == Instant{} || node.leftLeaseGroup)
+            if (!mate || node.joinedLeaseAt == Instant{} || node.leftLeaseGroup)
                 continue;
-            if (now - peer.word.triedAt < wordSpacing(node, peer))
+            if (now - peer.leaseConfirmation.triedAt < wordSpacing(node, peer))
                 continue;
-            peer.word.triedAt = now;
+            peer.leaseConfirmation.triedAt = now;
             due.push_back(endpoint);
         }
         for (const Endpoint &endpoint : due)
@@ -319,13 +320,13 @@
     const Endpoint asker = decodeEndpoint(request.from());
     if (asker != node.settings.peers) {
         addPeer(node, asker, decodeVm(request.from()));
-        node.peers[asker].heardAt = BootClock::now();
+        node.peers[asker].lastHeardAt = BootClock::now();
     }
     v1::Word word;
     encodeSelf(node, *word.mutable_from());
     word.set_generation(node.lease.generation);
     // One that does not take part waits like any other before it orders, should it join.
-    word.set_may_hold(node.renewed && !node.leftLeaseGroup);
+    word.set_may_hold(node.leaseRenewed && !node.leftLeaseGroup);
     word.set_left(node.leftLeaseGroup);
     return word;
 }
@@ -338,7 +339,7 @@
     node.leftLeaseGroup = true;
     dropLease(node.lease, BootClock::now());
     retractEngines(node);
-    if (node.joinedAt == Instant{})
+    if (node.joinedLeaseAt == Instant{})
         co_return;
     co_await node.platform->leave(node.http, node.settings, renewal, renewTimeout);
 }
--- a/libs/gateway/src/LinkWatch.cpp
+++ b/libs/gateway/src/LinkWatch.cpp
@@ -27,7 +27,7 @@
 // cut off as well.
 bool othersReach(const GatewayNode &node, const std::string &target)
 {
-    return othersUsageAt(node, target).goods > 0;
+    return othersUsageAt(node, target).successes > 0;
 }
 
 LinkCounts countLinks(const GatewayNode &node, const std::string &service, Instant now)
@@ -215,7 +215,7 @@
         ++linked;
     for (const auto &[endpoint, peer] : node.peers) {
         const bool heard = isZonePeer(node, peer) && !peer.starting && !peer.stopping
-            && now - peer.reportedAt < reporterTimeout;
+            && now - peer.lastReportAt < reporterTimeout;
         if (heard && !peer.linksLost && endpoint != besides)
             ++linked;
     }
--- a/libs/gateway/src/LostCalls.cpp
+++ b/libs/gateway/src/LostCalls.cpp
@@ -77,7 +77,7 @@
     if (found == node.targets.end())
         co_return;
     LostCalls &lost = found->second->lost;
-    lost.looking = false;
+    lost.checking = false;
     if (isObservationDoubtful(node, target))
         lost.calls.clear();
     else
@@ -101,7 +101,7 @@
         co_await noteRefused(node, target, firstLoss);
         co_return;
     }
-    runtime.lost.looking = false;
+    runtime.lost.checking = false;
     // Silence may be the link's, and who accepts may only stand before the target or have started
     // anew at once: then the list tells. A connection serves the next call.
     if (result.connection)
@@ -115,14 +115,14 @@
     GatewayNode &node = run.node;
     TargetRuntime &runtime = runtimeOf(node, target);
     // What leaves ends soon whatever it runs.
-    if (runtime.leaves)
+    if (runtime.leaving)
         return;
     LostCalls &lost = runtime.lost;
     const Instant now = BootClock::now();
     lost.calls.push_back({identityOf(run), now});
     while (lost.calls.size() > mostLostKept || now - lost.calls.front().at > listPatience)
         lost.calls.pop_front();
-    if (lost.looking)
+    if (lost.checking)
         return;
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr) {
@@ -130,14 +130,14 @@
         recordEndByList(node, target, 0);
         return;
     }
-    lost.looking = true;
+    lost.checking = true;
     spawn(node, "look at a target", lookAt(node, target, entry->endpoint));
 }
 
 void recordEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime)
 {
     const auto found = node.targets.find(target);
-    if (found == node.targets.end() || found->second->leaves)
+    if (found == node.targets.end() || found->second->leaving)
         return;
     noteEnd(node, target, BootClock::now() - listPatience, nextStartTime, "list");
 }
--- a/libs/gateway/src/PeerCodec.cpp
+++ b/libs/gateway/src/PeerCodec.cpp
@@ -79,7 +79,7 @@
     for (const std::string &adapter : record.incoming)
         state.add_incoming(adapter);
     state.set_loading(record.loading);
-    state.set_born(record.born);
+    state.set_born(record.startTime);
     state.set_fetch_ms(static_cast<std::uint32_t>(record.fetchMs));
     state.set_copy_ms(static_cast<std::uint32_t>(record.copyMs));
     state.set_copies_kept(static_cast<std::uint32_t>(record.copiesKept));
@@ -96,7 +96,7 @@
     record.models = std::set<std::string>(state.models().begin(), state.models().end());
     record.incoming.insert(state.incoming().begin(), state.incoming().end());
     record.loading = state.loading();
-    record.born = state.born();
+    record.startTime = state.born();
     record.fetchMs = state.fetch_ms();
     record.copyMs = state.copy_ms();
     record.copiesKept = state.copies_kept();
@@ -106,11 +106,11 @@
 void encodeChange(const std::string &target, const EngineChange &change, v1::EngineState &state)
 {
     encodeEngine(target, change.record, state);
-    if (change.whole)
+    if (change.isSnapshot)
         return;
     state.set_changes_only(true);
     state.set_digest(change.digest);
-    for (const std::string &adapter : change.gone)
+    for (const std::string &adapter : change.removed)
         state.add_gone(adapter);
     if (!change.sameHeader)
         return;
@@ -125,9 +125,9 @@
 {
     EngineChange change;
     change.record = decodeEngine(state);
-    change.whole = !state.changes_only();
+    change.isSnapshot = !state.changes_only();
     change.sameHeader = state.same_head();
-    change.gone = std::vector<std::string>(state.gone().begin(), state.gone().end());
+    change.removed = std::vector<std::string>(state.gone().begin(), state.gone().end());
     change.digest = state.digest();
     return change;
 }
@@ -169,8 +169,8 @@
     told.set_held_tokens(wholeTokens(use.heldTokens));
     told.set_runs(use.runs);
     told.set_busy_slots(use.busySlots);
-    told.set_faults(static_cast<std::uint32_t>(std::max(use.faults, 0)));
-    told.set_goods(static_cast<std::uint32_t>(std::max(use.goods, 0)));
+    told.set_faults(static_cast<std::uint32_t>(std::max(use.failures, 0)));
+    told.set_goods(static_cast<std::uint32_t>(std::max(use.successes, 0)));
     told.set_quick_runs(use.shortObjectiveRuns);
 }
 
@@ -178,7 +178,7 @@
                         v1::WorkspaceUse &told)
 {
     told.set_workspace(workspace);
-    told.set_units(static_cast<std::uint64_t>(std::max<std::int64_t>(use.whole, 0)));
+    told.set_units(static_cast<std::uint64_t>(std::max<std::int64_t>(use.unitsInWindow, 0)));
     told.set_asked_per_second(
         static_cast<std::uint64_t>(std::max<std::int64_t>(use.requestedPerSecond, 0)));
     encodeClassDemand(use, told);
@@ -189,7 +189,8 @@
 /** False if what `told` says of classes is invalid. */
 bool decodeInto(const v1::WorkspaceUse &told, WorkspaceUse &use)
 {
-    use.whole = static_cast<std::int64_t>(std::min<std::uint64_t>(told.units(), maxReportedNumber));
+    use.unitsInWindow =
+        static_cast<std::int64_t>(std::min<std::uint64_t>(told.units(), maxReportedNumber));
     use.requestedPerSecond = static_cast<std::int64_t>(
         std::min<std::uint64_t>(told.asked_per_second(), maxReportedNumber));
     return decodeClassDemand(told, use);
@@ -227,8 +228,8 @@
     use.heldTokens = static_cast<double>(told.held_tokens());
     use.runs = told.runs();
     use.busySlots = told.busy_slots();
-    use.faults = static_cast<int>(told.faults());
-    use.goods = static_cast<int>(told.goods());
+    use.failures = static_cast<int>(told.faults());
+    use.successes = static_cast<int>(told.goods());
     use.shortObjectiveRuns = told.quick_runs();
     return use;
 }
@@ -246,7 +247,7 @@
     told.set_zone(entry.zone);
     told.set_slots(entry.slots);
     told.set_leaving(entry.leaving);
-    told.set_born(entry.born);
+    told.set_born(entry.startTime);
     told.set_software(entry.software);
     told.set_lapsed(fact.lapsed);
     for (const std::string &model : entry.models)
@@ -269,7 +270,7 @@
     fact.entry.zone = told.zone();
     fact.entry.slots = told.slots();
     fact.entry.leaving = told.leaving();
-    fact.entry.born = told.born();
+    fact.entry.startTime = told.born();
     fact.entry.software = told.software();
     fact.entry.models = std::vector<std::string>(told.models().begin(), told.models().end());
     for (const v1::Slot &slot : told.adapters())
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -49,7 +49,7 @@
     TargetUsages uses;
     const Instant now = BootClock::now();
     for (const auto &[target, runtime] : node.targets) {
-        TargetUsage use = runtime->own;
+        TargetUsage use = runtime->ownUsage;
         if (!isObservationDoubtful(node, target))
             addHealth(use, runtime->health, now);
         use.busySlots = busySlots(node, target);
@@ -65,7 +65,7 @@
     TargetUsages uses = ownUses(node);
     for (const auto &[reporter, report] : node.reported.reports) {
         if (!reporter.starts_with(zoneReporter))
-            addUsages(uses, report.uses);
+            addUsages(uses, report.targets);
     }
     return uses;
 }
@@ -132,7 +132,7 @@
     report->set_stopping(node.shuttingDown);
     report->set_starting(isStarting(node));
     report->set_store_away(ownRank(node).storeUnreachable);
-    report->set_holding(node.mayHold && !node.leftLeaseGroup && !node.leaseYielded);
+    report->set_holding(node.mayHoldLease && !node.leftLeaseGroup && !node.leaseYielded);
     report->set_links_lost(engineLinksLostSince(node).has_value());
     if (node.storeReachedAt != Instant{})
         report->set_store_reached_ago_ms(sinceMs(node.storeReachedAt));
@@ -155,7 +155,7 @@
          wholeZone ? zoneWorkspaceUses(node, now) : ownWorkspaceUses(node, now))
         encodeWorkspaceUse(workspace, use, *report->add_workspaces());
     fillUnitsByAge(node, wholeZone, *report);
-    for (const auto &[target, entry] : node.facts.engines.all()) {
+    for (const auto &[target, entry] : node.shared.engines.all()) {
         const bool held =
             entry.value.holderLive && zoneOfTarget(node, target) == node.settings.zone;
         const bool ours =
@@ -172,28 +172,28 @@
     };
     std::set<std::string> wholeTold;
     for (const std::string &target : peer.requestedEngines) {
-        const EngineRecord *record = node.facts.engines.find(target);
+        const EngineRecord *record = node.shared.engines.find(target);
         if (record == nullptr || !isOurs(target, *record))
             continue;
         encodeEngine(target, *record, *report->add_engines());
         wholeTold.insert(target);
     }
-    node.facts.engines.since(told, [&](const std::string &target, const EngineRecord &record) {
+    node.shared.engines.since(told, [&](const std::string &target, const EngineRecord &record) {
         if (isOurs(target, record) && wholeTold.count(target) == 0)
-            encodeChange(target, node.facts.engines.changeSince(target, told),
+            encodeChange(target, node.shared.engines.changeSince(target, told),
                          *report->add_engines());
     });
-    node.facts.evidence.since(told, [&](std::uint64_t id, const KnownEvidence &known) {
+    node.shared.evidence.since(told, [&](std::uint64_t id, const KnownEvidence &known) {
         if (known.own)
             encodeEvidence(id, known.evidence, now, *report->add_evidence());
     });
     // The relay may have no other way to learn what a target said to this VM alone.
-    node.facts.targets.since(told, [&](const std::string &target, const SharedTarget &fact) {
+    node.shared.targets.since(told, [&](const std::string &target, const SharedTarget &fact) {
         if (fact.gone || !fact.entry.leaving)
             return;
         v1::Target *leaving = report->add_leaving();
         leaving->set_id(target);
-        leaving->set_born(fact.entry.born);
+        leaving->set_born(fact.entry.startTime);
     });
     fillReleases(node, now, *report->mutable_released());
     return report;
@@ -211,7 +211,7 @@
 {
     digest.set_carries_use(true);
     TargetUsages others = usagesExcept(node.reported, asker.endpoint.text());
-    addUsages(others, node.upstream.others);
+    addUsages(others, node.relayState.others);
     addUsages(others, ownUses(node));
     for (const auto &[target, use] : others)
         encodeUse(target, use, *digest.add_others());
@@ -280,7 +280,7 @@
     if (fact.capacity > 0)
         peer.capacity = fact.capacity;
     if (!peer.name.empty())
-        node.facts.vms.set(endpoint, {peer.name, peer.zone, peer.capacity}, node.facts.counter);
+        node.shared.vms.set(endpoint, {peer.name, peer.zone, peer.capacity}, node.shared.counter);
     if (!added)
         return;
     peer.endpoint = endpoint;
@@ -295,9 +295,9 @@
     digest.set_stopping(node.shuttingDown);
     digest.set_store_away(ownRank(node).storeUnreachable);
     digest.set_relaying(node.relaying);
-    if (!node.relaying && node.upstream.at != Instant{}) {
-        digest.set_relay_address(node.upstream.relay.address);
-        digest.set_relay_port(node.upstream.relay.port);
+    if (!node.relaying && node.relayState.at != Instant{}) {
+        digest.set_relay_address(node.relayState.relay.address);
+        digest.set_relay_port(node.relayState.relay.port);
     }
     digest.set_config_version(node.routes->config().version);
     digest.set_config_confirmed_ago_ms(confirmedAgoMs(node));
@@ -315,7 +315,7 @@
         logEvent(EventId::MemberAlive, {{"peer", peer.name}, {"at", endpoint.text()}});
     const Instant now = BootClock::now();
     peer.sequence = report.sequence();
-    peer.heardAt = now;
+    peer.lastHeardAt = now;
     peer.failures = 0;
     peer.stopping = report.stopping();
     // Symptom without these: a relay took all mates that it had asked while they started for
@@ -324,19 +324,19 @@
     // for 3 to 6 s.
     peer.starting = report.starting();
     peer.storeUnreachable = report.store_away();
-    peer.holding = report.holding();
+    peer.leaseHolder = report.holding();
     peer.linksLost = report.links_lost();
     recordConfigOffer(node, peer, report.config_version());
     if (report.store_reached_ago_ms() > 0)
         peer.storeReachedAt = now - std::chrono::milliseconds(report.store_reached_ago_ms());
     const bool mate = report.from().zone() == node.settings.zone;
     if (report.carries_use()) {
-        peer.reportedAt = now;
+        peer.lastReportAt = now;
         ReporterUsage uses;
         uses.at = now;
         uses.vms = static_cast<int>(report.vms());
         for (const v1::EngineUse &told : report.uses())
-            uses.uses[told.target()] = decodeUse(told);
+            uses.targets[told.target()] = decodeUse(told);
         uses.workspaces = decodeWorkspaceUses(report.workspaces(), report.from());
         uses.unitsByAge = decodeUnitsByAge(report);
         // A VM that does not relay hears of the other zones from its relay; twice would count
@@ -396,7 +396,7 @@
     addPeer(node, endpoint, decodeVm(digest.from()));
     PeerState &peer = node.peers[endpoint];
     noteBootOf(peer, digest.from().boot());
-    peer.heardAt = now;
+    peer.lastHeardAt = now;
     peer.failures = 0;
     peer.starting = digest.starting();
     peer.stopping = digest.stopping();
@@ -410,36 +410,36 @@
         takeReleases(node, digest.released());
     if (!upstream)
         return;
-    node.mayHold = node.mayHold || digest.may_hold();
+    node.mayHoldLease = node.mayHoldLease || digest.may_hold();
     if (!digest.carries_use())
         return;
-    node.upstream.relay = endpoint;
-    node.upstream.at = now;
-    node.upstream.vms = static_cast<int>(digest.vms());
-    node.upstream.linkedZonePeers = static_cast<int>(digest.linked_mates());
-    node.upstream.others.clear();
+    node.relayState.relay = endpoint;
+    node.relayState.at = now;
+    node.relayState.vms = static_cast<int>(digest.vms());
+    node.relayState.linkedZonePeers = static_cast<int>(digest.linked_mates());
+    node.relayState.others.clear();
     for (const v1::EngineUse &told : digest.others())
-        node.upstream.others[told.target()] = decodeUse(told);
-    node.upstream.reachableVms = static_cast<int>(digest.vms_in_touch());
-    node.upstream.otherWorkspaces = decodeWorkspaceUses(digest.other_workspaces(), digest.from());
+        node.relayState.others[told.target()] = decodeUse(told);
+    node.relayState.reachableVms = static_cast<int>(digest.vms_in_touch());
+    node.relayState.otherWorkspaces = decodeWorkspaceUses(digest.other_workspaces(), digest.from());
 }
 
 asio::awaitable<bool> exchangeWith(GatewayNode &node, Endpoint endpoint, bool withUse,
                                    bool upstream)
 {
     PeerState &peer = node.peers.at(endpoint);
-    peer.asking = true;
-    const std::uint64_t told = node.facts.counter.last;
+    peer.exchangeRunning = true;
+    const std::uint64_t told = node.shared.counter.last;
     const std::uint64_t prefixTold = node.prefixes.log.last;
     const std::shared_ptr<const v1::Report> report = buildReport(node, peer, withUse);
     countSent(node, peer.zone, bytesOf(*report));
     const Instant asked = BootClock::now();
-    const auto digest = co_await node.links.exchange(endpoint, report, reportTimeout);
+    const auto digest = co_await node.peerLinks.exchange(endpoint, report, reportTimeout);
     const auto found = node.peers.find(endpoint);
     if (found == node.peers.end())
         co_return false;
     PeerState &answered = found->second;
-    answered.asking = false;
+    answered.exchangeRunning = false;
     const Instant now = BootClock::now();
     if (!digest) {
         // The time tells a mate that cannot be reached from one whose answer was still under way.
--- a/libs/gateway/src/PeerForwarding.cpp
+++ b/libs/gateway/src/PeerForwarding.cpp
@@ -43,7 +43,7 @@
 
 Duration restAfter(ForwardRefusal refusal)
 {
-    const bool brief = refusal == ForwardRefusal::Busy || refusal == ForwardRefusal::OtherConfig;
+    const bool brief = refusal == ForwardRefusal::Busy || refusal == ForwardRefusal::ConfigMismatch;
     return brief ? afterBusy : afterRefusal;
 }
 
@@ -123,20 +123,20 @@
                ForwardRefusal refusal)
 {
     ForwardPeer &known = node.forwardPeers[peer];
-    if (end == OfferResult::Taken) {
+    if (end == OfferResult::Accepted) {
         known.notBefore.erase(run.service);
         node.metrics.add(Counter::CallsForwarded);
     } else {
         known.notBefore[run.service] = BootClock::now() + restAfter(refusal);
         node.metrics.add(Counter::ForwardsRefused);
     }
-    const bool silent = end == OfferResult::Silent;
+    const bool silent = end == OfferResult::NoReply;
     logEvent(EventId::CallForwarded,
              {{"call", run.facts.attemptId},
               {"service", run.service},
               {"why", areLinksLost(node, run.service) ? "links lost" : "targets not reached"},
               {"peer", peer.text()},
-              {"taken", end == OfferResult::Taken ? "yes" : "no"},
+              {"taken", end == OfferResult::Accepted ? "yes" : "no"},
               {"refusal", std::string(silent ? "silent" : refusalName(refusal))}});
 }
 
@@ -199,7 +199,7 @@
             break;
         tried.push_back(*peer);
         TargetExchange exchange(node, *peer, run.facts.attemptId);
-        OfferResult end = OfferResult::Silent;
+        OfferResult end = OfferResult::NoReply;
         const bool connected = co_await exchange.connect();
         if (connected && !run.cancelled()) {
             run.connection = exchange.connection();
@@ -207,11 +207,11 @@
         }
         if (run.cancelled())
             co_return AttemptResult::Refused;
-        const ForwardRefusal refusal = end == OfferResult::Answered
+        const ForwardRefusal refusal = end == OfferResult::Declined
             ? parseForwardRefusal(exchange.head())
             : ForwardRefusal::None;
         noteOffer(node, run, *peer, end, refusal);
-        if (end != OfferResult::Taken)
+        if (end != OfferResult::Accepted)
             continue;
         std::optional<LocalReply> keyRefusal = recheckKey(run);
         if (keyRefusal) {
@@ -234,7 +234,7 @@
     if (areLinksLost(node, call->service))
         return ForwardRefusal::LinksLost;
     if (call->configVersion != node.routes->config().version)
-        return ForwardRefusal::OtherConfig;
+        return ForwardRefusal::ConfigMismatch;
     const int own = node.callsInFlight - node.forwardedInFlight;
     if (node.forwardedInFlight >= forwardedAtLeast + forwardedForEachOwn * own)
         return ForwardRefusal::Busy;
--- a/libs/gateway/src/PrefillReservation.cpp
+++ b/libs/gateway/src/PrefillReservation.cpp
@@ -43,7 +43,7 @@
     bound.objectiveLeftMs =
         1000 * (weights.onTimeShare * toSeconds(run.route->latencyObjective) - toSeconds(elapsed));
     bound.ownTokens = tokensToRead(run, engine);
-    bound.otherMs = weights.runMs * engine.runs + loadMs;
+    bound.otherMs = weights.runPenaltyMs * engine.runs + loadMs;
     bound.tokensPerMs = weights.promptTokensPerMs;
     // The engine reads on while the adapter is loaded. Where all engines are late, one that is no
     // worse than it was believed to be is the best.
@@ -84,7 +84,7 @@
 void noteCounted(GatewayNode &node, const std::string &target, const PrefillReply &reply,
                  double tokens)
 {
-    PrefillQueue &told = node.prefill.told[target];
+    PrefillQueue &told = node.prefill.reported[target];
     told.tokens = reply.ahead + (reply.reserved ? tokens : 0);
     told.at = BootClock::now();
 }
@@ -97,7 +97,7 @@
     request.set_target(target);
     request.set_tokens(wireTokens(wanted.tokens));
     request.set_most_ahead(wireTokens(wanted.maxAhead));
-    const auto answer = co_await node.links.reservePrefill(holder, std::move(request), timeout);
+    const auto answer = co_await node.peerLinks.reservePrefill(holder, std::move(request), timeout);
     if (!answer) {
         node.prefill.unansweredAt[holder] = BootClock::now();
         co_return std::nullopt;
@@ -114,7 +114,7 @@
 // Not given back if the call goes elsewhere after all: the count falls as the engine reads.
 PrefillReply reserveHere(GatewayNode &node, const std::string &target, const PrefillRequest &wanted)
 {
-    return reservePrefill(node.prefill.ordered[target], wanted,
+    return reservePrefill(node.prefill.held[target], wanted,
                           node.settings.weights.promptTokensPerMs, BootClock::now());
 }
 
@@ -131,12 +131,12 @@
 {
     const double pace = node.settings.weights.promptTokensPerMs;
     if (mayCommandNow(node, target)) {
-        const auto own = node.prefill.ordered.find(target);
-        if (own != node.prefill.ordered.end())
+        const auto own = node.prefill.held.find(target);
+        if (own != node.prefill.held.end())
             return waitingTokens(own->second, pace, now);
     }
-    const auto told = node.prefill.told.find(target);
-    if (told == node.prefill.told.end() || now - told->second.at > loadReportAge(node))
+    const auto told = node.prefill.reported.find(target);
+    if (told == node.prefill.reported.end() || now - told->second.at > loadReportAge(node))
         return std::nullopt;
     return waitingTokens(told->second, pace, now);
 }
--- a/libs/gateway/src/PrefixSharing.cpp
+++ b/libs/gateway/src/PrefixSharing.cpp
@@ -12,7 +12,7 @@
 std::uint64_t keyOf(const GatewayNode &node, const std::string &target)
 {
     const TargetEntry *entry = entryOf(node, target);
-    return engineKey(target, entry == nullptr ? 0 : entry->born);
+    return engineKey(target, entry == nullptr ? 0 : entry->startTime);
 }
 
 std::uint64_t tellerOf(const Endpoint &endpoint)
@@ -27,16 +27,16 @@
 {
     if (run.prefixes.empty())
         return 0;
-    PrefixIndex &book = run.node.prefixes.book;
-    const std::uint64_t key = engineKey(engine.id, engine.born);
+    PrefixIndex &book = run.node.prefixes.table;
+    const std::uint64_t key = engineKey(engine.id, engine.startTime);
     evictToFit(book, key, prefixCacheCapacity(kvTokens, use.heldTokens));
     return cachedPrefixTokens(book, key, run.prefixes);
 }
 
 void dropPrefixesOf(GatewayNode &node, const std::string &target, const std::string &adapter)
 {
-    if (!node.prefixes.book.engines.empty())
-        forgetAdapter(node.prefixes.book, keyOf(node, target), prefixTagOf(adapter));
+    if (!node.prefixes.table.engines.empty())
+        forgetAdapter(node.prefixes.table, keyOf(node, target), prefixTagOf(adapter));
 }
 
 PrefillObservation::PrefillObservation(ActiveCall &run, const std::string &target, Instant now)
@@ -46,7 +46,7 @@
     if (run.prefixes.empty())
         return;
     this->engine = keyOf(run.node, target);
-    run.cachedTokens = cachedPrefixTokens(run.node.prefixes.book, this->engine, run.prefixes);
+    run.cachedTokens = cachedPrefixTokens(run.node.prefixes.table, this->engine, run.prefixes);
     this->aheadTokens = totalLoad(run.node, target).waitingTokens;
     this->begunAt = now;
     this->waiting = true;
@@ -65,13 +65,13 @@
     trial.cachedPrefixTokens = this->run.cachedTokens;
     trial.aheadTokens = this->aheadTokens;
     if (indicatesCacheMiss(trial, node.settings.weights.promptTokensPerMs)) {
-        recordMissing(node.prefixes.book, this->engine, this->run.prefixes, now);
+        recordMissing(node.prefixes.table, this->engine, this->run.prefixes, now);
         node.metrics.add(Counter::PrefixesMissing);
         return;
     }
     node.metrics.add(Counter::CachedTokens, static_cast<std::uint64_t>(trial.cachedPrefixTokens));
     for (const PromptPrefix &prefix :
-         recordRead(node.prefixes.book, this->engine, this->run.prefixes, now))
+         recordRead(node.prefixes.table, this->engine, this->run.prefixes, now))
         logPrefix(node.prefixes.log, {this->engine, prefix}, PrefixSource::Own, 0, now);
 }
 
@@ -97,7 +97,7 @@
     if (!report.carries_use() || log.entries.empty())
         return;
     PrefixReader reader;
-    reader.mate = mate;
+    reader.zonePeer = mate;
     reader.sourceVm = tellerOf(decodeEndpoint(report.from()));
     const std::uint64_t seen = report.prefixes().seen();
     // A number that was never given is not of this log.
@@ -121,7 +121,7 @@
     const Instant now = BootClock::now();
     const std::uint64_t from = tellerOf(sourceVm);
     for (const PrefixRead &read : reads) {
-        if (recordReported(node.prefixes.book, read.engine, read.prefix, now))
+        if (recordReported(node.prefixes.table, read.engine, read.prefix, now))
             logPrefix(node.prefixes.log, read, source, from, now);
     }
 }
--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -71,7 +71,7 @@
 {
     std::vector<Endpoint> found;
     for (const auto &[endpoint, peer] : node.peers) {
-        if (peer.name.empty() && !peer.asking && now >= peer.retryAt)
+        if (peer.name.empty() && !peer.exchangeRunning && now >= peer.retryAt)
             found.push_back(endpoint);
     }
     return found;
@@ -95,10 +95,10 @@
 
 Duration knownLoadAge(const GatewayNode &node, Instant now)
 {
-    Instant word = node.upstream.at;
+    Instant word = node.relayState.at;
     for (const auto &[reporter, report] : node.reported.reports)
         word = std::max(word, report.at);
-    const Instant all = node.fleet.heardAt == Instant{} ? node.bootedAt : node.fleet.heardAt;
+    const Instant all = node.fleet.seenAt == Instant{} ? node.bootedAt : node.fleet.seenAt;
     UpdateAgeInputs facts;
     facts.regular = loadReportAge(node);
     facts.sinceLastUpdate = word == Instant{} ? Duration::zero() : now - word;
@@ -113,8 +113,8 @@
 /** The relay has not told all that it knows yet. */
 bool moreToHear(const GatewayNode &node)
 {
-    const auto relay = node.peers.find(node.upstream.relay);
-    return node.upstream.at != Instant{} && relay != node.peers.end()
+    const auto relay = node.peers.find(node.relayState.relay);
+    return node.relayState.at != Instant{} && relay != node.peers.end()
         && relay->second.hasMoreUpdates;
 }
 
@@ -133,11 +133,11 @@
         setRelaying(node, isRelay(self, isStarting(node), zone.mates));
         const auto upstream = chooseUpstream(self, isStarting(node), zone.mates);
         if (!upstream) {
-            node.upstream = RelayState();
+            node.relayState = RelayState();
             const bool listSettled =
                 !node.settings.firstStart || now - node.bootedAt > 2 * listPatience;
-            node.mayHold = node.mayHold || listSettled;
-        } else if (!zone.peers[*upstream]->asking) {
+            node.mayHoldLease = node.mayHoldLease || listSettled;
+        } else if (!zone.peers[*upstream]->exchangeRunning) {
             const Endpoint endpoint = zone.peers[*upstream]->endpoint;
             // A relay that learns from another VM while it starts does not report to it: each would
             // count the other's calls as its own.
@@ -191,7 +191,7 @@
             if (!node.relaying)
                 break;
             const PeerState *relay = relayOfZone(node, name);
-            if (relay == nullptr || relay->asking)
+            if (relay == nullptr || relay->exchangeRunning)
                 continue;
             spawn(node, "exchange with a zone", exchangeAside(node, relay->endpoint, true));
         }
@@ -208,26 +208,26 @@
         for (const Endpoint &seed : node.settings.seeds)
             addPeer(node, seed, SharedVm());
         dropSilent(node.reported, reporterTimeout, now);
-        if (node.upstream.at != Instant{} && now - node.upstream.at > reporterTimeout)
-            node.upstream = RelayState();
+        if (node.relayState.at != Instant{} && now - node.relayState.at > reporterTimeout)
+            node.relayState = RelayState();
         markSilentHolders(node, now);
         updateLiveGateways(node, now);
         recountVms(node, now);
         const RelayRank self = ownRank(node);
         std::vector<Endpoint> wanted;
         for (const auto &[endpoint, peer] : node.peers) {
-            if (peer.asking || now < peer.retryAt || peer.name.empty())
+            if (peer.exchangeRunning || now < peer.retryAt || peer.name.empty())
                 continue;
             const bool mate = isZonePeer(node, peer);
-            const bool silentBelow = node.relaying && mate && now - peer.reportedAt > listPatience
-                && now - peer.heardAt > reporterTimeout;
+            const bool silentBelow = node.relaying && mate && now - peer.lastReportAt > listPatience
+                && now - peer.lastHeardAt > reporterTimeout;
             const bool failed =
                 peer.failures > 0 && (mate ? ranksBefore(rankOf(peer), self) : node.relaying);
             // Until it has started, this VM reads the store beside it.
             const bool aboveStarts = node.relaying && mate && peer.starting
-                && ranksBefore(rankOf(peer), self) && now - peer.heardAt > matesLook;
+                && ranksBefore(rankOf(peer), self) && now - peer.lastHeardAt > matesLook;
             const bool maybeBack = mate && (peer.storeUnreachable || peer.stopping || peer.starting)
-                && now - peer.heardAt > listPatience;
+                && now - peer.lastHeardAt > listPatience;
             if (silentBelow || failed || aboveStarts || maybeBack)
                 wanted.push_back(endpoint);
         }
@@ -239,8 +239,8 @@
             spawn(node, "probe", exchangeAside(node, endpoint, false));
         std::erase_if(node.peers, [now](const auto &entry) {
             const PeerState &peer = entry.second;
-            const Instant last = std::max(peer.heardAt, peer.addedAt);
-            return !peer.asking && now - last > forgetAfter;
+            const Instant last = std::max(peer.lastHeardAt, peer.addedAt);
+            return !peer.exchangeRunning && now - last > forgetAfter;
         });
         co_await pauseFor(node, matesLook);
     }
--- a/libs/gateway/src/ResumeState.h
+++ b/libs/gateway/src/ResumeState.h
@@ -28,10 +28,10 @@
     { }
 
     StreamOrigins origins; ///< of streams begun here, and of those that others told of
-    std::deque<UnreportedStream> untold; ///< oldest first
+    std::deque<UnreportedStream> unreported; ///< oldest first
     std::unordered_map<std::string, SoftwareVersions> versions; ///< by service
-    std::set<std::string> doubted; ///< services whose streams others are told of
-    Instant lookedAt{}; ///< at the versions, last
+    std::set<std::string> ambiguousServices; ///< services whose streams others are told of
+    Instant versionsCheckedAt{}; ///< at the versions, last
     Duration longestTimeout{}; ///< that a caller of a stream has named
     Signal due;
 };
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -42,10 +42,10 @@
 
 void applyEngineRecord(GatewayNode &node, const std::string &target, EngineRecord record)
 {
-    if (recordStartTime(node, target, record.born) == StartOrder::Older
+    if (recordStartTime(node, target, record.startTime) == StartOrder::Older
         || mayCommandNow(node, target))
         return;
-    const EngineRecord *known = node.facts.engines.find(target);
+    const EngineRecord *known = node.shared.engines.find(target);
     if (known != nullptr && !mayReplaceRecord(*known, record))
         return;
     TargetRuntime &runtime = runtimeOf(node, target);
@@ -61,18 +61,18 @@
         return fromSeconds((copy ? record.copyMs : record.fetchMs) / 1000);
     };
     updatePendingLoads(runtime.incoming, record.incoming, expected, BootClock::now());
-    node.facts.engines.set(target, std::move(record), node.facts.counter);
+    node.shared.engines.set(target, std::move(record), node.shared.counter);
     node.engineChanged.notifyAll();
 }
 
 void applyEngineChange(GatewayNode &node, std::set<std::string> &unknown, const std::string &target,
                        const EngineChange &change)
 {
-    const EngineRecord *known = node.facts.engines.find(target);
-    if (!change.whole && known != nullptr) {
+    const EngineRecord *known = node.shared.engines.find(target);
+    if (!change.isSnapshot && known != nullptr) {
         EngineRecord offered = change.record;
         if (change.sameHeader)
-            offered.born = known->born;
+            offered.startTime = known->startTime;
         if (mayCommandNow(node, target) || !mayReplaceRecord(*known, offered))
             return;
     }
@@ -85,8 +85,8 @@
 
 void publishEngine(GatewayNode &node, const std::string &target)
 {
-    const auto held = node.desks.find(target);
-    if (held == node.desks.end() || held->second->scheduler.sequence < 0
+    const auto held = node.heldEngines.find(target);
+    if (held == node.heldEngines.end() || held->second->scheduler.sequence < 0
         || !mayCommandNow(node, target))
         return;
     const AdapterScheduler &scheduler = held->second->scheduler;
@@ -94,30 +94,31 @@
     record.holder = node.settings.peers;
     record.holderLive = true;
     const TargetEntry *entry = entryOf(node, target);
-    record.born = entry == nullptr ? scheduler.born : std::max(scheduler.born, entry->born);
+    record.startTime =
+        entry == nullptr ? scheduler.startTime : std::max(scheduler.startTime, entry->startTime);
     record.models = scheduler.models;
     record.loading = fetchesUnderWay(scheduler);
     const LoadEstimator &estimator = node.loadEstimator;
-    const EngineRecord *known = node.facts.engines.find(target);
+    const EngineRecord *known = node.shared.engines.find(target);
     const bool told = known != nullptr && known->holder == record.holder;
     record.fetchMs =
-        steadyTime(told ? known->fetchMs : 0, fetchTime(estimator.pace, loadsUnderWay(node) + 1));
-    record.copyMs = steadyTime(told ? known->copyMs : 0, hostCopyTime(estimator.pace));
-    record.copiesKept = std::exp2(std::floor(2 * std::log2(estimator.memory.loads)) / 2);
+        steadyTime(told ? known->fetchMs : 0, fetchTime(estimator.times, loadsUnderWay(node) + 1));
+    record.copyMs = steadyTime(told ? known->copyMs : 0, hostCopyTime(estimator.times));
+    record.copiesKept = std::exp2(std::floor(2 * std::log2(estimator.memory.retainedLoads)) / 2);
     for (const auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading)
             record.incoming.insert(adapter);
-        else if (!slot.leaving)
+        else if (!slot.unloadDeferred)
             record.resident[adapter] = slot.version;
     }
-    record.revision = {node.lease.generation, node.starts, 0};
+    record.revision = {node.lease.generation, node.bootCount, 0};
     if (known != nullptr && known->revision.generation == record.revision.generation
         && known->revision.starts == record.revision.starts)
         record.revision.count = known->revision.count;
     if (known != nullptr && *known == record)
         return;
     ++record.revision.count;
-    node.facts.engines.set(target, std::move(record), node.facts.counter);
+    node.shared.engines.set(target, std::move(record), node.shared.counter);
     node.reportDue.notifyAll();
 }
 
@@ -126,16 +127,16 @@
 void retractEngines(GatewayNode &node)
 {
     std::vector<std::string> lost;
-    for (const auto &[target, entry] : node.facts.engines.all()) {
+    for (const auto &[target, entry] : node.shared.engines.all()) {
         const bool own = entry.value.holderLive && entry.value.holder == node.settings.peers;
         if (own && !mayCommandNow(node, target))
             lost.push_back(target);
     }
     for (const std::string &target : lost) {
-        EngineRecord record = *node.facts.engines.find(target);
+        EngineRecord record = *node.shared.engines.find(target);
         record.holderLive = false;
         ++record.revision.count;
-        node.facts.engines.set(target, std::move(record), node.facts.counter);
+        node.shared.engines.set(target, std::move(record), node.shared.counter);
     }
     if (!lost.empty())
         node.reportDue.notifyAll();
@@ -146,9 +147,9 @@
 /** Nobody is known to order it; the holder's own word, and its revision, stay as they are. */
 void markUnheld(GatewayNode &node, const std::string &target)
 {
-    EngineRecord record = *node.facts.engines.find(target);
+    EngineRecord record = *node.shared.engines.find(target);
     record.holderLive = false;
-    node.facts.engines.set(target, std::move(record), node.facts.counter);
+    node.shared.engines.set(target, std::move(record), node.shared.counter);
 }
 
 /** True if the VM that may order an engine can be reached, as far as this relay has heard. */
@@ -161,7 +162,7 @@
     if (entry->zone != node.settings.zone)
         return node.reported.reports.count(zoneReporterName(entry->zone)) > 0;
     const auto peer = node.peers.find(record.holder);
-    return peer != node.peers.end() && now - peer->second.heardAt < holderSilence;
+    return peer != node.peers.end() && now - peer->second.lastHeardAt < holderSilence;
 }
 
 } // namespace
@@ -173,7 +174,7 @@
     if (!node.relaying)
         return;
     std::vector<std::string> silent;
-    for (const auto &[target, entry] : node.facts.engines.all()) {
+    for (const auto &[target, entry] : node.shared.engines.all()) {
         if (entry.value.holderLive && !isHolderHeard(node, target, entry.value, now))
             silent.push_back(target);
     }
@@ -184,7 +185,7 @@
 // Asked again at once, it would say the same to every call that waits; it tells when it may order.
 void recordNotHolder(GatewayNode &node, const std::string &target, const Endpoint &asked)
 {
-    const EngineRecord *record = node.facts.engines.find(target);
+    const EngineRecord *record = node.shared.engines.find(target);
     if (record == nullptr || !record->holderLive || record->holder != asked)
         return;
     markUnheld(node, target);
@@ -193,7 +194,7 @@
 void applyHolderLiveness(GatewayNode &node, const std::string &zone, const std::string &target)
 {
     const TargetEntry *entry = entryOf(node, target);
-    const EngineRecord *record = node.facts.engines.find(target);
+    const EngineRecord *record = node.shared.engines.find(target);
     if (entry == nullptr || entry->zone != zone || record == nullptr || record->holderLive)
         return;
     EngineRecord live = *record;
@@ -203,7 +204,7 @@
 
 const PeerState *holderOf(const GatewayNode &node, const std::string &target)
 {
-    const EngineRecord *record = node.facts.engines.find(target);
+    const EngineRecord *record = node.shared.engines.find(target);
     if (record == nullptr || !record->holderLive)
         return nullptr;
     const auto peer = node.peers.find(record->holder);
@@ -218,7 +219,7 @@
 int liveHolders(const GatewayNode &node)
 {
     std::set<Endpoint> holders;
-    for (const auto &[target, entry] : node.facts.engines.all()) {
+    for (const auto &[target, entry] : node.shared.engines.all()) {
         if (entry.value.holderLive)
             holders.insert(entry.value.holder);
     }
@@ -230,9 +231,10 @@
 int loadsUnderWay(const GatewayNode &node)
 {
     int loads = 0;
-    for (const auto &[target, entry] : node.facts.engines.all()) {
-        const auto listed = node.book.records.find(target);
-        if (!entry.value.holderLive || listed == node.book.records.end() || listed->second.gone)
+    for (const auto &[target, entry] : node.shared.engines.all()) {
+        const auto listed = node.targetTable.records.find(target);
+        if (!entry.value.holderLive || listed == node.targetTable.records.end()
+            || listed->second.gone)
             continue;
         loads += entry.value.loading;
     }
--- a/libs/gateway/src/StateUpdates.cpp
+++ b/libs/gateway/src/StateUpdates.cpp
@@ -50,10 +50,10 @@
     const Instant now = BootClock::now();
     // Who has only a part of the list must not take it for the list.
     const bool whole = !digest.complete() || !digest.more();
-    digest.set_list_known(whole && node.book.lastRead != Instant{});
-    digest.set_list_age_ms(toMillis(now - node.book.lastRead));
-    if (node.book.failingSince != Instant{})
-        digest.set_list_failing_ms(toMillis(now - node.book.failingSince));
+    digest.set_list_known(whole && node.targetTable.lastReadAt != Instant{});
+    digest.set_list_age_ms(toMillis(now - node.targetTable.lastReadAt));
+    if (node.targetTable.failingSince != Instant{})
+        digest.set_list_failing_ms(toMillis(now - node.targetTable.failingSince));
 }
 
 void takeVms(GatewayNode &node, const v1::Digest &digest)
@@ -70,14 +70,15 @@
 // A relay that has just come back may not have read yet of a target that this VM has read of.
 bool tellsNewerList(const GatewayNode &node, const v1::Digest &digest)
 {
-    return digest.list_known() && listReadAt(digest) > node.book.ownRead + answerUnderWay;
+    return digest.list_known()
+        && listReadAt(digest) > node.targetTable.lastOwnReadAt + answerUnderWay;
 }
 
 void takeListAge(GatewayNode &node, const v1::Digest &digest)
 {
     if (!digest.list_known())
         return;
-    recordPeerListRead(node.book, listReadAt(digest),
+    recordPeerListRead(node.targetTable, listReadAt(digest),
                        std::chrono::milliseconds(digest.list_failing_ms()), BootClock::now());
 }
 
@@ -96,11 +97,11 @@
             continue;
         }
         if (fact.entry.leaving)
-            markLeavingByPeer(node, fact.entry.id, fact.entry.born);
+            markLeavingByPeer(node, fact.entry.id, fact.entry.startTime);
         if (digest.complete())
             peer.fullSyncTargets.insert(fact.entry.id);
         // It is gone, by what this VM has heard, and the peer only waits whether it comes back.
-        const bool keepOut = fact.lapsed && wasDropped(node.book, fact.entry.id);
+        const bool keepOut = fact.lapsed && wasDropped(node.targetTable, fact.entry.id);
         if (follows && !keepOut)
             listed.push_back(std::move(fact.entry));
     }
@@ -124,43 +125,43 @@
 {
     const bool fromTheBeginning = report.known_boot() != node.boot;
     const std::uint64_t seen = fromTheBeginning ? 0 : report.known_change();
-    const std::uint64_t through = lastTold(node.facts, seen);
+    const std::uint64_t through = lastTold(node.shared, seen);
     digest.set_complete(fromTheBeginning || report.in_whole());
     digest.set_change(through);
-    digest.set_more(through < node.facts.counter.last);
+    digest.set_more(through < node.shared.counter.last);
     // Who is being told all of it has not heard of each engine up to `seen`.
     const std::uint64_t known = digest.complete() ? 0 : seen;
     std::set<std::string> told;
     const auto tellEngine = [&](const std::string &target, std::uint64_t heard) {
         const bool wanted = mate || zoneOfTarget(node, target) == node.settings.zone;
         if (wanted && told.insert(target).second)
-            encodeChange(target, node.facts.engines.changeSince(target, heard),
+            encodeChange(target, node.shared.engines.changeSince(target, heard),
                          *digest.add_engines());
     };
     for (const std::string &target : report.engines_wanted()) {
-        if (node.facts.engines.find(target) != nullptr)
+        if (node.shared.engines.find(target) != nullptr)
             tellEngine(target, 0);
     }
-    node.facts.engines.between(seen, through, [&](const std::string &target, const EngineRecord &) {
-        tellEngine(target, known);
-    });
-    node.facts.vms.between(seen, through, [&](const Endpoint &known, const SharedVm &fact) {
+    node.shared.engines.between(
+        seen, through,
+        [&](const std::string &target, const EngineRecord &) { tellEngine(target, known); });
+    node.shared.vms.between(seen, through, [&](const Endpoint &known, const SharedVm &fact) {
         encodeVm(fact.name, known, 0, fact, *digest.add_known());
     });
-    node.facts.adapterVersions.between(seen, through,
-                                       [&](const std::string &adapter, std::int64_t version) {
-                                           v1::AdapterVersion *told = digest.add_versions();
-                                           told->set_adapter(adapter);
-                                           told->set_version(version);
-                                       });
-    node.facts.targets.between(seen, through,
-                               [&](const std::string &target, const SharedTarget &fact) {
-                                   const bool neverTold = fromTheBeginning && fact.gone;
-                                   if (!neverTold)
-                                       encodeTarget(target, fact, *digest.add_targets());
-                               });
+    node.shared.adapterVersions.between(seen, through,
+                                        [&](const std::string &adapter, std::int64_t version) {
+                                            v1::AdapterVersion *told = digest.add_versions();
+                                            told->set_adapter(adapter);
+                                            told->set_version(version);
+                                        });
+    node.shared.targets.between(seen, through,
+                                [&](const std::string &target, const SharedTarget &fact) {
+                                    const bool neverTold = fromTheBeginning && fact.gone;
+                                    if (!neverTold)
+                                        encodeTarget(target, fact, *digest.add_targets());
+                                });
     const Instant now = BootClock::now();
-    node.facts.evidence.between(seen, through, [&](std::uint64_t id, const KnownEvidence &known) {
+    node.shared.evidence.between(seen, through, [&](std::uint64_t id, const KnownEvidence &known) {
         encodeEvidence(id, known.evidence, now, *digest.add_evidence());
     });
     tellListAge(node, digest);
--- a/libs/gateway/src/StreamResuming.cpp
+++ b/libs/gateway/src/StreamResuming.cpp
@@ -67,8 +67,8 @@
 void lookAtVersions(GatewayNode &node, Instant now)
 {
     ResumeState &state = node.resuming;
-    state.lookedAt = now;
-    for (const auto &[id, record] : node.book.records) {
+    state.versionsCheckedAt = now;
+    for (const auto &[id, record] : node.targetTable.records) {
         if (mayTakeWork(record))
             recordSoftware(state.versions[record.entry.service], record.entry.software, now);
     }
@@ -83,7 +83,7 @@
     const Instant since = now - patienceFor(node, service);
     // Before the system's first start there were no streams.
     const bool knowsNotEnough = node.bootedAt > since && !node.settings.firstStart;
-    if (isListStale(node.book, now) || knowsNotEnough)
+    if (isListStale(node.targetTable, now) || knowsNotEnough)
         return std::nullopt;
     const auto versions = node.resuming.versions.find(service);
     return versions == node.resuming.versions.end() ? std::nullopt
@@ -94,10 +94,10 @@
 void lookForDoubt(GatewayNode &node, Instant now)
 {
     ResumeState &state = node.resuming;
-    state.doubted.clear();
+    state.ambiguousServices.clear();
     for (const auto &[service, versions] : state.versions) {
         if (!onlyVersionOf(node, service, now))
-            state.doubted.insert(service);
+            state.ambiguousServices.insert(service);
     }
 }
 
@@ -156,7 +156,7 @@
 
 asio::awaitable<void> tellKeeper(GatewayNode &node, Endpoint keeper, v1::OriginNote note)
 {
-    const auto noted = co_await node.links.noteOrigins(keeper, std::move(note), tellTimeout);
+    const auto noted = co_await node.peerLinks.noteOrigins(keeper, std::move(note), tellTimeout);
     static_cast<void>(noted); // two others keep it
 }
 
@@ -166,15 +166,15 @@
     ResumeState &state = node.resuming;
     std::vector<StreamId> due;
     std::deque<UnreportedStream> kept;
-    for (UnreportedStream &stream : state.untold) {
+    for (UnreportedStream &stream : state.unreported) {
         if (!originOf(state.origins, stream.id, now))
             continue;
-        if (state.doubted.count(stream.service) > 0)
+        if (state.ambiguousServices.count(stream.service) > 0)
             due.push_back(stream.id);
         else
             kept.push_back(std::move(stream));
     }
-    state.untold = std::move(kept);
+    state.unreported = std::move(kept);
     return due;
 }
 
@@ -214,7 +214,7 @@
 asio::awaitable<void> askKeeper(GatewayNode &node, Endpoint keeper, v1::OriginRequest request,
                                 std::shared_ptr<OriginAsk> ask)
 {
-    const auto reply = co_await node.links.askOrigin(keeper, std::move(request), askPatience);
+    const auto reply = co_await node.peerLinks.askOrigin(keeper, std::move(request), askPatience);
     --ask->open;
     if (reply && reply->known())
         ask->software = reply->software();
@@ -269,10 +269,10 @@
     recordOrigin(state.origins, id, {software, run.arrivedAt + std::min(patience, mostPatience)},
                  BootClock::now());
     state.longestTimeout = std::max(state.longestTimeout, std::min(patience, mostPatience));
-    state.untold.push_back({id, run.service});
-    if (state.untold.size() > maxStreamOrigins)
-        state.untold.pop_front();
-    if (state.doubted.count(run.service) > 0)
+    state.unreported.push_back({id, run.service});
+    if (state.unreported.size() > maxStreamOrigins)
+        state.unreported.pop_front();
+    if (state.ambiguousServices.count(run.service) > 0)
         state.due.notifyAll();
 }
 
@@ -327,15 +327,15 @@
     const ServiceSpec *service = run.routes->findService(run.service);
     const bool mayGoOn = run.route->resumable && service != nullptr && service->engine;
     const TargetRuntime &runtime = runtimeOf(node, target.id);
-    const bool mayHaveEnded = run.origin || runtime.pool.lostAt > runtime.startKnownAt;
-    if (!mayGoOn || target.born == 0 || !mayHaveEnded)
+    const bool mayHaveEnded = run.origin || runtime.pool.lostAt > runtime.startConfirmedAt;
+    if (!mayGoOn || target.startTime == 0 || !mayHaveEnded)
         co_return true;
     const Instant asked = BootClock::now();
     const EngineAddress address{target.id, target.endpoint};
     const auto report = co_await node.platform->report(node.http, address, askPatience);
-    if (!report || recordStartTime(node, target.id, report->born) == StartOrder::Newer)
+    if (!report || recordStartTime(node, target.id, report->startTime) == StartOrder::Newer)
         co_return false;
-    runtimeOf(node, target.id).startKnownAt = asked;
+    runtimeOf(node, target.id).startConfirmedAt = asked;
     co_return true;
 }
 
@@ -343,7 +343,7 @@
 {
     while (!node.stopped) {
         const Instant now = BootClock::now();
-        if (now - node.resuming.lookedAt >= versionLook)
+        if (now - node.resuming.versionsCheckedAt >= versionLook)
             lookAtVersions(node, now);
         lookForDoubt(node, now);
         forgetOrigins(node.resuming.origins, now);
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -77,7 +77,7 @@
 {
     if (!this->link)
         return;
-    const bool reusable = this->whole && !this->unusable && *this->written
+    const bool reusable = this->complete && !this->unusable && *this->written
         && this->parser->keep_alive() && this->link->buffer.size() == 0
         && this->link->socket.is_open();
     if (!reusable) {
@@ -113,8 +113,9 @@
 BodyDelimiter TargetExchange::bodyDelimiter() const
 {
     if (this->parser->need_eof())
-        return BodyDelimiter::Connection;
-    return this->targetId.empty() ? readForwardReport(this->head()).end : BodyDelimiter::Framing;
+        return BodyDelimiter::CloseDelimited;
+    return this->targetId.empty() ? readForwardReport(this->head()).end
+                                  : BodyDelimiter::SelfDelimited;
 }
 
 std::string TargetExchange::software() const
@@ -180,12 +181,12 @@
     limit.cancel();
     if (!headed || !this->link->socket.is_open()) {
         this->unusable = true;
-        co_return OfferResult::Silent;
+        co_return OfferResult::NoReply;
     }
     if (this->parser->get().result() == http::status::continue_)
-        co_return OfferResult::Taken;
+        co_return OfferResult::Accepted;
     this->unusable = true;
-    co_return OfferResult::Answered;
+    co_return OfferResult::Declined;
 }
 
 asio::awaitable<bool> TargetExchange::sendOfferedBody()
@@ -220,7 +221,7 @@
 
 asio::awaitable<bool> TargetExchange::readHead()
 {
-    this->whole = false;
+    this->complete = false;
     this->parser.emplace();
     this->parser->header_limit(headerLimit);
     this->parser->body_limit(boost::none);
@@ -254,7 +255,7 @@
         if (!piece.empty() && !this->parser->is_done())
             co_return BodyRead::Some;
     }
-    this->whole = true;
+    this->complete = true;
     co_return BodyRead::End;
 }
 
--- a/libs/gateway/src/TargetExchange.h
+++ b/libs/gateway/src/TargetExchange.h
@@ -24,9 +24,9 @@
 
 /** What became of a call that was offered to another VM. */
 enum class OfferResult : std::uint8_t {
-    Taken, ///< it waits for the rest of the request
-    Answered, ///< it does not take the call; head() tells why
-    Silent, ///< it did not answer in time, or the connection broke; it never runs the call
+    Accepted, ///< it waits for the rest of the request
+    Declined, ///< it does not take the call; head() tells why
+    NoReply, ///< it did not answer in time, or the connection broke; it never runs the call
 };
 
 /** One call to a target, or to another VM, on one connection. */
@@ -99,7 +99,7 @@
     std::optional<Parser> parser;
     AnswerMetadata answerFacts;
     std::array<char, 8192> space{};
-    bool whole = false;
+    bool complete = false;
     bool unusable = false;
     boost::system::error_code lastError;
 };
--- a/libs/gateway/src/TargetRestarts.cpp
+++ b/libs/gateway/src/TargetRestarts.cpp
@@ -13,7 +13,7 @@
     runtime.health = TargetHealth();
     runtime.pausedUntil = Instant{};
     runtime.limit = AdvertisedLimit();
-    runtime.leaves = false;
+    runtime.leaving = false;
     for (const TargetConnectionPtr &connection : runtime.pool.idle)
         closeConnection(*connection);
     runtime.pool.idle.clear();
@@ -27,22 +27,22 @@
 void forgetEngine(GatewayNode &node, const std::string &target, std::int64_t born)
 {
     node.reportedRuns.erase(target);
-    const auto held = node.desks.find(target);
-    if (held != node.desks.end()) {
+    const auto held = node.heldEngines.find(target);
+    if (held != node.heldEngines.end()) {
         resetScheduler(held->second->scheduler, born);
         held->second->retryAt = Instant{};
         held->second->refusals = 0;
         held->second->changed.notifyAll();
     }
-    const EngineRecord *known = node.facts.engines.find(target);
+    const EngineRecord *known = node.shared.engines.find(target);
     if (known == nullptr)
         return;
     EngineRecord record = *known;
-    record.born = born;
+    record.startTime = born;
     record.resident.clear();
     record.models.clear();
     record.loading = 0;
-    node.facts.engines.set(target, std::move(record), node.facts.counter);
+    node.shared.engines.set(target, std::move(record), node.shared.counter);
 }
 
 } // namespace
@@ -52,30 +52,30 @@
 // one that said it was leaving would get nothing for ever.
 StartOrder recordStartTime(GatewayNode &node, const std::string &target, std::int64_t born)
 {
-    const auto found = node.book.records.find(target);
-    if (found == node.book.records.end())
+    const auto found = node.targetTable.records.find(target);
+    if (found == node.targetTable.records.end())
         return StartOrder::Same;
     TargetRecord &record = found->second;
-    const StartOrder age = compareStarts(record.entry.born, born);
-    if (age == StartOrder::Same && record.entry.born == 0)
-        record.entry.born = born;
+    const StartOrder age = compareStarts(record.entry.startTime, born);
+    if (age == StartOrder::Same && record.entry.startTime == 0)
+        record.entry.startTime = born;
     if (age != StartOrder::Newer)
         return age;
     logEvent(EventId::TargetRestarted,
              {{"target", target},
               {"address", record.entry.endpoint.text()},
-              {"bornBefore", std::to_string(record.entry.born)},
+              {"bornBefore", std::to_string(record.entry.startTime)},
               {"born", std::to_string(born)}});
     recordEndByList(node, target, born);
-    forgetEngine(node.prefixes.book, engineKey(target, record.entry.born));
-    record.entry.born = born;
+    forgetEngine(node.prefixes.table, engineKey(target, record.entry.startTime));
+    record.entry.startTime = born;
     record.entry.leaving = false;
     record.entry.software.clear(); // it may have come back as another version
     record.entry.models.clear();
     record.entry.adapters.clear();
     record.gone = false;
     record.expiredAt = Instant{};
-    node.facts.targets.set(target, {record.entry, false}, node.facts.counter);
+    node.shared.targets.set(target, {record.entry, false}, node.shared.counter);
     forgetTarget(runtimeOf(node, target));
     forgetEngine(node, target, born);
     node.engineChanged.notifyAll();
--- a/libs/gateway/src/UsageReports.cpp
+++ b/libs/gateway/src/UsageReports.cpp
@@ -37,7 +37,7 @@
 
 asio::awaitable<void> tellHolder(GatewayNode &node, Endpoint holder, v1::UseNote note)
 {
-    const auto noted = co_await node.links.reportUsage(holder, std::move(note), noteTimeout);
+    const auto noted = co_await node.peerLinks.reportUsage(holder, std::move(note), noteTimeout);
     static_cast<void>(noted); // a lost note is made good by the next one
 }
 
@@ -45,11 +45,11 @@
 {
     std::map<Endpoint, v1::UseNote> notes;
     for (const std::string &target : node.runsChanged) {
-        const auto scheduler = node.desks.find(target);
-        if (scheduler != node.desks.end())
+        const auto scheduler = node.heldEngines.find(target);
+        if (scheduler != node.heldEngines.end())
             scheduler->second->changed.notifyAll();
         // Also one that did not answer lately: it may still give slots away.
-        const EngineRecord *record = node.facts.engines.find(target);
+        const EngineRecord *record = node.shared.engines.find(target);
         if (record == nullptr || !record->holderLive || record->holder == node.settings.peers)
             continue;
         *notes[record->holder].add_engines() = runsAt(node, target);
@@ -57,7 +57,7 @@
     node.runsChanged.clear();
     for (auto &[holder, note] : notes) {
         encodeSelf(node, *note.mutable_from());
-        note.set_sequence(++node.advanceSequence);
+        note.set_sequence(++node.usageSequence);
         spawn(node, "tell holder", tellHolder(node, holder, std::move(note)));
     }
 }
@@ -85,8 +85,8 @@
 
 int busySlots(GatewayNode &node, const std::string &target)
 {
-    const auto held = node.desks.find(target);
-    if (held == node.desks.end() || held->second->scheduler.sequence < 0
+    const auto held = node.heldEngines.find(target);
+    if (held == node.heldEngines.end() || held->second->scheduler.sequence < 0
         || !mayCommandNow(node, target))
         return 0;
     const Instant now = BootClock::now();
@@ -117,8 +117,8 @@
         runs.byAdapter.clear();
         for (const v1::AdapterUse &use : told.adapters())
             runs.byAdapter[use.adapter()] = use.runs();
-        const auto held = node.desks.find(told.target());
-        if (held != node.desks.end())
+        const auto held = node.heldEngines.find(told.target());
+        if (held != node.heldEngines.end())
             held->second->changed.notifyAll();
     }
     return {};
--- a/libs/gateway/src/UsageSnapshots.cpp
+++ b/libs/gateway/src/UsageSnapshots.cpp
@@ -196,7 +196,7 @@
             told->set_percent(static_cast<std::uint32_t>(percent));
         }
         digest.mutable_spend()->set_noted_ago_ms(
-            static_cast<std::uint64_t>(toMillis(now - permits.at)) + 1);
+            static_cast<std::uint64_t>(toMillis(now - permits.writtenAt)) + 1);
     }
     // Only who has not heard this boot of the VM before may have started since.
     const bool startsNow = now - node.bootedAt < node.settings.quota.window;
@@ -249,11 +249,11 @@
         return;
     const v1::SpendNews &news = digest.spend();
     UsagePermits permits;
-    permits.at = askedAt - std::chrono::milliseconds(news.noted_ago_ms());
+    permits.writtenAt = askedAt - std::chrono::milliseconds(news.noted_ago_ms());
     for (const v1::NotedSpend &told : news.noted_workspaces())
         permits.percents[told.workspace()] = decodePercent(told.percent());
     if (!permits.percents.empty())
-        node.metrics.record(Timing::NoteAge, toSeconds(BootClock::now() - permits.at));
+        node.metrics.record(Timing::NoteAge, toSeconds(BootClock::now() - permits.writtenAt));
     node.spend.permits = std::move(permits);
 }
 
--- a/libs/gateway/src/WorkspaceQuota.cpp
+++ b/libs/gateway/src/WorkspaceQuota.cpp
@@ -57,13 +57,13 @@
     // A VM that was suspended must not take what it heard before for what there is now.
     dropSilent(node.reported, reporterTimeout, now);
     FleetUsage fleet;
-    addUseOf(fleet.use, node.reported.workspaceTotal, workspace.name);
+    addUseOf(fleet.usage, node.reported.workspaceTotal, workspace.name);
     if (isRelayLive(node, now))
-        addUseOf(fleet.use, node.upstream.otherWorkspaces, workspace.name);
+        addUseOf(fleet.usage, node.relayState.otherWorkspaces, workspace.name);
     fleet.reachableVms = reachableVms(node, now);
     fleet.knownVms = knownVms(node, now);
     fleet.updateAge = loadReportAge(node);
-    fleet.allowed = allowedShare(node, workspace.name, now);
+    fleet.allowedShare = allowedShare(node, workspace.name, now);
     return fleet;
 }
 
@@ -72,7 +72,7 @@
 FleetUsage fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
     FleetUsage fleet = othersUseOf(node, workspace, now);
-    addUsage(fleet.use, ownUseOf(node, workspace, now));
+    addUsage(fleet.usage, ownUseOf(node, workspace, now));
     return fleet;
 }
 
@@ -102,11 +102,11 @@
               {"fits", verdict.fits ? "yes" : "no"},
               {"ratePerSecond",
                std::to_string(static_cast<std::int64_t>(workspace.limit.ratePerSecond))},
-              {"window", std::to_string(fleet.use.whole)},
-              {"askedPerSecond", std::to_string(fleet.use.requestedPerSecond)},
+              {"window", std::to_string(fleet.usage.unitsInWindow)},
+              {"askedPerSecond", std::to_string(fleet.usage.requestedPerSecond)},
               {"vmsInTouch", std::to_string(fleet.reachableVms)},
               {"vmsKnown", std::to_string(fleet.knownVms)},
-              {"allowed", std::to_string(fleet.allowed)},
+              {"allowed", std::to_string(fleet.allowedShare)},
               {"newsAgeMs", std::to_string(toMillis(fleet.updateAge))}});
 }
 
@@ -128,10 +128,10 @@
     UsageWindow &record = recordOf(node, workspace->name);
     FleetUsage fleet = othersUseOf(node, *workspace, now);
     WorkspaceUse before = ownUseOf(node, *workspace, now);
-    addUsage(before, fleet.use);
+    addUsage(before, fleet.usage);
     const CallClass callClass = classOf(before, units, rankOf(run));
     recordRequested(record, policy, units, now, callClass);
-    addUsage(fleet.use, ownUseOf(node, *workspace, now));
+    addUsage(fleet.usage, ownUseOf(node, *workspace, now));
     const QuotaDecision verdict =
         admitCall(record, workspace->limit, policy, fleet, units, now, callClass);
     if (!verdict.admitted) {
--- a/libs/gateway/src/ZonePeers.cpp
+++ b/libs/gateway/src/ZonePeers.cpp
@@ -18,7 +18,7 @@
 
 bool isReachable(const PeerState &peer, Instant now)
 {
-    return !peer.stopping && (peer.failures == 0 || now - peer.reportedAt < reporterTimeout);
+    return !peer.stopping && (peer.failures == 0 || now - peer.lastReportAt < reporterTimeout);
 }
 
 RelayRank rankOf(const PeerState &peer)
@@ -41,7 +41,7 @@
         mate.rank = rankOf(peer);
         mate.reachable = isReachable(peer, now);
         mate.starting = peer.starting;
-        mate.holding = peer.holding;
+        mate.leaseHolder = peer.leaseHolder;
         mate.linksLost = peer.linksLost;
         found.mates.push_back(mate);
         found.peers.push_back(&peer);
--- a/libs/gateway/tests/ForwardedCalls.cpp
+++ b/libs/gateway/tests/ForwardedCalls.cpp
@@ -73,7 +73,7 @@
 {
     GatewayNode node((GatewaySettings()));
     ForwardedCall call = someCall();
-    cr_assert_eq(admitForwarded(node, call), ForwardRefusal::OtherConfig);
+    cr_assert_eq(admitForwarded(node, call), ForwardRefusal::ConfigMismatch);
     call.configVersion = node.routes->config().version;
     cr_assert_eq(admitForwarded(node, call), ForwardRefusal::None);
     node.serviceLinks["other"].lost = true;
--- a/libs/gateway/tests/HarmfulWatches.cpp
+++ b/libs/gateway/tests/HarmfulWatches.cpp
@@ -56,7 +56,7 @@
         report.set_known_boot(known.seenBoot);
         report.set_known_change(known.seenChange);
         report.set_in_whole(known.fullSyncRunning);
-        for (const auto &[id, entry] : asker.facts.evidence.all()) {
+        for (const auto &[id, entry] : asker.shared.evidence.all()) {
             if (entry.value.own)
                 encodeEvidence(id, entry.value.evidence, BootClock::now(), *report.add_evidence());
         }
@@ -140,7 +140,7 @@
     }
     evaluateEvidence(node);
     cr_assert_not(refuses(node, harmful));
-    cr_assert_eq(node.facts.evidence.all().size(), 1);
+    cr_assert_eq(node.shared.evidence.all().size(), 1);
 }
 
 Test(harmful_watch, evidence_is_forgotten_after_its_time)
@@ -154,7 +154,7 @@
     cr_assert(refuses(node, harmful));
     pruneEvidence(node, now + evidenceTtl + 1s);
     cr_assert_not(refuses(node, harmful));
-    cr_assert(node.facts.evidence.all().empty());
+    cr_assert(node.shared.evidence.all().empty());
     cr_assert_eq(node.evidenceCalls, 0);
 }
 
@@ -165,7 +165,7 @@
     TargetEntry entry;
     entry.id = id;
     entry.service = "engines";
-    entry.born = born;
+    entry.startTime = born;
     entry.leaving = leaving;
     return entry;
 }
@@ -198,7 +198,7 @@
         loseCall(node, "a");
         dropTargetByPeer(node, "a", true);
     }
-    cr_assert(node.facts.evidence.all().empty());
+    cr_assert(node.shared.evidence.all().empty());
 }
 
 // Symptom would be a VM that runs out of memory, or one that forgets a harmful call, while many
@@ -215,6 +215,6 @@
                             {"t" + std::to_string(end), 0, {{10000 + end, 3}}, now});
     evaluateEvidence(node);
     pruneEvidence(node, now);
-    cr_assert_leq(node.facts.evidence.all().size(), mostKept);
+    cr_assert_leq(node.shared.evidence.all().size(), mostKept);
     cr_assert(refuses(node, harmful));
 }
--- a/libs/gateway/tests/LinkWatches.cpp
+++ b/libs/gateway/tests/LinkWatches.cpp
@@ -15,14 +15,14 @@
 /** A VM with these targets of one service; `goods`: good answers that others tell of each. */
 void listTargets(GatewayNode &node, int targets, int goods)
 {
-    node.book.lastRead = BootClock::now();
+    node.targetTable.lastReadAt = BootClock::now();
     for (int index = 0; index < targets; ++index) {
         TargetEntry entry;
         entry.id = "t" + std::to_string(index);
         entry.service = "engines";
         entry.endpoint = {"127.0.0.1", 1}; // nobody listens there
-        recordListed(node.book, entry);
-        node.upstream.others[entry.id].goods = goods;
+        recordListed(node.targetTable, entry);
+        node.relayState.others[entry.id].successes = goods;
     }
 }
 
@@ -54,8 +54,8 @@
     plain.id = "p0";
     plain.service = "bookings";
     plain.endpoint = {"127.0.0.1", 1};
-    recordListed(node.book, plain);
-    node.upstream.others[plain.id].goods = 30;
+    recordListed(node.targetTable, plain);
+    node.relayState.others[plain.id].successes = 30;
     ServingConfig config;
     config.version = 1;
     config.services.resize(2);
@@ -74,8 +74,8 @@
 {
     GatewayNode node((GatewaySettings()));
     listTargets(node, 5, 4);
-    for (auto &[target, use] : node.upstream.others)
-        use.faults = 60;
+    for (auto &[target, use] : node.relayState.others)
+        use.failures = 60;
     recordLinkFailure(node, "t0");
     recordLinkFailure(node, "t1");
     node.context.run_for(50ms);
@@ -106,7 +106,7 @@
     recordLostCall(run, "t0");
     recordLostCall(run, "t1");
     node.context.run_for(400ms);
-    return node.facts.evidence.all().size();
+    return node.shared.evidence.all().size();
 }
 
 } // namespace
--- a/libs/gateway/tests/LoadCounts.cpp
+++ b/libs/gateway/tests/LoadCounts.cpp
@@ -12,11 +12,11 @@
     TargetEntry entry;
     entry.id = id;
     entry.service = "engines";
-    recordListed(node.book, entry);
+    recordListed(node.targetTable, entry);
     EngineRecord record;
     record.holderLive = holderLive;
     record.loading = loading;
-    node.facts.engines.set(id, record, node.facts.counter);
+    node.shared.engines.set(id, record, node.shared.counter);
 }
 
 } // namespace
@@ -38,8 +38,8 @@
     GatewayNode node{GatewaySettings()};
     listEngine(node, "e1", 3, true);
     listEngine(node, "e2", 4, true);
-    recordRemoved(node.book, "e2", BootClock::now());
+    recordRemoved(node.targetTable, "e2", BootClock::now());
     cr_assert_eq(loadsUnderWay(node), 3);
-    dropGone(node.book, BootClock::now());
+    dropGone(node.targetTable, BootClock::now());
     cr_assert_eq(loadsUnderWay(node), 3);
 }
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -87,15 +87,15 @@
 {
     GatewayNode node(settingsOfVm1());
     TargetEntry entry = listedTarget("t", false);
-    entry.born = 2;
+    entry.startTime = 2;
     applyPeerTargets(node, {entry});
     markLeavingByPeer(node, "t", 1);
-    cr_assert(mayTakeWork(node.book.records.at("t")));
+    cr_assert(mayTakeWork(node.targetTable.records.at("t")));
     markLeavingByPeer(node, "t", 2);
-    cr_assert_not(mayTakeWork(node.book.records.at("t")));
-    entry.born = 3;
+    cr_assert_not(mayTakeWork(node.targetTable.records.at("t")));
+    entry.startTime = 3;
     applyPeerTargets(node, {entry});
-    cr_assert(mayTakeWork(node.book.records.at("t")));
+    cr_assert(mayTakeWork(node.targetTable.records.at("t")));
 }
 
 // Symptom: callers of a cut zone of 21 VMs were refused for 4 s, "no engine has room", while its
@@ -171,7 +171,7 @@
         record.models = {"base-model"};
         for (int slot = 0; slot < slots; ++slot)
             record.resident["base-model/a" + std::to_string(index * slots + slot)] = 1;
-        node->facts.engines.set(entry.id, std::move(record), node->facts.counter);
+        node->shared.engines.set(entry.id, std::move(record), node->shared.counter);
         listed.push_back(std::move(entry));
     }
     applyPeerTargets(*node, std::move(listed));
@@ -225,13 +225,13 @@
 Test(peers, news_in_pieces_end_with_what_the_relay_knows)
 {
     const auto relay = relayAtFullSize();
-    recordListRead(relay->book, BootClock::now());
+    recordListRead(relay->targetTable, BootClock::now());
     GatewayNode asker(settingsOfVm7());
     applyPeerTargets(asker, {listedTarget("gone-before", false)});
     std::uint64_t sequence = 0;
     cr_assert(exchangeOnce(asker, *relay, ++sequence));
-    cr_assert_eq(asker.book.lastRead, Instant{}, "a part of the list is not the list");
-    const std::string first = asker.facts.targets.all().begin()->first;
+    cr_assert_eq(asker.targetTable.lastReadAt, Instant{}, "a part of the list is not the list");
+    const std::string first = asker.shared.targets.all().begin()->first;
     dropTargetByPeer(*relay, first, true);
     applyPeerTargets(*relay, {listedTarget("come-meanwhile", false)});
     cr_assert_not_null(entryOf(asker, "gone-before"), "dropped only when all is told");
@@ -239,9 +239,9 @@
     cr_assert_null(entryOf(asker, first));
     cr_assert_null(entryOf(asker, "gone-before"));
     cr_assert_not_null(entryOf(asker, "come-meanwhile"));
-    cr_assert_eq(asker.book.records.size(), relay->book.records.size());
-    cr_assert_eq(asker.facts.engines.all().size(), relay->facts.engines.all().size());
-    cr_assert_neq(asker.book.lastRead, Instant{});
+    cr_assert_eq(asker.targetTable.records.size(), relay->targetTable.records.size());
+    cr_assert_eq(asker.shared.engines.all().size(), relay->shared.engines.all().size());
+    cr_assert_neq(asker.targetTable.lastReadAt, Instant{});
     cr_assert(!exchangeOnce(asker, *relay, ++sequence), "nothing is told twice");
 }
 
@@ -254,10 +254,10 @@
     std::uint64_t sequence = 0;
     cr_assert(exchangeOnce(asker, *relay, ++sequence));
     GatewayNode reborn(settingsOfVm1());
-    recordListRead(reborn.book, BootClock::now());
+    recordListRead(reborn.targetTable, BootClock::now());
     applyPeerTargets(reborn, {listedTarget("only", false)});
     cr_assert(!exchangeOnce(asker, reborn, ++sequence));
-    cr_assert_eq(asker.book.records.size(), 1);
+    cr_assert_eq(asker.targetTable.records.size(), 1);
     cr_assert_not_null(entryOf(asker, "only"));
 }
 
@@ -267,7 +267,7 @@
 std::unique_ptr<GatewayNode> relayThatLists(const std::string &target)
 {
     auto relay = std::make_unique<GatewayNode>(settingsOfVm1());
-    recordListRead(relay->book, BootClock::now());
+    recordListRead(relay->targetTable, BootClock::now());
     applyPeerTargets(*relay, {listedTarget(target, false)});
     return relay;
 }
@@ -296,7 +296,7 @@
     settings.vm = "vm-2";
     settings.peers = {"10.0.0.2", 7380};
     GatewayNode between(settings);
-    recordListRead(between.book, BootClock::now());
+    recordListRead(between.targetTable, BootClock::now());
     applyPeerTargets(between, {listedTarget("stays", false), listedTarget("left", false)});
     GatewayNode asker(settingsOfVm7());
     std::uint64_t sequence = 0;
@@ -314,12 +314,12 @@
     const auto relay = relayThatLists("stays");
     GatewayNode asker(settingsOfVm7());
     applyPeerTargets(asker, {listedTarget("stays", false), listedTarget("new", false)});
-    recordListRead(asker.book, BootClock::now());
+    recordListRead(asker.targetTable, BootClock::now());
     std::uint64_t sequence = 0;
     cr_assert(!exchangeOnce(asker, *relay, ++sequence));
     cr_assert(!exchangeOnce(asker, *relay, ++sequence), "it is not told again all the while");
     cr_assert_not_null(entryOf(asker, "new"));
-    recordListRead(relay->book, BootClock::now() + std::chrono::seconds(2));
+    recordListRead(relay->targetTable, BootClock::now() + std::chrono::seconds(2));
     while (exchangeOnce(asker, *relay, ++sequence)) { }
     cr_assert_null(entryOf(asker, "new"));
 }
@@ -329,8 +329,8 @@
 Test(peers, a_dropped_target_does_not_come_back_by_one_that_waits_for_it)
 {
     const auto relay = relayThatLists("left");
-    recordListFailure(relay->book, BootClock::now() - std::chrono::seconds(4));
-    recordListRead(relay->book, BootClock::now());
+    recordListFailure(relay->targetTable, BootClock::now() - std::chrono::seconds(4));
+    recordListRead(relay->targetTable, BootClock::now());
     dropTargetByPeer(*relay, "left", false);
     cr_assert_not_null(entryOf(*relay, "left"), "it waits");
     GatewayNode starter(settingsOfVm7());
--- a/libs/gateway/tests/PrefillReservations.cpp
+++ b/libs/gateway/tests/PrefillReservations.cpp
@@ -23,7 +23,7 @@
     entry.id = id;
     entry.service = "engines";
     entry.zone = "zone-a";
-    recordListed(node.book, entry);
+    recordListed(node.targetTable, entry);
 }
 
 void orderAll(GatewayNode &node)
@@ -33,7 +33,7 @@
     node.lease.until = now + std::chrono::hours(1);
     for (int partition = 0; partition < node.settings.partitions; ++partition) {
         node.lease.activeFrom[partition] = now - std::chrono::seconds(1);
-        node.lease.noted.insert(partition);
+        node.lease.recorded.insert(partition);
     }
 }
 
@@ -55,10 +55,10 @@
     GatewayNode node(settingsOfVm());
     listEngine(node, "e1");
     cr_assert_not(handlePrefillRequest(node, requestFor("e1", 9000, 0)).holder());
-    cr_assert(node.prefill.ordered.empty());
+    cr_assert(node.prefill.held.empty());
     orderAll(node);
     cr_assert_not(handlePrefillRequest(node, requestFor("unknown", 9000, 0)).holder());
-    cr_assert(node.prefill.ordered.empty());
+    cr_assert(node.prefill.held.empty());
 }
 
 // Guards against two calls of different VMs that both take an engine for idle.
--- a/libs/gateway/tests/Prefixes.cpp
+++ b/libs/gateway/tests/Prefixes.cpp
@@ -40,7 +40,7 @@
     {
         TargetEntry engine;
         engine.id = "engine-1";
-        engine.born = 1;
+        engine.startTime = 1;
         applyPeerTargets(this->node, {engine});
     }
 
@@ -181,10 +181,10 @@
     answerReport(relay.node, early); // an older one comes late
     PeerState &known = mate.node.peers[relay.node.settings.peers];
     known.seenPrefix = 1'000'000; // of a log that the relay never had
-    recordRead(relay.node.prefixes.book, 7, {{42, 5000}}, BootClock::now());
+    recordRead(relay.node.prefixes.table, 7, {{42, 5000}}, BootClock::now());
     logPrefix(relay.node.prefixes.log, {7, {42, 5000}}, PrefixSource::Own, 0, BootClock::now());
     exchange(mate, relay);
-    cr_assert_eq(cachedPrefixTokens(mate.node.prefixes.book, 7, {{42, 5000}}), 5000);
+    cr_assert_eq(cachedPrefixTokens(mate.node.prefixes.table, 7, {{42, 5000}}), 5000);
     Vm reborn("zone-a", 2);
     exchange(mate, reborn);
     cr_assert_eq(known.seenPrefix, 0, "the numbers of the former boot say nothing");
@@ -229,7 +229,7 @@
     std::mt19937_64 random(11);
     PrefixLog log;
     PrefixReader reader;
-    reader.mate = true;
+    reader.zonePeer = true;
     constexpr int messages = 50;
     Instant now = Instant{} + std::chrono::seconds(1000);
     std::size_t bytes = 0;
@@ -279,5 +279,5 @@
     const v1::Digest digest = answerReport(relay.node, report);
     cr_assert_not(report.has_prefixes());
     cr_assert_not(digest.has_prefixes());
-    cr_assert(first.node.prefixes.book.engines.empty());
+    cr_assert(first.node.prefixes.table.engines.empty());
 }
--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -44,7 +44,7 @@
         TargetRecord target;
         target.entry.id = "e";
         target.entry.service = "engines";
-        this->node.book.records["e"] = target;
+        this->node.targetTable.records["e"] = target;
         addPeer(this->node, holder, {"vm-2", "zone-a", 1});
         EngineRecord record;
         record.holder = holder;
@@ -65,7 +65,7 @@
         run.deadline = BootClock::now() + 60s;
         startCapacityWait(run);
         // Long enough for a busy machine.
-        run.place.softDeadline = run.place.by = BootClock::now() + 50s;
+        run.capacityWait.softDeadline = run.capacityWait.deadline = BootClock::now() + 50s;
         asio::co_spawn(this->node.context, this->waitOne(run), asio::detached);
         this->node.context.poll();
     }
@@ -88,7 +88,7 @@
 
     void useSlots(int busy)
     {
-        this->node.upstream.others["e"].busySlots = busy;
+        this->node.relayState.others["e"].busySlots = busy;
     }
 
     std::deque<Route> routes;
@@ -146,7 +146,7 @@
     crowd.wait(0);
     cr_assert(crowd.refused.empty(), "it has 50 s");
     ActiveCall &run = crowd.runs.front();
-    run.place.by = BootClock::now() + 20ms;
+    run.capacityWait.deadline = BootClock::now() + 20ms;
     asio::co_spawn(crowd.node.context, crowd.waitOne(run), asio::detached);
     crowd.node.context.poll();
     cr_assert_eq(crowd.refused.size(), 1);
@@ -165,7 +165,7 @@
     crowd.useSlots(2);
     crowd.wait(0);
     crowd.wait(1);
-    crowd.runs.front().callerGone = true;
+    crowd.runs.front().callerDisconnected = true;
     crowd.wake();
     cr_assert_eq(callsWaiting(crowd.node), 1);
     crowd.node.routes = std::make_shared<RouteTable>(ServingConfig());
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -57,7 +57,7 @@
 
     std::int64_t used()
     {
-        return ownWorkspaceUses(this->node, BootClock::now())["ferry"].whole;
+        return ownWorkspaceUses(this->node, BootClock::now())["ferry"].unitsInWindow;
     }
 
     GatewayNode node;
@@ -118,8 +118,8 @@
 {
     Served served(600);
     served.node.vmListRead = false;
-    served.node.upstream.at = BootClock::now();
-    served.node.upstream.reachableVms = 2;
+    served.node.relayState.at = BootClock::now();
+    served.node.relayState.reachableVms = 2;
     const std::optional<LocalReply> refused = chargeQuota(served.run);
     cr_assert(refused && refused->status == 503);
     served.node.bootedAt = BootClock::now() - 10s;
@@ -210,7 +210,7 @@
 WorkspaceUse useWithClasses()
 {
     WorkspaceUse use;
-    use.whole = 7000;
+    use.unitsInWindow = 7000;
     use.requestedPerSecond = 1000;
     use.requestedByClass = {10, 200, 0, 790};
     use.callsInWindowByClass = {4, 3, 0, 1};
@@ -266,7 +266,7 @@
     cr_expect(decodeWorkspaceUse(toldOf(more)) == plain, "classes are more than the whole");
     gateway::v1::WorkspaceUse huge;
     huge.set_units(~0ULL);
-    cr_expect_gt(decodeWorkspaceUse(huge).whole, 0, "use does not turn into room");
+    cr_expect_gt(decodeWorkspaceUse(huge).unitsInWindow, 0, "use does not turn into room");
 }
 
 // Guards against a booking that is refused beside long prompts, which use the limit up.
@@ -278,7 +278,7 @@
     GatewayNode other(settingsOf("vm-2", "10.0.0.2"));
     gateway::v1::Report report = reportOf(other, 1);
     WorkspaceUse used;
-    used.whole = 8000;
+    used.unitsInWindow = 8000;
     used.requestedPerSecond = 2000;
     used.requestedByClass = {0, 2000, 0, 0};
     used.callsInWindowByClass = {0, 40, 0, 0};
--- a/libs/membership/include/membership/Membership.h
+++ b/libs/membership/include/membership/Membership.h
@@ -57,7 +57,7 @@
     {
         Member member;
         Instant changedAt{};
-        Instant heardAt{};
+        Instant lastContactAt{};
         Instant exchangedAt{}; ///< a message of ours was answered by the member itself
         int gossipBudget = 0;
         bool probing = false;
--- a/libs/membership/src/Membership.cpp
+++ b/libs/membership/src/Membership.cpp
@@ -42,7 +42,7 @@
     known.changedAt = now;
     known.gossipBudget = repeatsFor(state);
     if (member.state == MemberState::Alive)
-        known.heardAt = now;
+        known.lastContactAt = now;
 }
 
 void setState(MembershipState &state, Known &known, MemberState memberState, Instant now)
@@ -66,7 +66,7 @@
     Known known;
     known.member = member;
     known.changedAt = now;
-    known.heardAt = now;
+    known.lastContactAt = now;
     known.gossipBudget = repeatsFor(state);
     state.others.push_back(known);
     ++state.version;
@@ -185,7 +185,7 @@
     Known *known = findKnown(state, vm);
     if (known == nullptr)
         return;
-    known->heardAt = now;
+    known->lastContactAt = now;
     known->probing = false;
     // Hearing a suspect clears the suspicion here at once; the others wait for the member's own
     // refutation, which the gossip that follows will provoke.
--- a/libs/ownership/include/ownership/Ownership.h
+++ b/libs/ownership/include/ownership/Ownership.h
@@ -24,7 +24,7 @@
 {
     Duration lease = std::chrono::milliseconds(2000);
     Duration margin = std::chrono::milliseconds(300); ///< for clocks that run unequally fast
-    Duration settle = std::chrono::milliseconds(1000); ///< no claims so soon after the start
+    Duration startupDelay = std::chrono::milliseconds(1000); ///< no claims so soon after the start
     Duration reachableFor = std::chrono::milliseconds(3000);
     Duration minTenure = std::chrono::seconds(5); ///< before a target moves for balance
 };
--- a/libs/ownership/src/Ownership.cpp
+++ b/libs/ownership/src/Ownership.cpp
@@ -74,7 +74,7 @@
 {
     if (state.leaving || claim.phase != ClaimPhase::None)
         return false;
-    if (now < state.startedAt + state.config.settle)
+    if (now < state.startedAt + state.config.startupDelay)
         return false;
     // Claiming what one cannot reach would take a target from a zone that is cut off and serves
     // it well, without being able to serve it here.
--- a/libs/quota/benchmark/Admitting.cpp
+++ b/libs/quota/benchmark/Admitting.cpp
@@ -23,7 +23,7 @@
         now += std::chrono::milliseconds(10);
         recordRequested(record, policy, 9190, now);
         FleetUsage fleet;
-        fleet.use = usageOf(record, policy, now);
+        fleet.usage = usageOf(record, policy, now);
         const QuotaDecision verdict = admitCall(record, limit, policy, fleet, 9190, now);
         if (verdict.admitted)
             recordUsage(record, policy, 9190, now);
@@ -52,7 +52,7 @@
         const CallClass callClass = classOf(usageOf(record, policy, now), units, rank);
         recordRequested(record, policy, units, now, callClass);
         FleetUsage fleet;
-        fleet.use = usageOf(record, policy, now);
+        fleet.usage = usageOf(record, policy, now);
         const QuotaDecision verdict =
             admitCall(record, limit, policy, fleet, units, now, callClass);
         if (verdict.admitted)
--- a/libs/quota/include/quota/Admission.h
+++ b/libs/quota/include/quota/Admission.h
@@ -12,11 +12,11 @@
 /** What is known of one workspace over all VMs that are in touch with this one. */
 struct FleetUsage
 {
-    WorkspaceUse use; ///< of these VMs, this one among them
+    WorkspaceUse usage; ///< of these VMs, this one among them
     int reachableVms = 1;
     int knownVms = 1;
     Duration updateAge{}; ///< of what these VMs told, in the mean
-    double allowed = 1; ///< part of what may be used in a window; see UsageSnapshotWriter
+    double allowedShare = 1; ///< part of what may be used in a window; see UsageSnapshotWriter
 
     bool operator==(const FleetUsage &) const = default;
 };
--- a/libs/quota/include/quota/FleetSize.h
+++ b/libs/quota/include/quota/FleetSize.h
@@ -13,9 +13,9 @@
 struct FleetSize
 {
     int known = 1;
-    Instant heardAt{}; ///< when all known ones were heard last; zero: they are only listed
-    Instant begunAt{}; ///< when the first count was noted
-    int least = 0; ///< that were heard at once in the present span
+    Instant seenAt{}; ///< when all known ones were heard last; zero: they are only listed
+    Instant firstCountAt{}; ///< when the first count was noted
+    int minReachable = 0; ///< that were heard at once in the present span
     Instant spanStartedAt{}; ///< zero: nothing was noted yet
     bool firstSpan = true;
 
@@ -25,9 +25,9 @@
 /** What a VM knows of the number of VMs. */
 struct VmCount
 {
-    int inTouch = 1; ///< heard now, this one among them
+    int reachable = 1; ///< heard now, this one among them
     int listed = 1; ///< known by name; some of them may be gone for long
-    bool storeHeard = false; ///< lately: silent VMs are not only cut off from this one
+    bool storeReachable = false; ///< lately: silent VMs are not only cut off from this one
 
     auto operator<=>(const VmCount &) const = default;
 };
--- a/libs/quota/include/quota/UsageSnapshotWriter.h
+++ b/libs/quota/include/quota/UsageSnapshotWriter.h
@@ -17,7 +17,7 @@
 struct UsagePermits
 {
     UsagePercents percents;
-    Instant at{}; ///< when the request began that the store acknowledged
+    Instant writtenAt{}; ///< when the request began that the store acknowledged
 
     auto operator<=>(const UsagePermits &) const = default;
 };
@@ -26,7 +26,7 @@
 struct MinPercent
 {
     int percent = 0;
-    Instant until{}; ///< no less before this
+    Instant validUntil{}; ///< no less before this
 
     auto operator<=>(const MinPercent &) const = default;
 };
@@ -35,10 +35,10 @@
 struct UsageSnapshotWriter
 {
     UsagePercents wanted;
-    std::map<std::string, MinPercent> held; ///< by workspace
+    std::map<std::string, MinPercent> minPercents; ///< by workspace
     UsagePercents writing; ///< what the note names that is under way
     bool isWriting = false;
-    Instant begunAt{}; ///< of the last request
+    Instant lastWriteAt{}; ///< of the last request
     Instant notBefore{}; ///< no note before this
     UsagePermits acknowledged;
     bool maybeInStore = false; ///< the zone's note in the store may name workspaces
--- a/libs/quota/include/quota/UsageWindow.h
+++ b/libs/quota/include/quota/UsageWindow.h
@@ -16,13 +16,14 @@
 {
     static constexpr std::size_t parts = 32; ///< of the window
 
-    WindowCounts<std::int64_t, parts> spent;
-    WindowCounts<std::int64_t, parts> asked;
+    WindowCounts<std::int64_t, parts> used;
+    WindowCounts<std::int64_t, parts> requested;
     Instant since{}; ///< the VM's start: there were no asks before
     std::array<WindowCounts<std::int64_t, parts>, callClassCount> requestedByClass;
     std::array<WindowCounts<std::int64_t, parts>, callClassCount> callsInWindowByClass;
     double carry = 0; ///< see admitCall(); in [0, 1)
-    std::array<double, callClassCount> carried{}; ///< by class, what was added to `carry` since
+    std::array<double, callClassCount>
+        carryByClass{}; ///< by class, what was added to `carry` since
 };
 
 /** A call asks for `units`, whether it gets them or not. */
--- a/libs/quota/include/quota/WorkspaceUse.h
+++ b/libs/quota/include/quota/WorkspaceUse.h
@@ -13,7 +13,7 @@
  */
 struct WorkspaceUse
 {
-    std::int64_t whole = 0; ///< units in the window
+    std::int64_t unitsInWindow = 0; ///< units in the window
     std::int64_t requestedPerSecond = 0; ///< units, whether they were let run or not
     CountsByClass requestedByClass{}; ///< of requestedPerSecond; the rest is of the last class
     CountsByClass callsInWindowByClass{}; ///< calls that asked in the window
--- a/libs/quota/src/Admission.cpp
+++ b/libs/quota/src/Admission.cpp
@@ -38,8 +38,8 @@
 double admittedPerSecond(const WorkspaceLimit &limit, const QuotaPolicy &policy,
                          const FleetUsage &fleet) noexcept
 {
-    const double room = reachableShare(fleet) * fleet.allowed * usableInWindow(limit, policy)
-        - static_cast<double>(fleet.use.whole);
+    const double room = reachableShare(fleet) * fleet.allowedShare * usableInWindow(limit, policy)
+        - static_cast<double>(fleet.usage.unitsInWindow);
     return std::max(room / secondsToFill(policy, fleet), 0.0);
 }
 
@@ -67,8 +67,8 @@
 {
     const double here = requestRateBefore(own, policy, Duration::zero(), now);
     const double before = requestRateBefore(own, policy, fleet.updateAge, now);
-    const double others = std::max(static_cast<double>(fleet.use.requestedPerSecond) - here, 0.0);
-    const double few = fewCalls * typicalUnits(fleet.use, units) / toSeconds(policy.window);
+    const double others = std::max(static_cast<double>(fleet.usage.requestedPerSecond) - here, 0.0);
+    const double few = fewCalls * typicalUnits(fleet.usage, units) / toSeconds(policy.window);
     const double growth = (here + few) / (before + few);
     return here + others * std::clamp(growth, 1 / mostGrowth, mostGrowth);
 }
@@ -77,7 +77,7 @@
 // are those of a whole window at all VMs, heard or not: others of the workspace's calls fare alike.
 ClassDemand classDemandOf(const QuotaPolicy &policy, const FleetUsage &fleet, double asked)
 {
-    const WorkspaceUse &use = fleet.use;
+    const WorkspaceUse &use = fleet.usage;
     const double inWindow = asked * toSeconds(policy.window) / reachableShare(fleet);
     const double times =
         inWindow / static_cast<double>(std::max<std::int64_t>(use.requestedInWindow, 1));
@@ -104,7 +104,7 @@
 {
     const double whole = maxInWindow(limit, policy);
     const double part = reachableShare(fleet) * whole;
-    const double free = steadyRoom * fleet.allowed;
+    const double free = steadyRoom * fleet.allowedShare;
     return (cost > part && cost <= whole) || (cost > free * part && cost <= free * whole);
 }
 
@@ -143,18 +143,19 @@
     // What was let run since the others told of it counts as used already.
     FleetUsage ahead = fleet;
     const double letRun = std::min(admittedPerSecond(limit, policy, fleet), asked);
-    const double leaving = static_cast<double>(fleet.use.whole) / toSeconds(policy.window);
+    const double leaving =
+        static_cast<double>(fleet.usage.unitsInWindow) / toSeconds(policy.window);
     const double untold = std::max(letRun - leaving, 0.0) * toSeconds(fleet.updateAge);
-    ahead.use.whole += static_cast<std::int64_t>(untold);
+    ahead.usage.unitsInWindow += static_cast<std::int64_t>(untold);
     const double rate = admittedPerSecond(limit, policy, ahead);
     const double most = reachableShare(fleet) * maxInWindow(limit, policy);
     const auto cost = static_cast<double>(units);
-    const double allowed = most * fleet.allowed;
-    const double room = allowed - static_cast<double>(ahead.use.whole);
+    const double allowed = most * fleet.allowedShare;
+    const double room = allowed - static_cast<double>(ahead.usage.unitsInWindow);
     const bool fits = cost <= room || isDecidedByShare(limit, policy, fleet, cost);
     const ClassDemand demand = classDemandOf(policy, fleet, asked);
     const double share = classSharesOf(demand, std::min(rate / asked, 1.0))[indexOf(callClass)];
-    double &carried = own.carried[indexOf(callClass)];
+    double &carried = own.carryByClass[indexOf(callClass)];
     carried += fits ? share : 0;
     if (own.carry + carried >= 1) {
         carried -= 1;
@@ -173,7 +174,7 @@
     const double kept = std::clamp(1 + endShare - toSeconds(sinceStart) / window, 0.0, 1.0);
     const double most = usableInWindow(limit, policy) - limit.ratePerSecond * fillShare * window;
     WorkspaceUse use;
-    use.whole = static_cast<std::int64_t>(most * kept / std::max(knownVms, 1));
+    use.unitsInWindow = static_cast<std::int64_t>(most * kept / std::max(knownVms, 1));
     return use;
 }
 
--- a/libs/quota/src/FleetSize.cpp
+++ b/libs/quota/src/FleetSize.cpp
@@ -20,13 +20,13 @@
 
 void takeSettled(FleetSize &size, int settled, bool storeHeard, Instant now)
 {
-    const bool onlyListed = size.heardAt == Instant{};
-    const Instant since = onlyListed ? size.begunAt : size.heardAt;
+    const bool onlyListed = size.seenAt == Instant{};
+    const Instant since = onlyListed ? size.firstCountAt : size.seenAt;
     const bool forgotten = storeHeard && now - since > (onlyListed ? listCounts : silentCounts);
     if (settled < size.known && !forgotten)
         return;
     size.known = settled;
-    size.heardAt = now;
+    size.seenAt = now;
 }
 
 } // namespace
@@ -35,22 +35,22 @@
 // are heard have been counted.
 void updateFleetSize(FleetSize &size, const VmCount &count, Instant now) noexcept
 {
-    if (size.heardAt == Instant{})
+    if (size.seenAt == Instant{})
         size.known = std::max(size.known, count.listed);
     if (size.spanStartedAt == Instant{}) {
-        size.begunAt = now;
+        size.firstCountAt = now;
         size.spanStartedAt = now;
-        size.least = count.inTouch;
+        size.minReachable = count.reachable;
     }
-    size.least = std::min(size.least, count.inTouch);
+    size.minReachable = std::min(size.minReachable, count.reachable);
     if (now - size.spanStartedAt < span)
         return;
     // In its first span a VM does not hear all yet.
     if (!size.firstSpan)
-        takeSettled(size, size.least, count.storeHeard, now);
+        takeSettled(size, size.minReachable, count.storeReachable, now);
     size.firstSpan = false;
     size.spanStartedAt = now;
-    size.least = count.inTouch;
+    size.minReachable = count.reachable;
 }
 
 } // namespace monsoonbay
--- a/libs/quota/src/UnitsByAge.cpp
+++ b/libs/quota/src/UnitsByAge.cpp
@@ -14,11 +14,11 @@
 
 UnitsByAge unitsByAge(UsageWindow &record, const QuotaPolicy &policy, Instant now)
 {
-    advance(record.spent, policy.window, now);
+    advance(record.used, policy.window, now);
     UnitsByAge units{};
     for (std::int64_t age = 0; age < ages; ++age)
         units[static_cast<std::size_t>(age)] =
-            sumOf(record.spent, age * partsPerAge, (age + 1) * partsPerAge - 1);
+            sumOf(record.used, age * partsPerAge, (age + 1) * partsPerAge - 1);
     return units;
 }
 
--- a/libs/quota/src/UsageSnapshot.cpp
+++ b/libs/quota/src/UsageSnapshot.cpp
@@ -81,7 +81,7 @@
     const double used = notes.wereRead
         ? mostUsed(workspace, limit, policy, notes.zones, now - notes.readAt)
         : usableInWindow(limit, policy);
-    use.whole = static_cast<std::int64_t>(used / std::max(knownVms, 1));
+    use.unitsInWindow = static_cast<std::int64_t>(used / std::max(knownVms, 1));
     return use;
 }
 
@@ -96,7 +96,7 @@
     const WorkspaceUse last =
         assumedUsageAtStart(workspace, limit, policy, notes, knownVms, startedAt,
                             startedAt + policy.window - Duration(1));
-    sum[static_cast<std::size_t>((now - startedAt) / (policy.window / ages))] += last.whole;
+    sum[static_cast<std::size_t>((now - startedAt) / (policy.window / ages))] += last.unitsInWindow;
 }
 
 } // namespace monsoonbay
--- a/libs/quota/src/UsageSnapshotWriter.cpp
+++ b/libs/quota/src/UsageSnapshotWriter.cpp
@@ -33,8 +33,8 @@
 int percentNeeded(const WorkspaceLimit &limit, const QuotaPolicy &policy, const FleetUsage &fleet)
 {
     const double ahead = toSeconds(noteSpacing) + secondsToFill(policy, fleet);
-    const double expected = static_cast<double>(fleet.use.whole)
-        + static_cast<double>(fleet.use.requestedPerSecond) * ahead;
+    const double expected = static_cast<double>(fleet.usage.unitsInWindow)
+        + static_cast<double>(fleet.usage.requestedPerSecond) * ahead;
     const double share = expected / (reachableShare(fleet) * usableInWindow(limit, policy));
     if (share < shareWithoutSnapshot)
         return 0;
@@ -57,16 +57,17 @@
         return;
     }
     for (const std::string &workspace : workspaces)
-        noting.held[workspace] = {allPercent, now + permitLifetime};
+        noting.minPercents[workspace] = {allPercent, now + permitLifetime};
 }
 
 // A permit counts for `permitLifetime`. Until those that went beyond what is wanted now are over,
 // notes have to name what they allow.
 void updateWantedPercents(UsageSnapshotWriter &noting, UsagePercents wanted, Instant now)
 {
-    std::erase_if(noting.held, [now](const auto &entry) { return entry.second.until <= now; });
+    std::erase_if(noting.minPercents,
+                  [now](const auto &entry) { return entry.second.validUntil <= now; });
     for (const auto &[workspace, percent] : wanted) {
-        MinPercent &held = noting.held[workspace];
+        MinPercent &held = noting.minPercents[workspace];
         if (percent >= held.percent)
             held = {percent, now + permitLifetime};
     }
@@ -77,9 +78,9 @@
 {
     if (noting.isWriting || now < noting.notBefore)
         return false;
-    if (noting.begunAt != Instant{} && now - noting.begunAt < noteSpacing)
+    if (noting.lastWriteAt != Instant{} && now - noting.lastWriteAt < noteSpacing)
         return false;
-    return !noting.wanted.empty() || (noting.maybeInStore && noting.held.empty());
+    return !noting.wanted.empty() || (noting.maybeInStore && noting.minPercents.empty());
 }
 
 // The new note may be in the store before its answer is, or without one: from now on no more is
@@ -87,11 +88,11 @@
 UsagePercents beginSnapshot(UsageSnapshotWriter &noting, Instant now)
 {
     noting.writing.clear();
-    for (const auto &[workspace, held] : noting.held)
+    for (const auto &[workspace, held] : noting.minPercents)
         noting.writing[workspace] = held.percent;
     noting.acknowledged.percents = leastOf(noting.acknowledged.percents, noting.writing);
     noting.isWriting = true;
-    noting.begunAt = now;
+    noting.lastWriteAt = now;
     noting.maybeInStore = noting.maybeInStore || !noting.writing.empty();
     return noting.writing;
 }
@@ -102,18 +103,18 @@
     if (!acknowledged)
         return;
     noting.maybeInStore = !noting.writing.empty();
-    noting.acknowledged = {std::move(noting.writing), noting.begunAt};
+    noting.acknowledged = {std::move(noting.writing), noting.lastWriteAt};
 }
 
 UsagePermits permitsOf(const UsageSnapshotWriter &noting)
 {
-    return {leastOf(noting.wanted, noting.acknowledged.percents), noting.acknowledged.at};
+    return {leastOf(noting.wanted, noting.acknowledged.percents), noting.acknowledged.writtenAt};
 }
 
 double shareAllowed(const UsagePermits &permits, const std::string &workspace, Instant now)
 {
     const auto named = permits.percents.find(workspace);
-    const bool counts = named != permits.percents.end() && now - permits.at < permitLifetime;
+    const bool counts = named != permits.percents.end() && now - permits.writtenAt < permitLifetime;
     return counts ? std::max(static_cast<double>(named->second) / allPercent, shareWithoutSnapshot)
                   : shareWithoutSnapshot;
 }
--- a/libs/quota/src/UsageWindow.cpp
+++ b/libs/quota/src/UsageWindow.cpp
@@ -25,33 +25,33 @@
 void recordRequested(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
                      Instant now, CallClass callClass)
 {
-    advance(record.asked, policy.window, now) += units;
+    advance(record.requested, policy.window, now) += units;
     advance(record.requestedByClass[indexOf(callClass)], policy.window, now) += units;
     advance(record.callsInWindowByClass[indexOf(callClass)], policy.window, now) += 1;
 }
 
 void recordUsage(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant now)
 {
-    advance(record.spent, policy.window, now) += units;
+    advance(record.used, policy.window, now) += units;
 }
 
 void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant spentAt,
               Instant now)
 {
-    advance(record.spent, policy.window, now);
-    const std::int64_t age = ageOf(record.spent, policy.window, spentAt);
-    if (age > record.spent.inWindow)
+    advance(record.used, policy.window, now);
+    const std::int64_t age = ageOf(record.used, policy.window, spentAt);
+    if (age > record.used.inWindow)
         return;
-    record.spent.part(record.spent.newest - age) -= units;
+    record.used.part(record.used.newest - age) -= units;
 }
 
 WorkspaceUse usageOf(UsageWindow &record, const QuotaPolicy &policy, Instant now)
 {
-    advance(record.spent, policy.window, now);
-    advance(record.asked, policy.window, now);
+    advance(record.used, policy.window, now);
+    advance(record.requested, policy.window, now);
     WorkspaceUse use;
-    use.whole = sumOf(record.spent);
-    use.requestedInWindow = sumOf(record.asked);
+    use.unitsInWindow = sumOf(record.used);
+    use.requestedInWindow = sumOf(record.requested);
     for (std::size_t index = 0; index < callClassCount; ++index) {
         advance(record.requestedByClass[index], policy.window, now);
         advance(record.callsInWindowByClass[index], policy.window, now);
@@ -67,9 +67,9 @@
 double requestRateBefore(UsageWindow &record, const QuotaPolicy &policy, Duration before,
                          Instant now)
 {
-    advance(record.asked, policy.window, now);
-    const std::int64_t age = ageOf(record.asked, policy.window, now - before);
-    const std::int64_t asked = sumOf(record.asked, age, age + partsAveraged);
+    advance(record.requested, policy.window, now);
+    const std::int64_t age = ageOf(record.requested, policy.window, now - before);
+    const std::int64_t asked = sumOf(record.requested, age, age + partsAveraged);
     return perSecond(record, policy, asked, now - before);
 }
 
--- a/libs/quota/src/WorkspaceUse.cpp
+++ b/libs/quota/src/WorkspaceUse.cpp
@@ -36,7 +36,7 @@
 
 void addUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept
 {
-    sum.whole += use.whole;
+    sum.unitsInWindow += use.unitsInWindow;
     sum.requestedPerSecond += use.requestedPerSecond;
     sum.requestedInWindow += use.requestedInWindow;
     for (std::size_t index = 0; index < callClassCount; ++index) {
@@ -47,7 +47,7 @@
 
 void subtractUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept
 {
-    sum.whole -= use.whole;
+    sum.unitsInWindow -= use.unitsInWindow;
     sum.requestedPerSecond -= use.requestedPerSecond;
     sum.requestedInWindow -= use.requestedInWindow;
     for (std::size_t index = 0; index < callClassCount; ++index) {
