--- a/libs/quota/tests/Classes.cpp
+++ b/libs/quota/tests/Classes.cpp
@@ -169,7 +169,7 @@
             const auto admits = [&](UsageWindow &record, CallClass taken) {
                 recordRequested(record, policy, units, now, taken);
                 FleetUsage fleet;
-                fleet.use = usageOf(record, policy, now);
+                fleet.usage = usageOf(record, policy, now);
                 const bool admitted =
                     admitCall(record, limit, policy, fleet, units, now, taken).admitted;
                 if (admitted)
--- a/libs/quota/tests/FleetModel.cpp
+++ b/libs/quota/tests/FleetModel.cpp
@@ -385,18 +385,18 @@
     {
         Vm &vm = this->vms[self];
         FleetUsage seen;
-        seen.use = this->ownUse(vm);
+        seen.usage = this->ownUse(vm);
         seen.knownVms = this->day.vms;
         seen.updateAge = this->day.updateAge;
-        seen.allowed = shareWithoutSnapshot;
+        seen.allowedShare = shareWithoutSnapshot;
         const std::size_t zone = self % this->zones.size();
         if (this->zones[zone].relaySince != Instant{} && this->zones[zone].relay == self)
-            seen.allowed = shareAllowed(permitsOf(this->zones[zone].noting), name, this->now);
+            seen.allowedShare = shareAllowed(permitsOf(this->zones[zone].noting), name, this->now);
         const Snapshot *permitted = this->heardBy(vm, vm.permitAge);
         const std::size_t relay = this->zones[zone].relay;
         if (permitted != nullptr && permitted->vms[relay].group == vm.group)
-            seen.allowed =
-                std::max(seen.allowed, shareAllowed(permitted->permits[zone], name, this->now));
+            seen.allowedShare = std::max(seen.allowedShare,
+                                         shareAllowed(permitted->permits[zone], name, this->now));
         const Snapshot *heard = this->heardBy(vm, vm.age);
         if (heard == nullptr)
             return seen;
@@ -404,7 +404,7 @@
             const Snapshot::Told &told = heard->vms[other];
             if (other == self || !told.up || told.group != vm.group)
                 continue;
-            addUsage(seen.use, told.use);
+            addUsage(seen.usage, told.use);
             ++seen.reachableVms;
         }
         return seen;
@@ -417,7 +417,7 @@
         const FleetUsage seen = this->seenBy(self);
         const auto own = static_cast<double>(
             usageOf(this->vms[self].record, this->day.policy, this->now).requestedPerSecond);
-        const double all = std::max(static_cast<double>(seen.use.requestedPerSecond), 1.0);
+        const double all = std::max(static_cast<double>(seen.usage.requestedPerSecond), 1.0);
         return own / all * seen.reachableVms / this->day.vms;
     }
 
@@ -435,7 +435,7 @@
     {
         if (this->day.kinds.empty() || this->day.oneClass)
             return CallClass::Rank2;
-        return classOf(this->seenBy(self).use, kind.units, kind.rank);
+        return classOf(this->seenBy(self).usage, kind.units, kind.rank);
     }
 
     void playCall(const CallsOfKind &kind)
@@ -483,8 +483,8 @@
         refusal.units = units;
         refusal.fits = verdict.fits;
         refusal.share = verdict.share;
-        refusal.window = static_cast<double>(seen.use.whole) / usable;
-        refusal.allowed = seen.allowed;
+        refusal.window = static_cast<double>(seen.usage.unitsInWindow) / usable;
+        refusal.allowed = seen.allowedShare;
         refusal.reachableVms = seen.reachableVms;
         this->outcome.refusals.push_back(refusal);
     }
--- a/libs/quota/tests/Limits.cpp
+++ b/libs/quota/tests/Limits.cpp
@@ -72,8 +72,8 @@
     UsageWindow record;
     recordRequested(record, policy, 700, start);
     recordUsage(record, policy, 700, start);
-    cr_assert_eq(usageOf(record, policy, start + 7s).whole, 700);
-    cr_assert_eq(usageOf(record, policy, start + 9s).whole, 0);
+    cr_assert_eq(usageOf(record, policy, start + 7s).unitsInWindow, 700);
+    cr_assert_eq(usageOf(record, policy, start + 9s).unitsInWindow, 0);
     cr_assert(isUnused(usageOf(record, policy, start + 100s)));
 }
 
@@ -83,7 +83,7 @@
     const QuotaPolicy policy = policyOfDays();
     UsageWindow record;
     recordUsage(record, policy, 700, Instant{} + 1s);
-    cr_assert_eq(usageOf(record, policy, Instant{} + 5s).whole, 700);
+    cr_assert_eq(usageOf(record, policy, Instant{} + 5s).unitsInWindow, 700);
 }
 
 // Guards against a call that has not run and is taken off twice, or off a later window.
@@ -98,7 +98,7 @@
         recordUsage(record, policy, units, start);
         recordUsage(record, policy, 5, now);
         giveBack(record, policy, units, start, now);
-        RC_ASSERT(usageOf(record, policy, now).whole == 5);
+        RC_ASSERT(usageOf(record, policy, now).unitsInWindow == 5);
     }));
 }
 
--- a/libs/quota/tests/UsageSnapshots.cpp
+++ b/libs/quota/tests/UsageSnapshots.cpp
@@ -64,7 +64,7 @@
     const FleetScenario day = dayOf(1);
     const WorkspaceUse use =
         assumedUsageAtStart("a", day.limit, day.policy, notes, 1, start, start + after);
-    return static_cast<double>(use.whole) / usableInWindow(day.limit, day.policy);
+    return static_cast<double>(use.unitsInWindow) / usableInWindow(day.limit, day.policy);
 }
 
 } // namespace
--- a/libs/requests/include/requests/RequestLifecycle.h
+++ b/libs/requests/include/requests/RequestLifecycle.h
@@ -55,8 +55,8 @@
 /** Retries may add a share to the traffic, so that they cannot multiply an overload. */
 struct RetryBudget
 {
-    double share = 0.1;
-    double most = 100;
+    double tokensPerRequest = 0.1;
+    double maxTokens = 100;
     double tokens = 10;
 };
 
@@ -69,7 +69,7 @@
     RequestTraits traits;
     RequestPhase phase = RequestPhase::Routing;
     std::uint32_t attempt = 0; ///< number of the attempt under way
-    std::uint32_t bounces = 0;
+    std::uint32_t redirects = 0;
     std::uint32_t resumes = 0;
     std::uint64_t delivered = 0; ///< pieces given to the caller, in order, once
     bool headDelivered = false;
--- a/libs/requests/src/RequestLifecycle.cpp
+++ b/libs/requests/src/RequestLifecycle.cpp
@@ -36,11 +36,11 @@
 // it costs the targets nothing, so the retry budget is not asked.
 RequestStep bounce(RequestLifecycle &life, ErrorKind kind, Instant now)
 {
-    ++life.bounces;
-    const Duration wait = bounceWait(life.bounces);
+    ++life.redirects;
+    const Duration wait = bounceWait(life.redirects);
     if (now + wait >= life.traits.deadline)
         return finish(life, NextStep::Refuse, ErrorKind::DeadlinePassed);
-    if (life.bounces > maxBounces)
+    if (life.redirects > maxBounces)
         return finish(life, NextStep::Refuse, kind);
     life.phase = RequestPhase::Routing;
     return RequestStep{NextStep::Route, kind, wait};
@@ -68,7 +68,7 @@
 
 void addRetryTokens(RetryBudget &budget) noexcept
 {
-    budget.tokens = std::min(budget.most, budget.tokens + budget.share);
+    budget.tokens = std::min(budget.maxTokens, budget.tokens + budget.tokensPerRequest);
 }
 
 bool takeRetry(RetryBudget &budget) noexcept
--- a/libs/residency/include/residency/Placement.h
+++ b/libs/residency/include/residency/Placement.h
@@ -71,7 +71,7 @@
     Instant oldest{};
     Instant deadline{}; ///< the nearest of the waiters
     double weight = 1; ///< sum of the waiters' priority weights
-    Instant heardAt{};
+    Instant receivedAt{};
 };
 
 /** All that wait for one adapter. */
--- a/libs/residency/include/residency/SlotTable.h
+++ b/libs/residency/include/residency/SlotTable.h
@@ -58,9 +58,9 @@
     std::vector<OwnedSlot> resident;
     std::optional<AdapterRef> loading;
     std::uint64_t epoch = 0;
-    bool known = false; ///< a report has been seen since the claim
+    bool reported = false; ///< a report has been seen since the claim
     int running = 0; ///< dispatched by this owner and not ended
-    std::uint64_t changes = 0; ///< grows with every change of what is resident
+    std::uint64_t revision = 0; ///< grows with every change of what is resident
     std::uint64_t nextGeneration = 1;
 };
 
--- a/libs/residency/src/Placement.cpp
+++ b/libs/residency/src/Placement.cpp
@@ -49,7 +49,7 @@
     for (auto iterator = state.wants.begin(); iterator != state.wants.end();) {
         std::vector<Want> &wants = iterator->second.wants;
         std::erase_if(wants, [&](const Want &want) {
-            return want.heardAt + state.config.wantLifetime < now || want.deadline <= now;
+            return want.receivedAt + state.config.wantLifetime < now || want.deadline <= now;
         });
         iterator = wants.empty() ? state.wants.erase(iterator) : std::next(iterator);
     }
@@ -277,7 +277,7 @@
     std::erase_if(set.wants, [&](const Want &known) { return known.origin == want.origin; });
     if (want.waiting > 0) {
         set.wants.push_back(want);
-        set.wants.back().heardAt = now;
+        set.wants.back().receivedAt = now;
     }
     if (set.wants.empty())
         state.wants.erase(want.adapter);
--- a/libs/residency/src/SlotTable.cpp
+++ b/libs/residency/src/SlotTable.cpp
@@ -29,7 +29,7 @@
     slot.since = now;
     slot.generation = table.nextGeneration++;
     table.resident.push_back(slot);
-    ++table.changes;
+    ++table.revision;
 }
 
 const ReportedSlot *reportOf(const SlotReport &report, const AdapterRef &adapter)
@@ -60,7 +60,7 @@
         return slot.since < report.askedAt && slot.pins == 0
             && reportOf(report, slot.adapter) == nullptr;
     };
-    table.changes += std::erase_if(table.resident, stale);
+    table.revision += std::erase_if(table.resident, stale);
 }
 
 } // namespace
@@ -95,12 +95,12 @@
     const auto idle = [adapter](const OwnedSlot &slot) {
         return slot.id == adapter && slot.pins == 0;
     };
-    table.changes += std::erase_if(table.resident, idle);
+    table.revision += std::erase_if(table.resident, idle);
 }
 
 ErrorKind beginLoad(SlotTable &table, const AdapterRef &adapter, AdapterId evict)
 {
-    if (!table.known || table.loading)
+    if (!table.reported || table.loading)
         return ErrorKind::Overloaded;
     if (findSlot(table, adapter.id()) != nullptr)
         return ErrorKind::Ok;
@@ -115,7 +115,7 @@
         return ErrorKind::Overloaded;
     if (victim == nullptr && freeSlots(table) <= 0)
         return ErrorKind::Overloaded;
-    table.changes += std::erase_if(table.resident, [evict](const OwnedSlot &slot) {
+    table.revision += std::erase_if(table.resident, [evict](const OwnedSlot &slot) {
         assert(slot.id != evict || !slot.busy());
         return slot.id == evict;
     });
@@ -136,18 +136,18 @@
 
 bool applyReport(SlotTable &table, const SlotReport &report, Instant now)
 {
-    const bool first = !table.known;
+    const bool first = !table.reported;
     const bool restarted = !first && report.epoch != table.epoch;
     if (first || restarted) {
         table.resident.clear();
         for (const ReportedSlot &reported : report.resident)
             addSlot(table, reported.adapter, reported.running, now);
-        ++table.changes;
+        ++table.revision;
     } else {
         reconcile(table, report, now);
     }
     table.epoch = report.epoch;
-    table.known = true;
+    table.reported = true;
     return restarted;
 }
 
--- a/libs/serving/include/serving/AdapterScheduler.h
+++ b/libs/serving/include/serving/AdapterScheduler.h
@@ -20,15 +20,16 @@
     std::int64_t version = 0;
     bool loading = false;
     Instant readyAt{}; ///< while loading: when it is expected to be there
-    Instant usedAt{}; ///< last time some VM was seen to use it
-    bool leaving = false; ///< it will be dropped when the calls that use it have ended
+    Instant lastUsedAt{}; ///< last time some VM was seen to use it
+    bool unloadDeferred = false; ///< it will be dropped when the calls that use it have ended
     bool fetched = false; ///< from the weight store, not from the engine's own memory
     Instant requestedAt{}; ///< when its load was accepted
-    Instant triedAt{}; ///< a first call was let through to see whether it is there
-    int underWay = 1; ///< loads from the weight store then, over all engines, this one counted
+    Instant probedAt{}; ///< a first call was let through to see whether it is there
+    int concurrentLoads =
+        1; ///< loads from the weight store then, over all engines, this one counted
     double loadsSinceTouch = -1; ///< at this engine, when it was last there; below 0: it never was
     std::int64_t sequence = 0; ///< the engine's count of orders with its load
-    bool judged = true; ///< what became of its load has taught
+    bool evaluated = true; ///< what became of its load has taught
     int earlyCalls = 0; ///< refused since it was ordered
     int runs = 0; ///< calls that use it now, as far as the VMs have told
 };
@@ -36,7 +37,7 @@
 /** State of one engine at the VM that orders it. */
 struct AdapterScheduler
 {
-    std::int64_t born = 0; ///< start of the engine that all this is of; see TargetEntry
+    std::int64_t startTime = 0; ///< start of the engine that all this is of; see TargetEntry
     int adapterSlots = 0;
     std::int64_t sequence = -1; ///< orders the engine has accepted; below 0: not known
     std::int64_t minSequence = 0; ///< a report that counts fewer is older than what is known
@@ -50,7 +51,7 @@
 /** Takes what the engine reports of itself. */
 struct EngineReport
 {
-    std::int64_t born = 0; ///< start of the engine that this is of; see TargetEntry
+    std::int64_t startTime = 0; ///< start of the engine that this is of; see TargetEntry
     std::int64_t sequence = 0;
     std::set<std::string> models;
     std::unordered_map<std::string, std::int64_t> resident;
@@ -92,7 +93,7 @@
 /** What is known of loads at all engines. */
 struct LoadEstimator
 {
-    LoadTimeModel pace;
+    LoadTimeModel times;
     HostRetention memory;
 
     auto operator<=>(const LoadEstimator &) const = default;
@@ -102,7 +103,7 @@
 struct LoadEstimate
 {
     Duration time{};
-    int underWay = 1; ///< loads from the weight store over all engines, this one counted
+    int concurrentLoads = 1; ///< loads from the weight store over all engines, this one counted
     bool fetched = false; ///< it comes from there
 
     auto operator<=>(const LoadEstimate &) const = default;
--- a/libs/serving/include/serving/AdvertisedLimit.h
+++ b/libs/serving/include/serving/AdvertisedLimit.h
@@ -23,7 +23,7 @@
     double perSecond = 0; ///< of all VMs; 0: no limit is named
     WindowCounts<std::uint32_t, partsInSpan> sent;
     std::int64_t drawnWindow = 0; ///< number of the span that the part was last drawn for
-    std::uint32_t part = 0; ///< calls of this VM in the span
+    std::uint32_t share = 0; ///< calls of this VM in the span
 };
 
 /** Takes the target's newest word; nothing lifts the limit. True if it is a new one. */
--- a/libs/serving/include/serving/CapacityQueue.h
+++ b/libs/serving/include/serving/CapacityQueue.h
@@ -14,7 +14,7 @@
 struct WaitLimits
 {
     Duration usual{};
-    Duration whole{}; ///< longer than usual for a call that lets others go first after that
+    Duration extended{}; ///< longer than usual for a call that lets others go first after that
 
     auto operator<=>(const WaitLimits &) const = default;
 };
@@ -38,10 +38,10 @@
     std::uint64_t id = 0;
     int rank = 0; ///< of its route; 0 goes first
     Instant since{};
-    Instant usualUntil{}; ///< end of its usual patience; after that others go first
-    Instant until{}; ///< end of its patience
+    Instant softDeadline{}; ///< end of its usual patience; after that others go first
+    Instant deadline{}; ///< end of its patience
     Instant notBefore{}; ///< it has just found no place
-    bool there = false; ///< its adapter is at an engine that has room: it needs no load
+    bool adapterReady = false; ///< its adapter is at an engine that has room: it needs no load
 
     auto operator<=>(const WaitingCall &) const = default;
 };
@@ -49,7 +49,7 @@
 /** How fast waiting calls find places; what is long past counts less. */
 struct CapacityRate
 {
-    Instant at{}; ///< when the other two were right
+    Instant updatedAt{}; ///< when the other two were right
     double busySeconds = 0; ///< with calls waiting
     double found = 0; ///< places that waiting calls found in that time
 
@@ -60,7 +60,7 @@
 struct CapacityQueue
 {
     std::vector<WaitingCall> calls;
-    CapacityRate pace;
+    CapacityRate rate;
 
     auto operator<=>(const CapacityQueue &) const = default;
 };
@@ -92,8 +92,9 @@
 struct ServiceCapacity
 {
     int loads = 0; ///< that could begin now
-    bool open = false; ///< some engine may get room at any time
-    std::vector<Instant> later; ///< when each other engine can begin a load, as its holder expects
+    bool unknownLater = false; ///< some engine may get room at any time
+    std::vector<Instant>
+        expectedAt; ///< when each other engine can begin a load, as its holder expects
 
     auto operator<=>(const ServiceCapacity &) const = default;
 };
--- a/libs/serving/include/serving/EngineChoice.h
+++ b/libs/serving/include/serving/EngineChoice.h
@@ -58,7 +58,7 @@
     EngineObjectives objectives;
     /** Least objective for the first event among the service's routes; 0: all have the same. */
     double shortestObjectiveMs = 0;
-    double newsAgeMs = 0; ///< age of what is known of the engines' load
+    double stateAgeMs = 0; ///< age of what is known of the engines' load
     bool mayCopyEarly = true; ///< false once an engine has declined a load for this call
 };
 
@@ -79,9 +79,9 @@
 
 /** What long prompts leave to calls with a shorter objective; see ForecastChoice.h. */
 enum class LongPromptPolicy : std::uint8_t {
-    Alone, ///< nothing: their own forecast decides
+    Unrestricted, ///< nothing: their own forecast decides
     FewestShortRuns, ///< among engines that meet their objective, those where fewer such calls run
-    Apart, ///< one engine in four, while others meet their objective
+    ReservedEngines, ///< one engine in four, while others meet their objective
 };
 
 /**
@@ -100,7 +100,7 @@
      */
     double maxWarmExtraLoads = 1.5;
     /** What one more running call costs the others, ms: it lengthens each step a little. */
-    double runMs = 4;
+    double runPenaltyMs = 4;
     /**
      * A first event expected within this share of the objective is good enough; later than that, a
      * second copy of the adapter is weighed. With 0.6, a tenth more adapters came from the store,
@@ -120,7 +120,7 @@
     double maxSpillLoads = 1.7;
     /** Part of the engine's memory that may be filled by running calls. */
     double memoryShare = 0.9;
-    LongPromptPolicy longPrompts = LongPromptPolicy::Alone;
+    LongPromptPolicy longPrompts = LongPromptPolicy::Unrestricted;
 
     auto operator<=>(const EngineWeights &) const = default;
 };
--- a/libs/serving/include/serving/EngineLog.h
+++ b/libs/serving/include/serving/EngineLog.h
@@ -16,9 +16,9 @@
 {
     EngineRecord
         record; ///< if it is not whole: of `resident`, what was added or has other versions
-    bool whole = true;
+    bool isSnapshot = true;
     bool sameHeader = false; ///< holder, start and models are those that the reader knows
-    std::vector<std::string> gone; ///< adapters that are no longer there
+    std::vector<std::string> removed; ///< adapters that are no longer there
     std::uint64_t digest = 0; ///< of head and slots as they have to be then
 
     bool operator==(const EngineChange &) const = default;
--- a/libs/serving/include/serving/EngineRecord.h
+++ b/libs/serving/include/serving/EngineRecord.h
@@ -27,7 +27,7 @@
 struct EngineRecord
 {
     RecordRevision revision;
-    std::int64_t born = 0; ///< start of the engine that this is of; see TargetEntry
+    std::int64_t startTime = 0; ///< start of the engine that this is of; see TargetEntry
     Endpoint holder;
     bool holderLive = false; ///< that VM may order it now, as far as is known
     ResidentVersions resident;
--- a/libs/serving/include/serving/HarmfulCalls.h
+++ b/libs/serving/include/serving/HarmfulCalls.h
@@ -29,7 +29,7 @@
 {
     std::uint64_t content = 0;
     std::optional<std::uint64_t> caller; ///< nothing: whoever sends it
-    int ends = 0; ///< of targets that it explains
+    int crashes = 0; ///< of targets that it explains
     Instant firstCrashAt{};
 
     auto operator<=>(const HarmfulCall &) const = default;
--- a/libs/serving/include/serving/HostCopies.h
+++ b/libs/serving/include/serving/HostCopies.h
@@ -14,7 +14,8 @@
  */
 struct HostRetention
 {
-    double loads = 128; ///< a first guess; left within some dozens of loads, both ways
+    double retainedLoads =
+        128; ///< a first guess; left within some dozens of retainedLoads, both ways
 
     auto operator<=>(const HostRetention &) const = default;
 };
--- a/libs/serving/include/serving/LoadTimeModel.h
+++ b/libs/serving/include/serving/LoadTimeModel.h
@@ -21,7 +21,7 @@
 struct LoadTimeModel
 {
     std::array<Duration, concurrencyClasses> expected{}; ///< by class; zero: nothing was seen yet
-    int onTime = 0; ///< loads in a row that were done when they were expected
+    int onTimeStreak = 0; ///< loads in a row that were done when they were expected
     std::array<bool, concurrencyClasses> sawEarlyCall{}; ///< by class: some call has come too early
 
     auto operator<=>(const LoadTimeModel &) const = default;
--- a/libs/serving/include/serving/PartitionLease.h
+++ b/libs/serving/include/serving/PartitionLease.h
@@ -32,8 +32,8 @@
 /** All such notes of a zone, as one read saw them. */
 struct HolderRecords
 {
-    std::map<int, HolderRecord> last; ///< by partition
-    std::uint64_t end = 0; ///< a note is added only if none was added since
+    std::map<int, HolderRecord> byPartition; ///< by partition
+    std::uint64_t logEnd = 0; ///< a note is added only if none was added since
 
     auto operator<=>(const HolderRecords &) const = default;
 };
@@ -43,7 +43,7 @@
 {
     int partition = 0;
     std::int64_t acquiredIn = 0;
-    bool again = false; ///< nobody has ordered since this VM did
+    bool resumes = false; ///< nobody has ordered since this VM did
 
     auto operator<=>(const HolderClaim &) const = default;
 };
@@ -63,8 +63,8 @@
     Instant extendedUntil{}; ///< by the word of the other VMs; may be later than `until`
     std::map<int, Instant> activeFrom; ///< by partition held
     std::map<int, std::int64_t> acquiredIn; ///< generation that brought each partition held
-    std::set<int> looked; ///< partitions held whose notes were read since they were gained
-    std::set<int> noted; ///< partitions held for which this VM has noted that it orders them
+    std::set<int> recordsRead; ///< partitions held whose notes were read since they were gained
+    std::set<int> recorded; ///< partitions held for which this VM has noted that it orders them
     std::vector<PartitionRelease> releases; ///< of this VM, to be told to the others
 
     bool operator==(const PartitionLease &) const = default;
@@ -75,7 +75,7 @@
 {
     Duration ttl = std::chrono::milliseconds(2000); ///< silence after which the store deals anew
     Duration margin = std::chrono::milliseconds(300); ///< an order is under way this long at most
-    Duration apart = std::chrono::milliseconds(3000); ///< between the orders of two holders
+    Duration handoverGap = std::chrono::milliseconds(3000); ///< between the orders of two holders
     /** The word of another VM counts this long; news come five times as often. */
     Duration peerStateTtl = std::chrono::milliseconds(1000);
 
@@ -94,7 +94,7 @@
 /** What another VM that may be dealt the same partitions said last. */
 struct PeerLeaseState
 {
-    Instant heardAt{};
+    Instant receivedAt{};
     std::int64_t generation = 0; ///< newest that it knows
     bool storeUnreachable = false; ///< its own last renewal failed
 
--- a/libs/serving/include/serving/PrefillRate.h
+++ b/libs/serving/include/serving/PrefillRate.h
@@ -20,7 +20,7 @@
     };
 
     std::array<Sample, 32> samples{}; ///< the newest take the place of the oldest
-    std::size_t next = 0;
+    std::size_t nextSample = 0;
     double tokensPerMs = 0; ///< 0: too few samples
 
     auto operator<=>(const PrefillRate &) const = default;
--- a/libs/serving/include/serving/PrefixIndex.h
+++ b/libs/serving/include/serving/PrefixIndex.h
@@ -33,7 +33,7 @@
 {
     int tokens = 0; ///< 0: not believed to be there
     Instant readAt{}; ///< when it was read last, as far as is known
-    Instant newsAt{}; ///< when it was told or heard of last; zero: never
+    Instant reportedAt{}; ///< when it was told or heard of last; zero: never
     Instant doubtedUntil{}; ///< it was found missing
 
     auto operator<=>(const CachedPrefix &) const = default;
@@ -42,7 +42,7 @@
 /** Prefixes that one engine is believed to keep. */
 struct EnginePrefixes
 {
-    std::unordered_map<std::uint64_t, CachedPrefix> kept; ///< by hash of the prefix
+    std::unordered_map<std::uint64_t, CachedPrefix> byHash; ///< by hash of the prefix
     double tokens = 0; ///< of all of them
     Instant readAt{};
 };
--- a/libs/serving/include/serving/PrefixLog.h
+++ b/libs/serving/include/serving/PrefixLog.h
@@ -59,7 +59,8 @@
 {
     std::uint64_t seen = 0; ///< the last number that it has
     std::uint64_t sourceVm = 0; ///< its own word is not told back to it
-    bool mate = false; ///< of the own zone; another zone's relay hears only of calls of this zone
+    bool zonePeer =
+        false; ///< of the own zone; another zone's relay hears only of calls of this zone
     bool relay = false; ///< the relay that this VM reports to hears only of own calls
 };
 
--- a/libs/serving/include/serving/Route.h
+++ b/libs/serving/include/serving/Route.h
@@ -33,8 +33,8 @@
     std::string pathPrefix; ///< begins and ends with a slash
     CallKind kind = CallKind::Idempotent;
     bool resumable = false; ///< a broken stream may go on at another target
-    bool open = false; ///< calls need no key
-    bool sessions = false; ///< calls share the beginnings of their prompts
+    bool unauthenticated = false; ///< calls need no key
+    bool sharedPrefixes = false; ///< calls share the beginnings of their prompts
     Duration timeout{}; ///< longest time a caller is kept waiting
     Duration latencyObjective{}; ///< to the whole answer, or to a stream's first event
     Duration gapObjective{}; ///< longest pause between the events of a stream
--- a/libs/serving/include/serving/ServiceRetryBudget.h
+++ b/libs/serving/include/serving/ServiceRetryBudget.h
@@ -23,7 +23,7 @@
     static constexpr std::size_t parts = 20; ///< of the window
 
     WindowCounts<std::uint32_t, parts> calls;
-    WindowCounts<std::uint32_t, parts> repeats;
+    WindowCounts<std::uint32_t, parts> retries;
 };
 
 void recordCall(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant now);
--- a/libs/serving/include/serving/TargetEntry.h
+++ b/libs/serving/include/serving/TargetEntry.h
@@ -30,7 +30,7 @@
     int slots = 1;
     bool leaving = false;
     std::string software; ///< version of the target's own software; empty: it does not say
-    std::int64_t born = 0; ///< when this start of the target began, ms; 0: it does not say
+    std::int64_t startTime = 0; ///< when this start of the target began, ms; 0: it does not say
     std::vector<std::string> models;
     std::vector<HeldAdapter> adapters;
 
--- a/libs/serving/include/serving/TargetHealth.h
+++ b/libs/serving/include/serving/TargetHealth.h
@@ -20,9 +20,9 @@
 struct TargetHealth
 {
     double failureScore = 0; ///< decayed sum of weighted failures
-    double goods = 0; ///< decayed count of good answers
+    double successes = 0; ///< decayed count of good answers
     double recentFailures =
-        0; ///< as failureScore and goods, but of the last second only: told to all VMs
+        0; ///< as failureScore and successes, but of the last second only: told to all VMs
     double recentSuccesses = 0;
     Instant updatedAt{};
     Instant ejectedUntil{};
--- a/libs/serving/include/serving/TargetTable.h
+++ b/libs/serving/include/serving/TargetTable.h
@@ -23,8 +23,8 @@
 {
     std::unordered_map<std::string, TargetRecord> records;
     std::unordered_map<std::string, Instant> droppedAt; ///< lately
-    Instant lastRead{}; ///< of the list, by whichever VM; zero: never
-    Instant ownRead{}; ///< by this VM itself
+    Instant lastReadAt{}; ///< of the list, by whichever VM; zero: never
+    Instant lastOwnReadAt{}; ///< by this VM itself
     Instant failingSince{}; ///< reads have failed since then; zero: the last one did not
     Instant outageEndedAt{}; ///< when the list could be read again after a gap
 };
--- a/libs/serving/include/serving/TargetUsage.h
+++ b/libs/serving/include/serving/TargetUsage.h
@@ -11,8 +11,8 @@
     double heldTokens = 0;
     int runs = 0;
     int busySlots = 0; ///< adapter slots in use by calls of all VMs; told by the engine's holder
-    int faults = 0; ///< weight of the calls that failed there lately, in tenths; see TargetHealth
-    int goods = 0; ///< calls that ended well there lately, in tenths
+    int failures = 0; ///< weight of the calls that failed there lately, in tenths; see TargetHealth
+    int successes = 0; ///< calls that ended well there lately, in tenths
     int shortObjectiveRuns = 0; ///< runs of the routes with the least objective, if they differ
 
     bool operator==(const TargetUsage &) const = default;
--- a/libs/serving/include/serving/UsageLedger.h
+++ b/libs/serving/include/serving/UsageLedger.h
@@ -13,7 +13,7 @@
 /** The newest word of one reporter: a VM of the own zone, or another zone as a whole. */
 struct ReporterUsage
 {
-    TargetUsages uses;
+    TargetUsages targets;
     WorkspaceUses workspaces;
     WorkspaceUnits unitsByAge; ///< of workspaces whose use is to be noted
     int vms = 1; ///< VMs that it speaks for
--- a/libs/serving/include/serving/ZoneRelay.h
+++ b/libs/serving/include/serving/ZoneRelay.h
@@ -30,7 +30,7 @@
     RelayRank rank;
     bool reachable = true; ///< it has not failed to answer lately, and is not stopping
     bool starting = false; ///< it knows no configuration or targets yet
-    bool holding = false; ///< it is one of those that order engines
+    bool leaseHolder = false; ///< it is one of those that order engines
     bool linksLost = false; ///< it does not reach engines that other VMs reach
 
     auto operator<=>(const ZonePeer &) const = default;
--- a/libs/serving/src/AdapterScheduler.cpp
+++ b/libs/serving/src/AdapterScheduler.cpp
@@ -17,7 +17,8 @@
 
 bool isInUse(const AdapterSlot &slot, Instant now)
 {
-    return slot.loading || slot.leaving || slot.runs > 0 || now - slot.usedAt < settleAfterUse;
+    return slot.loading || slot.unloadDeferred || slot.runs > 0
+        || now - slot.lastUsedAt < settleAfterUse;
 }
 
 /** A load that is expected to be done within this is not looked at: reports lag as much. */
@@ -55,10 +56,10 @@
     for (const auto &[adapter, slot] : scheduler.slots) {
         if (isInUse(slot, now) || adapter == except)
             continue;
-        if (!idlest.empty() && slot.usedAt >= oldest)
+        if (!idlest.empty() && slot.lastUsedAt >= oldest)
             continue;
         idlest = adapter;
-        oldest = slot.usedAt;
+        oldest = slot.lastUsedAt;
     }
     return idlest;
 }
@@ -76,7 +77,7 @@
     const int adapterSlots = scheduler.adapterSlots;
     scheduler = AdapterScheduler();
     scheduler.adapterSlots = adapterSlots;
-    scheduler.born = born;
+    scheduler.startTime = born;
 }
 
 // Reports lag by some hundred ms. One from before the last accepted order would show that order's
@@ -85,12 +86,12 @@
 // so a report that cannot lag any more is always taken.
 bool applyEngineReport(AdapterScheduler &scheduler, const EngineReport &report, Instant now)
 {
-    const StartOrder age = compareStarts(scheduler.born, report.born);
+    const StartOrder age = compareStarts(scheduler.startTime, report.startTime);
     if (age == StartOrder::Older)
         return false;
     if (age == StartOrder::Newer)
-        resetScheduler(scheduler, report.born);
-    scheduler.born = std::max(scheduler.born, report.born);
+        resetScheduler(scheduler, report.startTime);
+    scheduler.startTime = std::max(scheduler.startTime, report.startTime);
     const bool mayLag = now - scheduler.acceptedAt < longestReportLag;
     if (report.sequence < scheduler.minSequence && mayLag)
         return false;
@@ -101,7 +102,7 @@
         if (known != scheduler.slots.end())
             slot = known->second;
         else
-            slot.usedAt = now + newHolderTold;
+            slot.lastUsedAt = now + newHolderTold;
         slot.version = version;
         slot.loading = false;
         slots[adapter] = slot;
@@ -131,7 +132,7 @@
     const auto found = scheduler.slots.find(adapter);
     if (found != scheduler.slots.end()) {
         const AdapterSlot &slot = found->second;
-        if (slot.leaving)
+        if (slot.unloadDeferred)
             return {SchedulerStep::NoSlot, {}};
         if (slot.version >= version)
             return {slot.loading ? SchedulerStep::Wait : SchedulerStep::Ready, {}};
@@ -167,10 +168,10 @@
     slot.requestedAt = now;
     slot.sequence = scheduler.sequence + 1;
     slot.readyAt = now + estimate.time;
-    slot.usedAt = slot.readyAt;
-    slot.underWay = estimate.underWay;
+    slot.lastUsedAt = slot.readyAt;
+    slot.concurrentLoads = estimate.concurrentLoads;
     slot.loadsSinceTouch = loadsSinceTouch(scheduler.copies, adapter);
-    slot.judged = false;
+    slot.evaluated = false;
     recordTouch(scheduler.copies, adapter);
 }
 
@@ -186,20 +187,20 @@
 {
     const auto slot = scheduler.slots.find(adapter);
     if (slot != scheduler.slots.end())
-        slot->second.leaving = true;
+        slot->second.unloadDeferred = true;
 }
 
 bool hasDeferredUnload(const AdapterScheduler &scheduler) noexcept
 {
     return std::any_of(scheduler.slots.begin(), scheduler.slots.end(),
-                       [](const auto &slot) { return slot.second.leaving; });
+                       [](const auto &slot) { return slot.second.unloadDeferred; });
 }
 
 void recordPendingCall(AdapterScheduler &scheduler, const std::string &adapter, Instant now)
 {
     const auto slot = scheduler.slots.find(adapter);
     if (slot != scheduler.slots.end())
-        slot->second.usedAt = std::max(slot->second.usedAt, now + callOnItsWay);
+        slot->second.lastUsedAt = std::max(slot->second.lastUsedAt, now + callOnItsWay);
 }
 
 void advanceSequence(AdapterScheduler &scheduler, Instant now)
@@ -220,7 +221,7 @@
         const auto used = runs.find(adapter);
         slot.runs = used == runs.end() ? 0 : used->second;
         if (slot.runs > 0)
-            slot.usedAt = now;
+            slot.lastUsedAt = now;
     }
 }
 
@@ -238,9 +239,9 @@
         return now;
     Instant first{};
     for (const auto &[adapter, slot] : scheduler.slots) {
-        if (slot.loading || slot.leaving || slot.runs > 0)
+        if (slot.loading || slot.unloadDeferred || slot.runs > 0)
             continue;
-        const Instant idleAt = std::max(now, slot.usedAt + settleAfterUse);
+        const Instant idleAt = std::max(now, slot.lastUsedAt + settleAfterUse);
         if (first == Instant{} || idleAt < first)
             first = idleAt;
     }
@@ -251,10 +252,10 @@
                           int fetchesUnderWay, const LoadEstimator &estimator)
 {
     LoadEstimate estimate;
-    estimate.underWay = fetchesUnderWay + 1;
+    estimate.concurrentLoads = fetchesUnderWay + 1;
     estimate.fetched = !hasHostCopy(scheduler.copies, adapter, estimator.memory);
-    estimate.time = estimate.fetched ? fetchTime(estimator.pace, estimate.underWay)
-                                     : hostCopyTime(estimator.pace);
+    estimate.time = estimate.fetched ? fetchTime(estimator.times, estimate.concurrentLoads)
+                                     : hostCopyTime(estimator.times);
     return estimate;
 }
 
@@ -286,16 +287,16 @@
     if (mayBeCopy) {
         // The way of this order may have been a little longer than that of others.
     } else if (slot.fetched) {
-        recordEarlyCall(estimator.pace, slot.underWay, waited);
+        recordEarlyCall(estimator.times, slot.concurrentLoads, waited);
     } else {
         shortenRetention(estimator.memory, slot.loadsSinceTouch);
         slot.fetched = true;
-        slot.readyAt =
-            std::max(slot.readyAt, slot.requestedAt + fetchTime(estimator.pace, slot.underWay));
+        slot.readyAt = std::max(
+            slot.readyAt, slot.requestedAt + fetchTime(estimator.times, slot.concurrentLoads));
     }
     slot.loading = true;
-    slot.judged = false;
-    slot.usedAt = slot.readyAt;
+    slot.evaluated = false;
+    slot.lastUsedAt = slot.readyAt;
 }
 
 // Symptom without this: the holder takes the refusal for a count of orders that differs, asks for a
@@ -306,7 +307,7 @@
     const std::string *newest = nullptr;
     Instant newestAt{};
     for (const auto &[adapter, slot] : scheduler.slots) {
-        if (slot.loading || slot.judged)
+        if (slot.loading || slot.evaluated)
             continue;
         ++underWay;
         if (newest != nullptr && slot.requestedAt <= newestAt)
@@ -325,7 +326,7 @@
     for (auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading && slot.fetched && slot.earlyCalls == 0)
             slot.readyAt =
-                std::max(slot.readyAt, slot.requestedAt + fetchTime(pace, slot.underWay));
+                std::max(slot.readyAt, slot.requestedAt + fetchTime(pace, slot.concurrentLoads));
     }
 }
 
@@ -333,23 +334,24 @@
                         const LoadTimeModel &pace, Instant now)
 {
     const auto found = scheduler.slots.find(adapter);
-    if (found == scheduler.slots.end() || found->second.judged || !isUncertain(pace))
+    if (found == scheduler.slots.end() || found->second.evaluated || !isUncertain(pace))
         return Duration::zero();
     AdapterSlot &slot = found->second;
-    const bool first = slot.triedAt < slot.readyAt;
+    const bool first = slot.probedAt < slot.readyAt;
     if (first)
-        slot.triedAt = now;
-    return first ? Duration::zero() : std::max(slot.triedAt + trialTime - now, Duration::zero());
+        slot.probedAt = now;
+    return first ? Duration::zero() : std::max(slot.probedAt + trialTime - now, Duration::zero());
 }
 
 void learnFromLoads(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now)
 {
     for (auto &[adapter, slot] : scheduler.slots) {
-        if (slot.judged || slot.loading || now - slot.readyAt < freshlyLoaded)
+        if (slot.evaluated || slot.loading || now - slot.readyAt < freshlyLoaded)
             continue;
-        slot.judged = true;
+        slot.evaluated = true;
         if (slot.fetched)
-            recordLoadOnTime(estimator.pace, slot.underWay, slot.readyAt - slot.requestedAt);
+            recordLoadOnTime(estimator.times, slot.concurrentLoads,
+                             slot.readyAt - slot.requestedAt);
         else
             lengthenRetention(estimator.memory, slot.loadsSinceTouch);
     }
@@ -371,7 +373,7 @@
 bool applyCompletedLoads(AdapterScheduler &scheduler, const EngineReport &report,
                          LoadEstimator &estimator, Instant now)
 {
-    if (compareStarts(scheduler.born, report.born) != StartOrder::Same)
+    if (compareStarts(scheduler.startTime, report.startTime) != StartOrder::Same)
         return false;
     bool any = false;
     for (auto &[adapter, slot] : scheduler.slots) {
@@ -384,10 +386,10 @@
         any = true;
         slot.loading = false;
         slot.readyAt = std::min(slot.readyAt, now);
-        slot.usedAt = std::max(slot.usedAt, now);
-        slot.judged = true;
+        slot.lastUsedAt = std::max(slot.lastUsedAt, now);
+        slot.evaluated = true;
         if (slot.fetched)
-            recordLoadSeenDone(estimator.pace, slot.underWay, now - slot.requestedAt);
+            recordLoadSeenDone(estimator.times, slot.concurrentLoads, now - slot.requestedAt);
     }
     return any;
 }
--- a/libs/serving/src/AdvertisedLimit.cpp
+++ b/libs/serving/src/AdvertisedLimit.cpp
@@ -36,10 +36,10 @@
     const std::int64_t current = now.time_since_epoch() / AdvertisedLimit::span;
     if (limit.drawnWindow != current) {
         const double even = usedShare * limit.perSecond * toSeconds(AdvertisedLimit::span) / vms;
-        limit.part = static_cast<std::uint32_t>(std::floor(even + draw));
+        limit.share = static_cast<std::uint32_t>(std::floor(even + draw));
         limit.drawnWindow = current;
     }
-    return sumOf(limit.sent) < limit.part;
+    return sumOf(limit.sent) < limit.share;
 }
 
 void recordSent(AdvertisedLimit &limit, Instant now) noexcept
--- a/libs/serving/src/CapacityQueue.cpp
+++ b/libs/serving/src/CapacityQueue.cpp
@@ -37,10 +37,10 @@
 
 CapacityRate paceNow(const CapacityQueue &queue, Instant now)
 {
-    CapacityRate pace = queue.pace;
+    CapacityRate pace = queue.rate;
     const double kept =
-        std::exp(-toSeconds(std::max(now - pace.at, Duration::zero())) / paceSeconds);
-    pace.at = std::max(pace.at, now);
+        std::exp(-toSeconds(std::max(now - pace.updatedAt, Duration::zero())) / paceSeconds);
+    pace.updatedAt = std::max(pace.updatedAt, now);
     pace.found *= kept;
     pace.busySeconds *= kept;
     // Without calls that wait, places that are not found say nothing of room.
@@ -56,11 +56,11 @@
     WaitLimits patience;
     patience.usual = std::min(std::max(share(facts.objective, objectiveShare), leastPatience),
                               share(facts.timeLeft, timeLeftShare));
-    patience.whole = patience.usual;
+    patience.extended = patience.usual;
     const bool longPrompt = facts.minObjective > Duration::zero()
         && facts.promptMs > longPromptShare * 1000 * toSeconds(facts.minObjective);
     if (longPrompt && facts.timeLeft >= muchTimeLeft)
-        patience.whole = std::max(patience.usual, share(facts.timeLeft, longTimeLeftShare));
+        patience.extended = std::max(patience.usual, share(facts.timeLeft, longTimeLeftShare));
     return patience;
 }
 
@@ -68,26 +68,26 @@
 {
     if (queue.calls.size() >= maxWaitingCalls)
         return false;
-    queue.pace = paceNow(queue, now);
+    queue.rate = paceNow(queue, now);
     queue.calls.push_back(call);
     return true;
 }
 
 void dequeueCall(CapacityQueue &queue, std::uint64_t id, Instant now)
 {
-    queue.pace = paceNow(queue, now);
+    queue.rate = paceNow(queue, now);
     std::erase_if(queue.calls, [id](const WaitingCall &call) { return call.id == id; });
 }
 
 void recordCapacityFound(CapacityQueue &queue, Instant now)
 {
-    queue.pace = paceNow(queue, now);
-    queue.pace.found += 1;
+    queue.rate = paceNow(queue, now);
+    queue.rate.found += 1;
 }
 
 int agedRank(const WaitingCall &call, Instant now) noexcept
 {
-    const Duration patience = call.usualUntil - call.since;
+    const Duration patience = call.softDeadline - call.since;
     if (patience <= Duration::zero())
         return call.rank;
     const Duration waited = std::clamp(now - call.since, Duration::zero(), patience);
@@ -96,16 +96,16 @@
 
 bool isServedBefore(const WaitingCall &first, const WaitingCall &second, Instant now) noexcept
 {
-    const bool firstYields = now >= first.usualUntil;
-    const bool secondYields = now >= second.usualUntil;
+    const bool firstYields = now >= first.softDeadline;
+    const bool secondYields = now >= second.softDeadline;
     if (firstYields != secondYields)
         return secondYields;
     const int firstRank = agedRank(first, now);
     const int secondRank = agedRank(second, now);
     if (firstRank != secondRank)
         return firstRank < secondRank;
-    if (first.until != second.until)
-        return first.until < second.until;
+    if (first.deadline != second.deadline)
+        return first.deadline < second.deadline;
     return first.id < second.id;
 }
 
@@ -125,7 +125,7 @@
     });
     std::vector<std::uint64_t> woken;
     for (const WaitingCall *call : order) {
-        if (call->there) {
+        if (call->adapterReady) {
             woken.push_back(call->id);
         } else if (loads > 0) {
             --loads;
@@ -140,9 +140,10 @@
 /** When engines begin a load of which `ahead` others come first; `now` if that is not known. */
 Instant loadBegins(const ServiceCapacity &room, std::size_t ahead, Duration loadTime, Instant now)
 {
-    if (room.open || room.later.empty() || ahead < static_cast<std::size_t>(room.loads))
+    if (room.unknownLater || room.expectedAt.empty()
+        || ahead < static_cast<std::size_t>(room.loads))
         return now;
-    std::vector<Instant> begins = room.later;
+    std::vector<Instant> begins = room.expectedAt;
     const auto later = std::greater<>();
     std::make_heap(begins.begin(), begins.end(), later);
     for (std::size_t load = static_cast<std::size_t>(room.loads); load < ahead; ++load) {
--- a/libs/serving/src/EngineChoice.cpp
+++ b/libs/serving/src/EngineChoice.cpp
@@ -56,7 +56,7 @@
 
 double expectedWaitMs(const EngineView &engine, const EngineWeights &weights) noexcept
 {
-    return engine.waitingTokens / weights.promptTokensPerMs + weights.runMs * engine.runs;
+    return engine.waitingTokens / weights.promptTokensPerMs + weights.runPenaltyMs * engine.runs;
 }
 
 double expectedPausesMs(const EngineView &engine, const EngineNeed &need,
--- a/libs/serving/src/EngineLog.cpp
+++ b/libs/serving/src/EngineLog.cpp
@@ -15,8 +15,8 @@
 
 bool hasSameHeader(const EngineRecord &left, const EngineRecord &right)
 {
-    return std::tie(left.holder, left.born, left.models)
-        == std::tie(right.holder, right.born, right.models);
+    return std::tie(left.holder, left.startTime, left.models)
+        == std::tie(right.holder, right.startTime, right.models);
 }
 
 } // namespace
@@ -25,7 +25,7 @@
 std::uint64_t digestOf(const EngineRecord &record)
 {
     std::uint64_t digest =
-        stableHash(record.holder.text(), static_cast<std::uint64_t>(record.born));
+        stableHash(record.holder.text(), static_cast<std::uint64_t>(record.startTime));
     for (const std::string &model : record.models)
         digest += stableHash(model, 1);
     for (const auto &[adapter, version] : record.resident)
@@ -36,18 +36,18 @@
 std::optional<EngineRecord> applyDocumentDelta(const EngineRecord *known,
                                                const EngineChange &change)
 {
-    if (change.whole)
+    if (change.isSnapshot)
         return change.record;
     if (known == nullptr)
         return std::nullopt;
     EngineRecord record = change.record;
     if (change.sameHeader) {
         record.holder = known->holder;
-        record.born = known->born;
+        record.startTime = known->startTime;
         record.models = known->models;
     }
     record.resident = known->resident;
-    for (const std::string &adapter : change.gone)
+    for (const std::string &adapter : change.removed)
         record.resident.erase(adapter);
     for (const auto &[adapter, version] : change.record.resident)
         record.resident[adapter] = version;
@@ -114,12 +114,12 @@
         change.record = record;
         return change;
     }
-    change.whole = false;
+    change.isSnapshot = false;
     change.sameHeader = changed.head <= seen;
     change.digest = changed.digest;
     if (!change.sameHeader) {
         change.record.holder = record.holder;
-        change.record.born = record.born;
+        change.record.startTime = record.startTime;
         change.record.models = record.models;
     }
     change.record.revision = record.revision;
@@ -135,7 +135,7 @@
     }
     for (const auto &[adapter, goneAt] : changed.gone) {
         if (goneAt > seen)
-            change.gone.push_back(adapter);
+            change.removed.push_back(adapter);
     }
     return change;
 }
--- a/libs/serving/src/EngineRecord.cpp
+++ b/libs/serving/src/EngineRecord.cpp
@@ -6,7 +6,7 @@
 // the engines of a VM that fell silent, and takes that back when it is heard again.
 bool mayReplaceRecord(const EngineRecord &known, const EngineRecord &offered) noexcept
 {
-    const StartOrder age = compareStarts(known.born, offered.born);
+    const StartOrder age = compareStarts(known.startTime, offered.startTime);
     if (age != StartOrder::Same)
         return age == StartOrder::Newer;
     if (offered.revision == known.revision)
--- a/libs/serving/src/ForecastChoice.cpp
+++ b/libs/serving/src/ForecastChoice.cpp
@@ -51,7 +51,7 @@
 
 int yieldingOf(const EngineView &engine, const EngineNeed &need, const EngineWeights &weights)
 {
-    if (weights.longPrompts == LongPromptPolicy::Alone || !isLong(need, weights))
+    if (weights.longPrompts == LongPromptPolicy::Unrestricted || !isLong(need, weights))
         return 0;
     if (weights.longPrompts == LongPromptPolicy::FewestShortRuns)
         return engine.shortObjectiveRuns;
@@ -158,7 +158,8 @@
             anyOpen || (engine.use == EngineUse::Load && engine.meets && engine.yielding == 0);
     const auto isCandidate = [&](const EngineFigures &engine) {
         return engine.use == EngineUse::Load && (engine.meets || !anyMeets)
-            && (weights.longPrompts != LongPromptPolicy::Apart || !anyOpen || engine.yielding == 0);
+            && (weights.longPrompts != LongPromptPolicy::ReservedEngines || !anyOpen
+                || engine.yielding == 0);
     };
     auto warm = leastCost(engines, figures, EngineUse::Load,
                           [](const EngineView &engine) { return engine.warm; });
@@ -184,7 +185,7 @@
     if (!need.mayCopyEarly)
         return false;
     const double objective = need.objectives.firstEventMs;
-    return stay.forecast + std::min(need.newsAgeMs, newsShare * objective) > objective;
+    return stay.forecast + std::min(need.stateAgeMs, newsShare * objective) > objective;
 }
 
 /** A copy is weighed by cost, as without forecasts: others' pauses count before the call is late.
--- a/libs/serving/src/HostCopies.cpp
+++ b/libs/serving/src/HostCopies.cpp
@@ -42,20 +42,21 @@
 bool hasHostCopy(const HostCopies &copies, const std::string &adapter, const HostRetention &memory)
 {
     const double since = loadsSinceTouch(copies, adapter);
-    return since >= 0 && since <= memory.loads;
+    return since >= 0 && since <= memory.retainedLoads;
 }
 
 void shortenRetention(HostRetention &memory, double loads) noexcept
 {
-    if (loads < memory.loads)
-        memory.loads -= (memory.loads - loads) * shortenShare;
-    memory.loads = std::max(memory.loads, leastLoads);
+    if (loads < memory.retainedLoads)
+        memory.retainedLoads -= (memory.retainedLoads - loads) * shortenShare;
+    memory.retainedLoads = std::max(memory.retainedLoads, leastLoads);
 }
 
 void lengthenRetention(HostRetention &memory, double loads) noexcept
 {
-    if (loads > nearEnd * memory.loads)
-        memory.loads = std::min(memory.loads * longerBy, static_cast<double>(maxRemembered));
+    if (loads > nearEnd * memory.retainedLoads)
+        memory.retainedLoads =
+            std::min(memory.retainedLoads * longerBy, static_cast<double>(maxRemembered));
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/LoadTimeModel.cpp
+++ b/libs/serving/src/LoadTimeModel.cpp
@@ -42,7 +42,7 @@
 {
     if (!pace.sawEarlyCall[crowd])
         return firstShorterBy;
-    return pace.onTime < onTimeLong ? shorterBy : lateShorterBy;
+    return pace.onTimeStreak < onTimeLong ? shorterBy : lateShorterBy;
 }
 
 Duration scaled(Duration duration, double factor) noexcept
@@ -88,7 +88,7 @@
     // anew, from below, what the one before it knows.
     std::fill(pace.sawEarlyCall.begin() + static_cast<std::ptrdiff_t>(crowd),
               pace.sawEarlyCall.end(), true);
-    pace.onTime = 0;
+    pace.onTimeStreak = 0;
 }
 
 // A load that is done in time with many others under way would be so with fewer, too. One that was
@@ -96,7 +96,7 @@
 // them shortened it, they would all be looked for too early next time.
 void recordLoadOnTime(LoadTimeModel &pace, int underWay, Duration waited) noexcept
 {
-    ++pace.onTime;
+    ++pace.onTimeStreak;
     const Duration believed = fetchTime(pace, underWay);
     if (waited > believed)
         return;
@@ -124,7 +124,7 @@
 
 bool isUncertain(const LoadTimeModel &pace) noexcept
 {
-    return pace.onTime < onTimeAgain;
+    return pace.onTimeStreak < onTimeAgain;
 }
 
 // Each look is a call that is refused, and draws on the retry budget: where the expectation is far
--- a/libs/serving/src/PartitionLease.cpp
+++ b/libs/serving/src/PartitionLease.cpp
@@ -20,7 +20,7 @@
         const bool mayHoldNow = !mate.storeUnreachable || mate.generation > lease.generation;
         if (mayHoldNow)
             return Instant{};
-        end = std::min(end, mate.heardAt + timing.peerStateTtl);
+        end = std::min(end, mate.receivedAt + timing.peerStateTtl);
     }
     return end;
 }
@@ -35,7 +35,7 @@
                   [now](const PartitionRelease &old) { return now - old.at > releaseTold; });
     const bool unbroken = now < endOf(lease);
     for (const auto &[partition, from] : lease.activeFrom) {
-        const bool ordered = unbroken && now >= from && lease.noted.count(partition) > 0;
+        const bool ordered = unbroken && now >= from && lease.recorded.count(partition) > 0;
         if (ordered && keeps.count(partition) == 0)
             lease.releases.push_back({partition, lease.generation, now});
     }
@@ -44,7 +44,7 @@
 /** Until the former holder of a partition, whoever it was, orders no more and time has passed. */
 Duration waitAfterDeal(const LeaseTiming &timing)
 {
-    return timing.ttl + timing.peerStateTtl + timing.apart;
+    return timing.ttl + timing.peerStateTtl + timing.handoverGap;
 }
 
 } // namespace
@@ -70,16 +70,16 @@
         const bool goesOn = held != lease.activeFrom.end() && unbroken;
         activeFrom[partition] = goesOn ? held->second : now + waitAfterDeal(timing);
         acquiredIn[partition] = goesOn ? lease.acquiredIn[partition] : grant.generation;
-        if (goesOn && lease.looked.count(partition) > 0)
+        if (goesOn && lease.recordsRead.count(partition) > 0)
             looked.insert(partition);
-        if (goesOn && lease.noted.count(partition) > 0)
+        if (goesOn && lease.recorded.count(partition) > 0)
             noted.insert(partition);
     }
     release(lease, activeFrom, now);
     lease.acquiredIn = std::move(acquiredIn);
     lease.activeFrom = std::move(activeFrom);
-    lease.looked = std::move(looked);
-    lease.noted = std::move(noted);
+    lease.recordsRead = std::move(looked);
+    lease.recorded = std::move(noted);
     lease.generation = std::max(lease.generation, grant.generation);
     lease.until = std::max(lease.until, sentAt + timing.ttl - timing.margin);
     lease.extendedUntil = Instant{};
@@ -105,8 +105,8 @@
     release(lease, {}, now);
     lease.acquiredIn.clear();
     lease.activeFrom.clear();
-    lease.looked.clear();
-    lease.noted.clear();
+    lease.recordsRead.clear();
+    lease.recorded.clear();
     lease.until = Instant{};
     lease.extendedUntil = Instant{};
 }
@@ -122,7 +122,7 @@
         return;
     if (gained->second != release.generation + 1)
         return;
-    held->second = std::min(held->second, release.at + timing.apart + timing.margin);
+    held->second = std::min(held->second, release.at + timing.handoverGap + timing.margin);
 }
 
 bool isWriteDue(const PartitionLease &lease, Instant now) noexcept
@@ -130,8 +130,8 @@
     if (now >= endOf(lease))
         return false;
     return std::any_of(lease.activeFrom.begin(), lease.activeFrom.end(), [&](const auto &held) {
-        const bool isNew = lease.looked.count(held.first) == 0;
-        return isNew || (lease.noted.count(held.first) == 0 && now >= held.second);
+        const bool isNew = lease.recordsRead.count(held.first) == 0;
+        return isNew || (lease.recorded.count(held.first) == 0 && now >= held.second);
     });
 }
 
@@ -147,14 +147,14 @@
 {
     std::vector<HolderClaim> claims;
     for (auto &[partition, from] : lease.activeFrom) {
-        lease.looked.insert(partition);
-        if (lease.noted.count(partition) > 0)
+        lease.recordsRead.insert(partition);
+        if (lease.recorded.count(partition) > 0)
             continue;
         std::int64_t &acquiredIn = lease.acquiredIn[partition];
-        const auto note = notes.last.find(partition);
-        const bool again = note != notes.last.end() && note->second.vm == vm;
+        const auto note = notes.byPartition.find(partition);
+        const bool again = note != notes.byPartition.end() && note->second.vm == vm;
         const bool movedOn =
-            !again && note != notes.last.end() && note->second.generation > acquiredIn;
+            !again && note != notes.byPartition.end() && note->second.generation > acquiredIn;
         if (movedOn && lease.generation > note->second.generation) {
             acquiredIn = lease.generation;
             from = now + waitAfterDeal(timing);
@@ -176,9 +176,9 @@
         // The answer may come after the partition was lost and gained again.
         if (gained == lease.acquiredIn.end() || gained->second != claim.acquiredIn)
             continue;
-        lease.noted.insert(claim.partition);
+        lease.recorded.insert(claim.partition);
         Instant &from = lease.activeFrom[claim.partition];
-        if (claim.again)
+        if (claim.resumes)
             from = std::min(from, now);
     }
 }
@@ -188,7 +188,7 @@
     if (lease.activeFrom.empty() || now >= endOf(lease))
         return false;
     return std::all_of(lease.activeFrom.begin(), lease.activeFrom.end(), [&](const auto &held) {
-        return now >= held.second && lease.noted.count(held.first) > 0;
+        return now >= held.second && lease.recorded.count(held.first) > 0;
     });
 }
 
@@ -198,7 +198,7 @@
         return false;
     const auto held = lease.activeFrom.find(partition);
     return held != lease.activeFrom.end() && now >= held->second
-        && lease.noted.count(partition) > 0;
+        && lease.recorded.count(partition) > 0;
 }
 
 int partitionOf(std::uint64_t targetHash, int partitions) noexcept
--- a/libs/serving/src/PrefillRate.cpp
+++ b/libs/serving/src/PrefillRate.cpp
@@ -24,8 +24,8 @@
     const double ms = 1000 * toSeconds(sample.untilFirstEvent);
     if (sample.unreadTokens < leastTokens || sample.waitingTokens > 0 || ms <= 0)
         return;
-    pace.samples[pace.next] = {sample.unreadTokens / ms, now};
-    pace.next = (pace.next + 1) % pace.samples.size();
+    pace.samples[pace.nextSample] = {sample.unreadTokens / ms, now};
+    pace.nextSample = (pace.nextSample + 1) % pace.samples.size();
     std::array<double, std::tuple_size_v<decltype(pace.samples)>> recent{};
     std::size_t count = 0;
     for (const PrefillRate::Sample &known : pace.samples) {
--- a/libs/serving/src/PrefixIndex.cpp
+++ b/libs/serving/src/PrefixIndex.cpp
@@ -27,14 +27,14 @@
 Kept::iterator eraseKept(EnginePrefixes &of, Kept::iterator at)
 {
     of.tokens -= at->second.tokens;
-    return of.kept.erase(at);
+    return of.byHash.erase(at);
 }
 
 // The hash breaks ties, so that the order of the table does not matter.
 void dropLeastRecent(EnginePrefixes &of)
 {
     const auto least =
-        std::min_element(of.kept.begin(), of.kept.end(), [](const auto &a, const auto &b) {
+        std::min_element(of.byHash.begin(), of.byHash.end(), [](const auto &a, const auto &b) {
             return std::tie(a.second.readAt, a.first) < std::tie(b.second.readAt, b.first);
         });
     eraseKept(of, least);
@@ -42,7 +42,7 @@
 
 void trimTo(EnginePrefixes &of, std::size_t limit)
 {
-    while (of.kept.size() > limit)
+    while (of.byHash.size() > limit)
         dropLeastRecent(of);
 }
 
@@ -72,11 +72,11 @@
 
 CachedPrefix &prefixIn(const PrefixIndex &book, EnginePrefixes &of, std::uint64_t hash)
 {
-    const auto found = of.kept.find(hash);
-    if (found != of.kept.end())
+    const auto found = of.byHash.find(hash);
+    if (found != of.byHash.end())
         return found->second;
     trimTo(of, book.limit - 1);
-    return of.kept[hash];
+    return of.byHash[hash];
 }
 
 void believe(EnginePrefixes &of, CachedPrefix &kept, int tokens, Instant now)
@@ -90,9 +90,9 @@
 /** True if others are to hear of it now; it counts as told then. */
 bool isNews(CachedPrefix &kept, Instant now)
 {
-    if (kept.newsAt != Instant{} && now - kept.newsAt < prefixReportInterval)
+    if (kept.reportedAt != Instant{} && now - kept.reportedAt < prefixReportInterval)
         return false;
-    kept.newsAt = now;
+    kept.reportedAt = now;
     return true;
 }
 
@@ -143,8 +143,8 @@
         return;
     EnginePrefixes &of = found->second;
     for (const PromptPrefix &prefix : prefixes) {
-        const auto kept = of.kept.find(prefix.hash);
-        if (kept == of.kept.end())
+        const auto kept = of.byHash.find(prefix.hash);
+        if (kept == of.byHash.end())
             continue;
         of.tokens -= kept->second.tokens;
         kept->second.tokens = 0;
@@ -162,8 +162,8 @@
         return 0;
     // An engine that keeps a prefix keeps the beginning of it, too.
     for (auto prefix = prefixes.rbegin(); prefix != prefixes.rend(); ++prefix) {
-        const auto kept = found->second.kept.find(prefix->hash);
-        if (kept != found->second.kept.end() && kept->second.tokens > 0)
+        const auto kept = found->second.byHash.find(prefix->hash);
+        if (kept != found->second.byHash.end() && kept->second.tokens > 0)
             return prefix->tokens;
     }
     return 0;
@@ -183,7 +183,7 @@
     if (found == book.engines.end())
         return;
     EnginePrefixes &of = found->second;
-    while (of.tokens > tokens && !of.kept.empty())
+    while (of.tokens > tokens && !of.byHash.empty())
         dropLeastRecent(of);
 }
 
@@ -193,7 +193,7 @@
     if (found == book.engines.end())
         return;
     EnginePrefixes &of = found->second;
-    for (auto kept = of.kept.begin(); kept != of.kept.end();)
+    for (auto kept = of.byHash.begin(); kept != of.byHash.end();)
         kept = prefixTag(kept->first) == tag ? eraseKept(of, kept) : std::next(kept);
 }
 
--- a/libs/serving/src/PrefixLog.cpp
+++ b/libs/serving/src/PrefixLog.cpp
@@ -10,7 +10,7 @@
 {
     if (reader.relay)
         return entry.source == PrefixSource::Own;
-    if (!reader.mate)
+    if (!reader.zonePeer)
         return entry.source != PrefixSource::Elsewhere;
     return reader.sourceVm == 0 || entry.sourceVm != reader.sourceVm;
 }
--- a/libs/serving/src/ServiceRetryBudget.cpp
+++ b/libs/serving/src/ServiceRetryBudget.cpp
@@ -38,8 +38,8 @@
                   const SlackSharing &sharing, Instant now)
 {
     advance(budget.calls, policy.window, now);
-    std::uint32_t &newestRepeats = advance(budget.repeats, policy.window, now);
-    const double repeats = sumOf(budget.repeats);
+    std::uint32_t &newestRepeats = advance(budget.retries, policy.window, now);
+    const double repeats = sumOf(budget.retries);
     const double share = policy.ratio * sumOf(budget.calls) + slackShare(policy, sharing, now);
     if (repeats + 1 > usedShare * share)
         return false;
@@ -52,16 +52,16 @@
 void recordRetrySent(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant takenAt,
                      Instant now)
 {
-    std::uint32_t &newest = advance(budget.repeats, policy.window, now);
-    const std::int64_t age = ageOf(budget.repeats, policy.window, takenAt);
-    if (age <= budget.repeats.inWindow)
-        --budget.repeats.part(budget.repeats.newest - age);
+    std::uint32_t &newest = advance(budget.retries, policy.window, now);
+    const std::int64_t age = ageOf(budget.retries, policy.window, takenAt);
+    if (age <= budget.retries.inWindow)
+        --budget.retries.part(budget.retries.newest - age);
     ++newest;
 }
 
 std::uint32_t retriesTaken(const ServiceRetryBudget &budget) noexcept
 {
-    return sumOf(budget.repeats);
+    return sumOf(budget.retries);
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/TargetHealth.cpp
+++ b/libs/serving/src/TargetHealth.cpp
@@ -54,7 +54,7 @@
 {
     const double factor = std::exp2(-toSeconds(now - health.updatedAt) / halfLife);
     health.failureScore *= factor;
-    health.goods *= factor;
+    health.successes *= factor;
     const double lateFactor = std::exp2(-toSeconds(now - health.updatedAt) / lateHalfLife);
     health.recentFailures *= lateFactor;
     health.recentSuccesses *= lateFactor;
@@ -72,7 +72,7 @@
 {
     fade(health, now);
     if (outcome == SendOutcome::Good) {
-        health.goods += 1;
+        health.successes += 1;
         health.recentSuccesses += 1;
         health.ejections = 0;
         return false;
@@ -80,7 +80,7 @@
     health.failureScore += weightOf(outcome);
     health.recentFailures += weightOf(outcome);
     const bool bad =
-        health.failureScore >= ejectBadness && health.failureScore > ejectRatio * health.goods;
+        health.failureScore >= ejectBadness && health.failureScore > ejectRatio * health.successes;
     if (!bad || isEjected(health, now))
         return false;
     const int doublings = std::min(health.ejections, longestDoubling);
@@ -88,7 +88,7 @@
     ++health.ejections;
     // The return is a trial: one more failure of weight soon ejects it again.
     health.failureScore = ejectBadness / 2;
-    health.goods = 0;
+    health.successes = 0;
     return true;
 }
 
@@ -100,8 +100,8 @@
 void addHealth(TargetUsage &use, const TargetHealth &health, Instant now)
 {
     const double factor = std::exp2(-toSeconds(now - health.updatedAt) / lateHalfLife);
-    use.faults += inTenths(health.recentFailures * factor);
-    use.goods += inTenths(health.recentSuccesses * factor);
+    use.failures += inTenths(health.recentFailures * factor);
+    use.successes += inTenths(health.recentSuccesses * factor);
 }
 
 // Each of many VMs sends a target a call in seconds only: when it is gone, each would find out for
@@ -111,7 +111,7 @@
 // anew.
 bool isFailing(const TargetUsage &all) noexcept
 {
-    return all.faults >= failingFaults && all.faults > all.goods;
+    return all.failures >= failingFaults && all.failures > all.successes;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/TargetTable.cpp
+++ b/libs/serving/src/TargetTable.cpp
@@ -34,15 +34,15 @@
     if (failed && now - book.failingSince > outageThreshold)
         book.outageEndedAt = now;
     book.failingSince = Instant{};
-    book.lastRead = now;
-    book.ownRead = now;
+    book.lastReadAt = now;
+    book.lastOwnReadAt = now;
 }
 
 // Only failed reads are an outage. A VM that begins to read in place of another may not have read
 // for long, and must not take that for one: it would wait with removals that are real.
 void recordListFailure(TargetTable &book, Instant now)
 {
-    const bool known = book.lastRead != Instant{};
+    const bool known = book.lastReadAt != Instant{};
     if (known && book.failingSince == Instant{})
         book.failingSince = now;
 }
@@ -52,28 +52,28 @@
     // A peer that does not read itself knows of no failure; only a later read ends an outage.
     if (readAt > book.failingSince)
         book.failingSince = Instant{};
-    book.lastRead = std::max(book.lastRead, readAt);
+    book.lastReadAt = std::max(book.lastReadAt, readAt);
     if (failing > Duration::zero() && book.failingSince == Instant{})
         book.failingSince = now - failing;
 }
 
 bool isListStale(const TargetTable &book, Instant now) noexcept
 {
-    return book.lastRead != Instant{} && now - book.lastRead > maxListAge;
+    return book.lastReadAt != Instant{} && now - book.lastReadAt > maxListAge;
 }
 
 void recordListed(TargetTable &book, TargetEntry entry)
 {
     TargetRecord &record = book.records[entry.id];
-    const StartOrder age = compareStarts(record.entry.born, entry.born);
+    const StartOrder age = compareStarts(record.entry.startTime, entry.startTime);
     if (age == StartOrder::Older)
         return;
     // A target that has said it is leaving never stays after all; an older entry that arrives
     // late, from a read that lagged, must not bring it back. Only a new start of it stays.
     const bool leaving = entry.leaving || (record.entry.leaving && age == StartOrder::Same);
-    const std::int64_t born = std::max(record.entry.born, entry.born);
+    const std::int64_t born = std::max(record.entry.startTime, entry.startTime);
     record.entry = std::move(entry);
-    record.entry.born = born;
+    record.entry.startTime = born;
     record.entry.leaving = leaving;
     record.gone = false;
     record.expiredAt = Instant{};
--- a/libs/serving/src/TargetUsage.cpp
+++ b/libs/serving/src/TargetUsage.cpp
@@ -4,7 +4,7 @@
 
 bool isUnused(const TargetUsage &use) noexcept
 {
-    return use.runs == 0 && use.busySlots == 0 && use.faults == 0 && use.goods == 0;
+    return use.runs == 0 && use.busySlots == 0 && use.failures == 0 && use.successes == 0;
 }
 
 void addUsage(TargetUsage &sum, const TargetUsage &use)
@@ -13,8 +13,8 @@
     sum.heldTokens += use.heldTokens;
     sum.runs += use.runs;
     sum.busySlots += use.busySlots;
-    sum.faults += use.faults;
-    sum.goods += use.goods;
+    sum.failures += use.failures;
+    sum.successes += use.successes;
     sum.shortObjectiveRuns += use.shortObjectiveRuns;
 }
 
@@ -24,8 +24,8 @@
     sum.heldTokens -= use.heldTokens;
     sum.runs -= use.runs;
     sum.busySlots -= use.busySlots;
-    sum.faults -= use.faults;
-    sum.goods -= use.goods;
+    sum.failures -= use.failures;
+    sum.successes -= use.successes;
     sum.shortObjectiveRuns -= use.shortObjectiveRuns;
 }
 
--- a/libs/serving/src/UsageLedger.cpp
+++ b/libs/serving/src/UsageLedger.cpp
@@ -8,8 +8,8 @@
 void applyReport(UsageLedger &ledger, const std::string &reporter, ReporterUsage report)
 {
     ReporterUsage &known = ledger.reports[reporter];
-    subtractUsages(ledger.total, known.uses);
-    addUsages(ledger.total, report.uses);
+    subtractUsages(ledger.total, known.targets);
+    addUsages(ledger.total, report.targets);
     subtractUsages(ledger.workspaceTotal, known.workspaces);
     addUsages(ledger.workspaceTotal, report.workspaces);
     known = std::move(report);
@@ -23,7 +23,7 @@
             silent.push_back(reporter);
     }
     for (const std::string &reporter : silent) {
-        subtractUsages(ledger.total, ledger.reports.at(reporter).uses);
+        subtractUsages(ledger.total, ledger.reports.at(reporter).targets);
         subtractUsages(ledger.workspaceTotal, ledger.reports.at(reporter).workspaces);
         ledger.reports.erase(reporter);
     }
@@ -47,7 +47,7 @@
 
 TargetUsages usagesExcept(const UsageLedger &ledger, const std::string &reporter)
 {
-    return sumExcept(ledger, reporter, &UsageLedger::total, &ReporterUsage::uses);
+    return sumExcept(ledger, reporter, &UsageLedger::total, &ReporterUsage::targets);
 }
 
 WorkspaceUses workspacesExcept(const UsageLedger &ledger, const std::string &reporter)
--- a/libs/serving/src/ZoneRelay.cpp
+++ b/libs/serving/src/ZoneRelay.cpp
@@ -63,8 +63,8 @@
     std::sort(chosen.begin(), chosen.end(), [&](std::size_t left, std::size_t right) {
         if (mates[left].linksLost != mates[right].linksLost)
             return mates[right].linksLost;
-        if (mates[left].holding != mates[right].holding)
-            return mates[left].holding;
+        if (mates[left].leaseHolder != mates[right].leaseHolder)
+            return mates[left].leaseHolder;
         return ranksBefore(mates[left].rank, mates[right].rank);
     });
     if (chosen.size() > most)
--- a/libs/serving/tests/CapacityQueues.cpp
+++ b/libs/serving/tests/CapacityQueues.cpp
@@ -20,8 +20,8 @@
     call.id = id;
     call.rank = rank;
     call.since = since;
-    call.usualUntil = since + patience;
-    call.until = call.usualUntil;
+    call.softDeadline = since + patience;
+    call.deadline = call.softDeadline;
     return call;
 }
 
@@ -39,8 +39,8 @@
         const Duration patience = std::chrono::milliseconds(*rc::gen::inRange(0, 800));
         WaitingCall call = callOf(static_cast<std::uint64_t>(index), *rc::gen::inRange(0, 3),
                                   start - waited, patience);
-        call.until += std::chrono::milliseconds(*rc::gen::inRange(0, 2) * 3000);
-        call.there = *rc::gen::inRange(0, 4) == 0;
+        call.deadline += std::chrono::milliseconds(*rc::gen::inRange(0, 2) * 3000);
+        call.adapterReady = *rc::gen::inRange(0, 4) == 0;
         call.notBefore = start + std::chrono::milliseconds(*rc::gen::inRange(-30, 10));
         queue.calls.push_back(call);
     }
@@ -50,13 +50,13 @@
 /** Rank, deadline and arrival by the rule's own words, as numbers that are compared in order. */
 std::array<std::int64_t, 4> naiveOrder(const WaitingCall &call)
 {
-    const Duration patience = call.usualUntil - call.since;
+    const Duration patience = call.softDeadline - call.since;
     std::int64_t rank = call.rank;
     for (const int half : {1, 2}) {
         if (patience > Duration::zero() && 2 * (start - call.since) >= half * patience)
             --rank;
     }
-    return {start >= call.usualUntil ? 1 : 0, rank, call.until.time_since_epoch().count(),
+    return {start >= call.softDeadline ? 1 : 0, rank, call.deadline.time_since_epoch().count(),
             static_cast<std::int64_t>(call.id)};
 }
 
@@ -81,7 +81,7 @@
                 std::min_element(left.begin(), left.end(), [](const auto &one, const auto &other) {
                     return naiveOrder(one) < naiveOrder(other);
                 });
-            if (first->there || room-- > 0)
+            if (first->adapterReady || room-- > 0)
                 naive.push_back(first->id);
             left.erase(first);
         }
@@ -123,11 +123,11 @@
     const WaitingCall call = callOf(1, 0, start, 300ms);
     ServiceCapacity room;
     cr_assert(expectedCapacityWait(none, call, room, 100ms, start) == Duration::zero());
-    room.later = {start + 500ms, start + 400ms};
+    room.expectedAt = {start + 500ms, start + 400ms};
     cr_assert(expectedCapacityWait(none, call, room, 100ms, start) == Duration(400ms));
-    room.open = true;
+    room.unknownLater = true;
     cr_assert(expectedCapacityWait(none, call, room, 100ms, start) == Duration::zero());
-    room.open = false;
+    room.unknownLater = false;
     CapacityQueue queue;
     for (std::uint64_t id = 2; id < 5; ++id)
         enqueueCall(queue, callOf(id, 0, start - 1ms, 300ms), start);
@@ -184,7 +184,7 @@
             return;
         }
         ServiceCapacity room;
-        room.open = true;
+        room.unknownLater = true;
         const bool late = expectedCapacityWait(this->queue, call, room, 300ms, this->now) > 350ms;
         mine.refusedAtOnce += late ? 1 : 0;
         if (!late)
@@ -195,7 +195,7 @@
     {
         const CapacityQueue before = this->queue;
         for (const WaitingCall &call : before.calls) {
-            if (this->now < call.until)
+            if (this->now < call.deadline)
                 continue;
             ++this->ends[static_cast<std::size_t>(call.rank)].refusedLate;
             dequeueCall(this->queue, call.id, this->now);
--- a/libs/serving/tests/Declines.cpp
+++ b/libs/serving/tests/Declines.cpp
@@ -49,7 +49,7 @@
     scheduler.slots["m/b"].loading = true;
     cr_assert(nextFreeSlotTime(scheduler, start) == Instant{});
     scheduler.slots["m/b"].loading = false;
-    scheduler.slots["m/b"].usedAt = start - 20ms;
+    scheduler.slots["m/b"].lastUsedAt = start - 20ms;
     const Instant idle = nextFreeSlotTime(scheduler, start);
     cr_assert(idle > start && idle <= start + 100ms);
     cr_assert_eq(idleSlots(scheduler, idle - 1ms), 0);
--- a/libs/serving/tests/EngineLogs.cpp
+++ b/libs/serving/tests/EngineLogs.cpp
@@ -29,7 +29,7 @@
         record.holder = {"10.0.0." + std::to_string(*rc::gen::inRange(1, 4)), 7380};
         break;
     case 2:
-        record.born = *rc::gen::inRange(0, 3);
+        record.startTime = *rc::gen::inRange(0, 3);
         record.resident.clear();
         break;
     default:
@@ -75,7 +75,7 @@
     const std::uint64_t seen = counter.last;
     log.set("e", recordOf(9, 2), counter);
     const EngineChange change = log.changeSince("e", seen);
-    cr_assert_not(change.whole);
+    cr_assert_not(change.isSnapshot);
     cr_assert(!applyDocumentDelta(nullptr, change));
     const EngineRecord other = recordOf(3, 1);
     cr_assert(!applyDocumentDelta(&other, change));
@@ -95,6 +95,6 @@
     log.set("e", record, counter);
     const EngineChange change = log.changeSince("e", seen);
     cr_assert_eq(change.record.resident, (ResidentVersions{{"adapter11", 1}}));
-    cr_assert_eq(change.gone, std::vector<std::string>{"adapter3"});
+    cr_assert_eq(change.removed, std::vector<std::string>{"adapter3"});
     cr_assert(change.sameHeader);
 }
--- a/libs/serving/tests/EngineSimulation.cpp
+++ b/libs/serving/tests/EngineSimulation.cpp
@@ -132,7 +132,7 @@
             this->result.lateWithoutLoad[kind] = this->waited[kind] / this->all[kind];
         }
         const double sum = std::accumulate(this->taken.begin(), this->taken.end(), 0.0);
-        this->result.busiest =
+        this->result.maxToMeanCalls =
             *std::max_element(this->taken.begin(), this->taken.end()) * engineCount / sum;
         return this->result;
     }
@@ -232,7 +232,7 @@
         need.objectives.firstEventMs = kind.objectiveMs;
         if (this->day.byForecast)
             need.shortestObjectiveMs = this->day.kinds[shortestObjectiveKind].objectiveMs;
-        need.newsAgeMs = this->day.earlyCopies ? this->ageOf(call->vm) : 0;
+        need.stateAgeMs = this->day.earlyCopies ? this->ageOf(call->vm) : 0;
         while (true) {
             this->look(*call);
             need.mayCopyEarly = call->declined.empty();
@@ -367,7 +367,7 @@
             this->own[static_cast<std::size_t>(call->vm)][call->engine] -= kind.promptTokens;
             this->finish(*call, this->now - call->at <= kind.objectiveMs);
             engine.shortObjectiveRuns += call->kind == shortestObjectiveKind ? 1 : 0;
-            return this->add(this->now + kind.runMs, Step::End, call);
+            return this->add(this->now + kind.streamMs, Step::End, call);
         case Step::End:
             engine.shortObjectiveRuns -= call->kind == shortestObjectiveKind ? 1 : 0;
             --engine.runs;
--- a/libs/serving/tests/EngineSimulation.h
+++ b/libs/serving/tests/EngineSimulation.h
@@ -12,7 +12,7 @@
     double perSecond = 0;
     double promptTokens = 0;
     double objectiveMs = 0;
-    double runMs = 0; ///< from the first event to the end
+    double streamMs = 0; ///< from the first event to the end
 };
 
 constexpr std::size_t callKinds = 3;
@@ -40,7 +40,7 @@
     std::array<double, callKinds> lateWithoutLoad{}; ///< late or refused without a load, by kind
     int fetches = 0; ///< loads from the weight store
     int loads = 0;
-    double busiest = 0; ///< calls at the engine that took most over the mean
+    double maxToMeanCalls = 0; ///< calls at the engine that took most over the mean
 };
 
 SimulationResult simulateDay(const EngineSimulation &day);
--- a/libs/serving/tests/Forecasts.cpp
+++ b/libs/serving/tests/Forecasts.cpp
@@ -80,7 +80,7 @@
         if (!view.usable || !hasCapacity(view, need, weights) || (!there && !loadable))
             continue;
         const double first = view.waitingTokens / weights.promptTokensPerMs
-            + weights.runMs * view.runs + need.promptTokens / weights.promptTokensPerMs
+            + weights.runPenaltyMs * view.runs + need.promptTokens / weights.promptTokensPerMs
             + (there ? 0 : view.loadMs);
         places.push_back({there ? EngineStep::Send : EngineStep::Load, index,
                           first <= weights.onTimeShare * need.objectives.firstEventMs});
@@ -98,7 +98,7 @@
     cr_assert(rc::check("like the list of all places", [] {
         const std::vector<EngineView> views = drawnViews();
         EngineNeed need = quickNeed();
-        need.newsAgeMs = *rc::gen::inRange(0, 3) * 150;
+        need.stateAgeMs = *rc::gen::inRange(0, 3) * 150;
         const std::vector<Place> places = placesOf(views, need);
         const EngineChoice choice = chooseEngine(views, need, {}, weights);
         const auto any = [&](EngineStep step, bool meets) {
@@ -125,7 +125,7 @@
                     && stay > weights.onTimeShare * need.objectives.firstEventMs
                     && stay > cost + weights.copyExtraLoads * views[choice.engine].fetchMs;
             });
-            RC_ASSERT(costly || (chosen->meets && need.newsAgeMs > 0));
+            RC_ASSERT(costly || (chosen->meets && need.stateAgeMs > 0));
         }
         if (choice.step == EngineStep::Load && any(EngineStep::Load, true))
             RC_ASSERT(chosen->meets);
@@ -238,7 +238,7 @@
     views[0].waitingTokens = 9190;
     EngineNeed need = quickNeed();
     cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Send, "fresh news");
-    need.newsAgeMs = 300;
+    need.stateAgeMs = 300;
     cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Load);
     // Guards against holding a call after declined loads although its adapter is there.
     need.mayCopyEarly = false;
@@ -252,7 +252,7 @@
     // Guards against a copy for each call where all news are older than the objective.
     views[0].waitingTokens = 0;
     views[1].waitingTokens = 0;
-    need.newsAgeMs = 3000;
+    need.stateAgeMs = 3000;
     cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Send, "an idle engine");
 }
 
@@ -286,7 +286,7 @@
     EngineWeights by;
     cr_assert_eq(chooseEngine(views, need, {}, by).engine, 0);
     for (const LongPromptPolicy way :
-         {LongPromptPolicy::FewestShortRuns, LongPromptPolicy::Apart}) {
+         {LongPromptPolicy::FewestShortRuns, LongPromptPolicy::ReservedEngines}) {
         by.longPrompts = way;
         cr_assert_eq(chooseEngine(views, need, {}, by).engine, 1);
         cr_assert_eq(chooseEngine(views, quickNeed(), {}, by).engine, 0, "a short call");
--- a/libs/serving/tests/HarmfulCalls.cpp
+++ b/libs/serving/tests/HarmfulCalls.cpp
@@ -49,7 +49,7 @@
     std::deque<CallEvidence> evidence = threeEnds();
     const HarmfulCalls verdict = judge(evidence);
     cr_assert_eq(verdict.calls.size(), 1);
-    cr_assert_eq(verdict.calls[0].ends, 3);
+    cr_assert_eq(verdict.calls[0].crashes, 3);
     cr_assert(findHarmful(verdict, harmful) != nullptr);
     cr_assert(blockedUntil(verdict.calls[0]) == start + evidenceTtl);
     evidence.pop_back();
--- a/libs/serving/tests/LeaseModel.cpp
+++ b/libs/serving/tests/LeaseModel.cpp
@@ -47,7 +47,7 @@
 void apply(Play &play, const Toggle &toggle)
 {
     if (!toggle.fault) {
-        play.store.redeal();
+        play.store.reassign();
         return;
     }
     bool &on = play.on[static_cast<int>(*toggle.fault)];
@@ -70,16 +70,16 @@
     if (!vm.claims.empty() && tick < vm.addAt)
         return;
     HolderRecords &notes = play.store.notes;
-    if (!vm.claims.empty() && (vm.readEnd == notes.end || play.mutation.recordsBlindly)) {
-        ++notes.end;
-        notes.last[0] = {nameOf(index), vm.lease.generation};
+    if (!vm.claims.empty() && (vm.readEnd == notes.logEnd || play.mutation.recordsBlindly)) {
+        ++notes.logEnd;
+        notes.byPartition[0] = {nameOf(index), vm.lease.generation};
         if (!play.is(Fault::AnswersLost))
             confirmClaims(vm.lease, vm.claims, now);
     }
     vm.claims.clear();
     if (play.is(Fault::AnswersLost) || !isWriteDue(vm.lease, now))
         return;
-    vm.readEnd = notes.end;
+    vm.readEnd = notes.logEnd;
     vm.addAt = tick + noteTicks;
     vm.claims = claimsToRecord(vm.lease, notes, nameOf(index), play.timing, now);
 }
@@ -108,12 +108,12 @@
     ModelVm &other = play.vms[static_cast<std::size_t>(1 - index)];
     for (const PartitionRelease &release : vm.lease.releases)
         applyRelease(other.lease, release, play.timing);
-    other.heardMate = true;
-    other.mate.heardAt = now;
-    other.mate.generation = vm.lease.generation;
-    other.mate.storeUnreachable = vm.renewalFailing || play.mutation.trustsAnyPeer;
+    other.hasPeerState = true;
+    other.peer.receivedAt = now;
+    other.peer.generation = vm.lease.generation;
+    other.peer.storeUnreachable = vm.renewalFailing || play.mutation.trustsAnyPeer;
     if (play.mutation.trustsAnyPeer)
-        other.mate.generation = 0;
+        other.peer.generation = 0;
 }
 
 void extend(Play &play, ModelVm &vm, Instant now)
@@ -121,8 +121,8 @@
     if (!vm.renewalFailing)
         return;
     std::vector<PeerLeaseState> mates;
-    if (vm.heardMate)
-        mates.push_back(vm.mate);
+    if (vm.hasPeerState)
+        mates.push_back(vm.peer);
     extendLease(vm.lease, mates, play.timing, now);
 }
 
@@ -189,7 +189,7 @@
     return this->joinedAt[static_cast<std::size_t>(vm)] != Instant{};
 }
 
-void ModelStore::give(int vm)
+void ModelStore::assign(int vm)
 {
     this->owner = vm;
     ++this->generation;
@@ -203,7 +203,7 @@
             continue;
         joined = Instant{};
         if (this->owner == vm)
-            this->give(this->isMember(1 - vm) ? 1 - vm : -1);
+            this->assign(this->isMember(1 - vm) ? 1 - vm : -1);
         else
             ++this->generation;
     }
@@ -214,14 +214,14 @@
     const bool isNew = !this->isMember(vm);
     this->joinedAt[static_cast<std::size_t>(vm)] = now;
     if (isNew)
-        this->give(this->owner < 0 ? vm : this->owner);
+        this->assign(this->owner < 0 ? vm : this->owner);
 }
 
-void ModelStore::redeal()
+void ModelStore::reassign()
 {
     const int other = 1 - this->owner;
     if (this->owner >= 0 && this->isMember(other))
-        this->give(other);
+        this->assign(other);
 }
 
 Duration shortestChange(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing,
--- a/libs/serving/tests/LeaseModel.h
+++ b/libs/serving/tests/LeaseModel.h
@@ -50,10 +50,10 @@
 
     void expire(Instant now, Duration ttl);
     void join(int vm, Instant now);
-    void redeal();
+    void reassign();
 
 private:
-    void give(int vm);
+    void assign(int vm);
     bool isMember(int vm) const;
 };
 
@@ -61,8 +61,8 @@
 {
     PartitionLease lease;
     bool renewalFailing = false;
-    PeerLeaseState mate;
-    bool heardMate = false;
+    PeerLeaseState peer;
+    bool hasPeerState = false;
     Instant totalPause{}; ///< sum of pauses, for the mutation
     std::vector<HolderClaim> claims; ///< about to be noted
     std::uint64_t readEnd = 0; ///< of the notes that they rest on
--- a/libs/serving/tests/Leases.cpp
+++ b/libs/serving/tests/Leases.cpp
@@ -49,7 +49,7 @@
 {
     const LeaseTiming real;
     return !forAllSchedules([&](const std::vector<Toggle> &schedule) {
-        return shortestChange(schedule, ticks, timing, mutation) >= real.apart;
+        return shortestChange(schedule, ticks, timing, mutation) >= real.handoverGap;
     });
 }
 
@@ -63,8 +63,8 @@
 HolderRecords notedBy(const std::string &vm, std::int64_t generation)
 {
     HolderRecords notes;
-    notes.last[1] = {vm, generation};
-    notes.last[2] = {vm, generation};
+    notes.byPartition[1] = {vm, generation};
+    notes.byPartition[2] = {vm, generation};
     return notes;
 }
 
@@ -90,14 +90,14 @@
         for (const auto &[tick, kind] : drawn)
             schedule.push_back(toggleAt(tick, kind));
         const LeaseTiming timing;
-        RC_ASSERT(shortestChange(schedule, ticks, timing, Mutation{}) >= timing.apart);
+        RC_ASSERT(shortestChange(schedule, ticks, timing, Mutation{}) >= timing.handoverGap);
     }));
 }
 
 Test(leases, the_model_finds_a_successor_that_does_not_wait)
 {
     LeaseTiming hasty;
-    hasty.apart = 0ms;
+    hasty.handoverGap = 0ms;
     cr_assert(findsTwoHolders(hasty, Mutation{}));
 }
 
@@ -228,8 +228,9 @@
     PartitionLease later = successor;
     applyRelease(successor, leaver.releases.front(), timing);
     cr_assert(!mayCommand(successor, 1, modelStart + 500ms));
-    cr_assert_eq(successor.activeFrom.at(1).time_since_epoch().count(),
-                 (modelStart + 400ms + timing.apart + timing.margin).time_since_epoch().count());
+    cr_assert_eq(
+        successor.activeFrom.at(1).time_since_epoch().count(),
+        (modelStart + 400ms + timing.handoverGap + timing.margin).time_since_epoch().count());
     later.acquiredIn[1] = 6; // somebody may have held it in between
     applyRelease(later, leaver.releases.front(), timing);
     cr_assert(later.activeFrom.at(1) > successor.activeFrom.at(1));
--- a/libs/serving/tests/LoadLooks.cpp
+++ b/libs/serving/tests/LoadLooks.cpp
@@ -19,7 +19,7 @@
     scheduler.sequence = 6;
     LoadEstimate estimate;
     estimate.time = expected;
-    estimate.underWay = 150;
+    estimate.concurrentLoads = 150;
     estimate.fetched = true;
     recordLoadAccepted(scheduler, "m/a", 1, estimate, start);
     advanceSequence(scheduler, start);
@@ -38,8 +38,8 @@
 LoadEstimator crowdedBeliefs()
 {
     LoadEstimator estimator;
-    recordLoadOnTime(estimator.pace, 1, 280ms);
-    recordEarlyCall(estimator.pace, 150, 1300ms);
+    recordLoadOnTime(estimator.times, 1, 280ms);
+    recordEarlyCall(estimator.times, 150, 1300ms);
     return estimator;
 }
 
@@ -50,14 +50,14 @@
 {
     LoadEstimator estimator = crowdedBeliefs();
     AdapterScheduler scheduler = loadingScheduler(1300ms);
-    cr_assert_not(isReportCheckDue(scheduler, estimator.pace, start + 100ms));
-    cr_assert(isReportCheckDue(scheduler, estimator.pace, start + 500ms));
-    cr_assert_not(isReportCheckDue(scheduler, estimator.pace, start + 1200ms));
+    cr_assert_not(isReportCheckDue(scheduler, estimator.times, start + 100ms));
+    cr_assert(isReportCheckDue(scheduler, estimator.times, start + 500ms));
+    cr_assert_not(isReportCheckDue(scheduler, estimator.times, start + 1200ms));
     cr_assert_not(applyCompletedLoads(scheduler, reportOf(7, false), estimator, start + 500ms));
     cr_assert(applyCompletedLoads(scheduler, reportOf(7, true), estimator, start + 500ms));
     cr_assert_not(scheduler.slots.at("m/a").loading);
     cr_assert_eq(scheduler.sequence, 7);
-    cr_assert_leq(fetchTime(estimator.pace, 150).count(), Duration(500ms).count());
+    cr_assert_leq(fetchTime(estimator.times, 150).count(), Duration(500ms).count());
 }
 
 // Guards against a report of before the order, which shows the adapter from its last stay.
@@ -67,8 +67,8 @@
     AdapterScheduler scheduler = loadingScheduler(1300ms);
     cr_assert_not(applyCompletedLoads(scheduler, reportOf(6, true), estimator, start + 500ms));
     EngineReport otherStart = reportOf(9, true);
-    scheduler.born = 5;
-    otherStart.born = 6;
+    scheduler.startTime = 5;
+    otherStart.startTime = 6;
     cr_assert_not(applyCompletedLoads(scheduler, otherStart, estimator, start + 500ms));
     cr_assert(scheduler.slots.at("m/a").loading);
 }
@@ -91,7 +91,7 @@
     std::deque<Load> loads;
     for (Instant now = start; now < start + 8s; now += loadEvery) {
         for (Load &load : loads) {
-            const bool due = looking && isReportCheckDue(load.scheduler, estimator.pace, now);
+            const bool due = looking && isReportCheckDue(load.scheduler, estimator.times, now);
             if (!due || now - load.requestedAt < real + 100ms)
                 continue;
             if (applyCompletedLoads(load.scheduler, reportOf(7, true), estimator, now))
@@ -99,20 +99,20 @@
         }
         while (!loads.empty() && loads.front().believedAt <= now) {
             const Load &load = loads.front();
-            recordLoadOnTime(estimator.pace, load.underWay, load.believedAt - load.requestedAt);
+            recordLoadOnTime(estimator.times, load.underWay, load.believedAt - load.requestedAt);
             loads.pop_front();
         }
         const int underWay = static_cast<int>(loads.size()) + 1;
-        const Duration expected = fetchTime(estimator.pace, underWay);
+        const Duration expected = fetchTime(estimator.times, underWay);
         Load load{loadingScheduler(expected), now, now + expected, underWay};
         for (auto &[adapter, slot] : load.scheduler.slots) {
             slot.requestedAt = now;
             slot.readyAt = now + expected;
-            slot.underWay = underWay;
+            slot.concurrentLoads = underWay;
         }
         loads.push_back(std::move(load));
     }
-    return fetchTime(estimator.pace, static_cast<int>(loads.size()));
+    return fetchTime(estimator.times, static_cast<int>(loads.size()));
 }
 
 } // namespace
--- a/libs/serving/tests/Orders.cpp
+++ b/libs/serving/tests/Orders.cpp
@@ -298,10 +298,10 @@
             now += 200ms;
             learnFromLoads(scheduler, estimator, now);
         }
-        cr_assert_geq(estimator.memory.loads, 0.5 * kept, "%d kept: %f", kept,
-                      estimator.memory.loads);
-        cr_assert_leq(estimator.memory.loads, 1.6 * kept, "%d kept: %f", kept,
-                      estimator.memory.loads);
+        cr_assert_geq(estimator.memory.retainedLoads, 0.5 * kept, "%d kept: %f", kept,
+                      estimator.memory.retainedLoads);
+        cr_assert_leq(estimator.memory.retainedLoads, 1.6 * kept, "%d kept: %f", kept,
+                      estimator.memory.retainedLoads);
         cr_assert_lt(early, 150, "%d kept: %d early", kept, early);
     }
 }
@@ -316,13 +316,13 @@
     AdapterScheduler scheduler;
     scheduler.adapterSlots = slotCount;
     EngineReport former;
-    former.born = 1000;
+    former.startTime = 1000;
     former.sequence = 7;
     former.resident = {{"m/a1", 1}, {"m/a2", 1}};
     cr_assert(applyEngineReport(scheduler, former, start));
     advanceSequence(scheduler, start);
     EngineReport reborn;
-    reborn.born = 5000;
+    reborn.startTime = 5000;
     cr_assert(applyEngineReport(scheduler, reborn, start + 50ms));
     cr_assert_eq(scheduler.sequence, 0);
     cr_assert(scheduler.slots.empty());
@@ -343,17 +343,17 @@
     recordLoadAccepted(scheduler, "m/a", 1, {200ms, 1, true}, start);
     const Instant due = start + 200ms;
     completeDueLoads(scheduler, due);
-    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, due + 1ms) == Duration::zero());
-    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, due + 2ms) > Duration::zero());
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.times, due + 1ms) == Duration::zero());
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.times, due + 2ms) > Duration::zero());
     recordMissing(scheduler, "m/a", estimator, due + 6ms);
     const Instant again = scheduler.slots.at("m/a").readyAt;
     completeDueLoads(scheduler, again);
-    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, again) == Duration::zero());
-    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, again + 100ms) == Duration::zero(),
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.times, again) == Duration::zero());
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.times, again + 100ms) == Duration::zero(),
               "the first one was not refused");
     for (int load = 0; load < 10; ++load)
-        recordLoadOnTime(estimator.pace, 1, 400ms);
-    cr_assert(probeCallDelay(scheduler, "m/a", estimator.pace, again + 1ms) == Duration::zero());
+        recordLoadOnTime(estimator.times, 1, 400ms);
+    cr_assert(probeCallDelay(scheduler, "m/a", estimator.times, again + 1ms) == Duration::zero());
 }
 
 // Sequence: two loads are ordered one after the other; the call for the first one is refused. The
@@ -366,6 +366,6 @@
     recordLoadAccepted(scheduler, "m/b", 1, {200ms, 2, true}, start + 10ms);
     completeDueLoads(scheduler, start + 200ms);
     recordMissing(scheduler, "m/a", estimator, start + 280ms);
-    extendLoadEstimates(scheduler, estimator.pace);
+    extendLoadEstimates(scheduler, estimator.times);
     cr_assert(scheduler.slots.at("m/b").readyAt > start + 290ms);
 }
--- a/libs/serving/tests/PendingLoads.cpp
+++ b/libs/serving/tests/PendingLoads.cpp
@@ -60,7 +60,7 @@
         double least = 1e9;
         for (const EngineView &view : views) {
             const double wait =
-                view.waitingTokens / weights.promptTokensPerMs + weights.runMs * view.runs;
+                view.waitingTokens / weights.promptTokensPerMs + weights.runPenaltyMs * view.runs;
             const double forecast = view.incomingMs + wait;
             const bool may = view.id != "e0" && view.usable && view.hasModel && view.runs < 4;
             if (may && view.incomingMs >= 0 && forecast <= patienceMs)
--- a/libs/serving/tests/Prefixes.cpp
+++ b/libs/serving/tests/Prefixes.cpp
@@ -29,10 +29,11 @@
             kept.tokens = prefix.tokens;
             kept.readAt = now;
         }
-        const bool recent = kept.newsAt != Instant{} && now - kept.newsAt < prefixReportInterval;
+        const bool recent =
+            kept.reportedAt != Instant{} && now - kept.reportedAt < prefixReportInterval;
         if (recent || (own && (doubted || prefix.tokens < minReportedTokens)))
             return false;
-        kept.newsAt = now;
+        kept.reportedAt = now;
         return true;
     }
 
@@ -145,12 +146,12 @@
     const auto total = [&book] {
         std::size_t sum = 0;
         for (const auto &[engine, of] : book.engines)
-            sum += of.kept.size();
+            sum += of.byHash.size();
         return sum;
     };
     for (std::uint64_t read = 0; read < 2 * maxPrefixesPerEngine; ++read)
         recordReported(book, 1, {++hash, 1000}, start + read * 1ms);
-    cr_assert_eq(book.engines.at(1).kept.size(), maxPrefixesPerEngine);
+    cr_assert_eq(book.engines.at(1).byHash.size(), maxPrefixesPerEngine);
     cr_assert_eq(cachedPrefixTokens(book, 1, {{hash, 1000}}), 1000);
     cr_assert_eq(cachedPrefixTokens(book, 1, {{1, 1000}}), 0, "what was read first goes first");
     std::size_t most = 0;
@@ -215,7 +216,7 @@
         PrefixLog log;
         std::vector<LoggedPrefix> all;
         PrefixReader reader;
-        reader.mate = true;
+        reader.zonePeer = true;
         reader.sourceVm = 1;
         std::set<PrefixRead> had;
         std::uint64_t number = 0;
--- a/libs/serving/tests/Relays.cpp
+++ b/libs/serving/tests/Relays.cpp
@@ -36,7 +36,7 @@
 ReporterUsage reportOf(TargetUsages uses, Instant at)
 {
     ReporterUsage report;
-    report.uses = std::move(uses);
+    report.targets = std::move(uses);
     report.at = at;
     return report;
 }
@@ -127,8 +127,8 @@
 Test(relays, those_that_hold_already_go_on)
 {
     std::vector<ZonePeer> mates{mate(0.5, 1), mate(0.25, 2), mate(0.12, 3), mate(0.12, 4)};
-    mates[2].holding = true;
-    mates[3].holding = true;
+    mates[2].leaseHolder = true;
+    mates[3].leaseHolder = true;
     mates[3].rank.storeUnreachable = true;
     cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{2, 3}));
     mates[2].reachable = false;
@@ -139,7 +139,7 @@
 Test(relays, a_mate_that_reaches_no_engines_orders_none_while_others_can)
 {
     std::vector<ZonePeer> mates{mate(0.25, 1), mate(0.25, 2), mate(0.25, 3)};
-    mates[0].holding = true;
+    mates[0].leaseHolder = true;
     mates[0].linksLost = true;
     cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{1, 2}));
     mates[1].linksLost = true;
@@ -171,7 +171,7 @@
         }
         std::map<std::string, std::pair<int, double>> expected;
         for (const auto &[reporter, report] : naive) {
-            for (const auto &[target, use] : report.uses) {
+            for (const auto &[target, use] : report.targets) {
                 expected[target].first += use.runs;
                 expected[target].second += use.waitingTokens;
             }
@@ -221,10 +221,10 @@
 Test(relays, words_of_a_former_start_are_dropped)
 {
     EngineRecord reborn;
-    reborn.born = 5000;
+    reborn.startTime = 5000;
     reborn.revision = {4, 1, 91};
     EngineRecord former;
-    former.born = 1000;
+    former.startTime = 1000;
     former.revision = {5, 1, 1};
     cr_assert(!mayReplaceRecord(reborn, former));
     cr_assert(mayReplaceRecord(former, reborn));
--- a/libs/serving/tests/Targets.cpp
+++ b/libs/serving/tests/Targets.cpp
@@ -192,17 +192,17 @@
 {
     TargetTable book = following({});
     TargetEntry former = entry("a");
-    former.born = 1000;
+    former.startTime = 1000;
     former.leaving = true;
     TargetEntry reborn = entry("a");
-    reborn.born = 5000;
+    reborn.startTime = 5000;
     recordListed(book, former);
     cr_assert(!mayTakeWork(book.records.at("a")));
     recordListed(book, reborn);
     cr_assert(mayTakeWork(book.records.at("a")));
     recordListed(book, former);
     cr_assert(mayTakeWork(book.records.at("a")));
-    cr_assert_eq(book.records.at("a").entry.born, 5000);
+    cr_assert_eq(book.records.at("a").entry.startTime, 5000);
 }
 
 Test(targets, words_without_a_start_are_of_the_one_that_is_known)
