--- a/libs/quota/benchmark/Admitting.cpp
+++ b/libs/quota/benchmark/Admitting.cpp
@@ -1,4 +1,4 @@
-// A decision is on the way of every call of a VM with a tenth of a core.
+// Cost of an admission decision, which every call takes, on a VM with a tenth of a core.
 
 #include <array>
 
@@ -33,7 +33,7 @@
 
 BENCHMARK(admit);
 
-/** With all that a call of a workspace with several classes takes. */
+/** With everything that a call of a workspace with several classes needs. */
 void admitByClass(benchmark::State &state)
 {
     WorkspaceLimit limit;
--- a/libs/quota/include/quota/Admission.h
+++ b/libs/quota/include/quota/Admission.h
@@ -9,14 +9,14 @@
 
 namespace monsoonbay {
 
-/** What is known of one workspace over all VMs that are in touch with this one. */
+/** Usage of one workspace over all reachable VMs: those whose state updates arrive here. */
 struct FleetUsage
 {
-    WorkspaceUse usage; ///< of these VMs, this one among them
-    int reachableVms = 1;
+    WorkspaceUse usage; ///< of the reachable VMs, including this one
+    int reachableVms = 1; ///< reachable VMs, including this one
     int knownVms = 1;
-    Duration updateAge{}; ///< of what these VMs told, in the mean
-    double allowedShare = 1; ///< part of what may be used in a window; see UsageSnapshotWriter
+    Duration updateAge{}; ///< mean age of the state updates behind `usage`
+    double allowedShare = 1; ///< part of the usable units of a window; see shareAllowed()
 
     bool operator==(const FleetUsage &) const = default;
 };
@@ -24,33 +24,33 @@
 struct QuotaDecision
 {
     bool admitted = false;
-    Duration retryAfter{}; ///< if not: when a call of its class is likely to fit
-    double share = 1; ///< of the calls of its class that run at present
-    bool fits = true; ///< into what the VMs in touch may still let run
+    Duration retryAfter{}; ///< if refused: when a call of its class is likely to be admitted
+    double share = 1; ///< of the calls of its class that is admitted at present
+    bool fits = true; ///< into what the reachable VMs may still admit
 
     auto operator<=>(const QuotaDecision &) const = default;
 };
 
 /**
- * Whether a call that asks for `units` may run. What it asks for must have been noted before, with
- * its class; what it uses is noted by the caller if it is admitted.
+ * Decides whether a call that asks for `units` is admitted. recordRequested() has to be called for
+ * it before, with the same class, and recordUsage() afterwards if it is admitted.
  */
 QuotaDecision admitCall(UsageWindow &own, const WorkspaceLimit &limit, const QuotaPolicy &policy,
                         const FleetUsage &fleet, std::int64_t units, Instant now,
                         CallClass callClass = CallClass::Rank2);
 
-/** The part of the limits that the VMs in touch may use. */
+/** The part of the limits that the reachable VMs may use. */
 double reachableShare(const FleetUsage &fleet) noexcept;
 
-/** The time in which room that there is now is given away. */
+/** Seconds over which the units that are free now are given out. */
 double secondsToFill(const QuotaPolicy &policy, const FleetUsage &fleet) noexcept;
 
-/** Units that all VMs may use in a window, some of the tolerance among them. */
+/** Units that all VMs together may use in a window, including a part of the tolerance. */
 double usableInWindow(const WorkspaceLimit &limit, const QuotaPolicy &policy) noexcept;
 
 /**
- * What a VM may have let run before its start, as far as the window still holds it: nobody else
- * may know of it after a common restart. `sinceStart` is the time that it has been up.
+ * Units that a VM may have admitted before its start and that are still in the window. After a
+ * restart of all VMs no other VM may know of them. `sinceStart` is the VM's uptime.
  */
 WorkspaceUse assumedUsageBeforeStart(const WorkspaceLimit &limit, const QuotaPolicy &policy,
                                      int knownVms, Duration sinceStart) noexcept;
--- a/libs/quota/include/quota/CallClass.h
+++ b/libs/quota/include/quota/CallClass.h
@@ -7,12 +7,12 @@
 
 namespace monsoonbay {
 
-/** Classes of a workspace's calls, in the order in which its limit is spent on them. */
+/** Classes of a workspace's calls, in the order in which its limit is distributed to them. */
 enum class CallClass : std::uint8_t {
-    Small, ///< units at most an eighth of the mean of the workspace's calls
-    Rank0, ///< by the rank of its route
+    Small, ///< at most an eighth of the mean units of the workspace's calls
+    Rank0, ///< by the rank of the call's route
     Rank1,
-    Rank2, ///< and above
+    Rank2, ///< rank 2 and above
 };
 
 constexpr std::size_t callClassCount = 4;
--- a/libs/quota/include/quota/ClassShares.h
+++ b/libs/quota/include/quota/ClassShares.h
@@ -6,23 +6,23 @@
 
 namespace monsoonbay {
 
-/** What calls of a workspace ask for on all VMs, by class. */
+/** Demand of a workspace on all VMs, by class. */
 struct ClassDemand
 {
     std::array<double, callClassCount> units{}; ///< per second
-    std::array<double, callClassCount> calls{}; ///< in the window; zeros: not known
-    int vms = 0; ///< that admit calls, each by itself; 0: not known
+    std::array<double, callClassCount> calls{}; ///< in the window; zeros: unknown
+    int vms = 0; ///< VMs that admit calls, each on its own; 0: unknown
 
     auto operator<=>(const ClassDemand &) const = default;
 };
 
-/** The parts of the calls of each class that are admitted. */
+/** The share of the calls of each class that is admitted. */
 using ClassShares = std::array<double, callClassCount>;
 
 /**
- * Divides among the classes what admits the part `evenShare` of all units, in [0, 1]: to the first
- * classes first, while each keeps a least share. All classes together get no more units than at
- * that part each.
+ * Distributes the units that the same share `evenShare`, in [0, 1], would admit in every class:
+ * the first classes get theirs first, but each class keeps a minimum share. All classes together
+ * get no more units than with the even share.
  */
 ClassShares classSharesOf(const ClassDemand &demand, double evenShare) noexcept;
 
--- a/libs/quota/include/quota/FleetSize.h
+++ b/libs/quota/include/quota/FleetSize.h
@@ -5,29 +5,29 @@
 namespace monsoonbay {
 
 /**
- * VMs that may let calls run, whether they are heard or not.
+ * Number of VMs that may admit calls, including those that are unreachable from this one.
  *
- * The part of the limits that belongs to VMs which are not heard is left to them: each of those, or
- * all that still hear each other, lets run just that part.
+ * Unreachable VMs keep their part of the limits: each isolated VM, or all VMs of one side of a
+ * partition together, admit no more than their own part.
  */
 struct FleetSize
 {
     int known = 1;
-    Instant seenAt{}; ///< when all known ones were heard last; zero: they are only listed
-    Instant firstCountAt{}; ///< when the first count was noted
-    int minReachable = 0; ///< that were heard at once in the present span
-    Instant spanStartedAt{}; ///< zero: nothing was noted yet
+    Instant seenAt{}; ///< when `known` VMs were last reachable; zero: `known` is from the VM list
+    Instant firstCountAt{}; ///< time of the first count
+    int minReachable = 0; ///< fewest VMs that were reachable at once in the present span
+    Instant spanStartedAt{}; ///< zero: nothing was counted yet
     bool firstSpan = true;
 
     auto operator<=>(const FleetSize &) const = default;
 };
 
-/** What a VM knows of the number of VMs. */
+/** One observation of the number of VMs. */
 struct VmCount
 {
-    int reachable = 1; ///< heard now, this one among them
-    int listed = 1; ///< known by name; some of them may be gone for long
-    bool storeReachable = false; ///< lately: silent VMs are not only cut off from this one
+    int reachable = 1; ///< reachable now, including this one
+    int listed = 1; ///< on the VM list, which also names VMs that are long gone
+    bool storeReachable = false; ///< the store answered lately: this VM is not the one cut off
 
     auto operator<=>(const VmCount &) const = default;
 };
--- a/libs/quota/include/quota/UnitsByAge.h
+++ b/libs/quota/include/quota/UnitsByAge.h
@@ -11,20 +11,20 @@
 
 namespace monsoonbay {
 
-/** Equal parts of the window by which units are told apart. */
+/** Equal parts of the window by which units are grouped. */
 constexpr std::size_t ageBuckets = 16;
 
-/** Units that calls of one workspace were let run with, by age; the newest first. */
+/** Units of the admitted calls of one workspace, by age; the newest first. */
 using UnitsByAge = std::array<std::int64_t, ageBuckets>;
 
 using WorkspaceUnits = std::unordered_map<std::string, UnitsByAge>; ///< by workspace
 
 UnitsByAge unitsByAge(UsageWindow &record, const QuotaPolicy &policy, Instant now);
 
-/** Adds units that were told `before` ago. */
+/** Adds units that were reported `before` ago, which have aged since. */
 void addUnits(UnitsByAge &sum, const UnitsByAge &units, const QuotaPolicy &policy, Duration before);
 
-/** The same for all workspaces that `units` names. */
+/** Adds the units of all workspaces that `units` names. */
 void addUnits(WorkspaceUnits &sums, const WorkspaceUnits &units, const QuotaPolicy &policy,
               Duration before);
 
--- a/libs/quota/include/quota/UsageSnapshot.h
+++ b/libs/quota/include/quota/UsageSnapshot.h
@@ -11,29 +11,30 @@
 
 namespace monsoonbay {
 
-/** Part of what may be used in a window that is let run without a note in the store. */
+/** Part of the usable units of a window that is admitted without a snapshot in the store. */
 constexpr double shareWithoutSnapshot = 0.5;
 
-/** More than that is let run for as long after the request began that wrote the note. */
+/** How long a snapshot permits more than `shareWithoutSnapshot`, from the start of the write
+ * request. */
 constexpr Duration permitLifetime = std::chrono::seconds(2);
 
-/** Notes and permits name parts of what may be used in a window in these. */
+/** All usable units of a window, in the percent of snapshots and permits. */
 constexpr int allPercent = 100;
 
-/** What a note holds of one workspace. */
+/** What a snapshot holds of one workspace. */
 struct SnapshotEntry
 {
     int percent =
-        allPercent; ///< of what may be used in a window; use stays below until the next note
-    UnitsByAge units{}; ///< let run by all VMs in touch, when the note was written
+        allPercent; ///< of the usable units of a window; an upper bound until the next snapshot
+    UnitsByAge units{}; ///< admitted by all reachable VMs when the snapshot was written
 
     auto operator<=>(const SnapshotEntry &) const = default;
 };
 
-/** Use that has to survive a restart of all VMs, as one zone keeps it in the store. */
+/** Usage snapshot of one zone in the store, so that it survives a restart of all VMs. */
 using UsageSnapshot = std::map<std::string, SnapshotEntry>; ///< by workspace
 
-/** What a VM read of the notes when it started. */
+/** The snapshots that a VM read when it started. */
 struct StartupSnapshots
 {
     bool wereRead = false;
@@ -44,27 +45,29 @@
 };
 
 /**
- * Another VM of the zone, which answers, read `told` when it started. It may have been part of the
- * same restart of all VMs: then its notes are of before that, and those read here may not be.
+ * Another VM of the zone, which is running, read `told` when it started. If it restarted together
+ * with this one and read earlier, its snapshots replace those of this VM, which may have been
+ * written after the restart.
  */
 void adoptSnapshots(StartupSnapshots &own, const StartupSnapshots &told, const QuotaPolicy &policy,
                     Instant now);
 
-/** Units of a note that have left the window `after` its reader started, at least. */
+/** Lower bound of a snapshot's units that leave the window within `after` of its reader's start. */
 std::int64_t minUnitsExpired(const UnitsByAge &units, const QuotaPolicy &policy,
                              Duration after) noexcept;
 
 /**
- * What a VM that started at `startedAt` counts as used before: its part of what all VMs may have
- * let run, as far as the window still holds it.
+ * Usage that a VM which started at `startedAt` assumes from before its start: its part of what all
+ * VMs may have admitted and what is still in the window.
  */
 WorkspaceUse assumedUsageAtStart(const std::string &workspace, const WorkspaceLimit &limit,
                                  const QuotaPolicy &policy, const StartupSnapshots &notes,
                                  int knownVms, Instant startedAt, Instant now);
 
 /**
- * Adds to `sum`, for a note, what assumedUsageAtStart() counts to the end: units that were let run
- * before the start and leave the window with it, at the latest.
+ * Adds to `sum`, for the next snapshot, the usage that assumedUsageAtStart() assumes up to the end
+ * of the first window: units that were admitted before the start and leave the window with the
+ * start, at the latest.
  */
 void addAssumedUnits(UnitsByAge &sum, const std::string &workspace, const WorkspaceLimit &limit,
                      const QuotaPolicy &policy, const StartupSnapshots &notes, int knownVms,
--- a/libs/quota/include/quota/UsageSnapshotWriter.h
+++ b/libs/quota/include/quota/UsageSnapshotWriter.h
@@ -10,10 +10,10 @@
 
 namespace monsoonbay {
 
-/** Parts of what may be used in a window, in percent, by workspace. */
+/** Parts of the usable units of a window, in percent, by workspace. */
 using UsagePercents = std::map<std::string, int>;
 
-/** What notes in the store permit beyond `shareWithoutSnapshot`. */
+/** What the snapshots in the store permit beyond `shareWithoutSnapshot`. */
 struct UsagePermits
 {
     UsagePercents percents;
@@ -22,36 +22,36 @@
     auto operator<=>(const UsagePermits &) const = default;
 };
 
-/** What a note names of a workspace at least, as permits that it gave may still count. */
+/** Lower bound of a workspace's percent in a snapshot while earlier permits are still valid. */
 struct MinPercent
 {
     int percent = 0;
-    Instant validUntil{}; ///< no less before this
+    Instant validUntil{}; ///< the bound holds until then
 
     auto operator<=>(const MinPercent &) const = default;
 };
 
-/** The notes of a zone, at the VM that writes them. */
+/** State of the VM that writes the usage snapshots of its zone. */
 struct UsageSnapshotWriter
 {
     UsagePercents wanted;
     std::map<std::string, MinPercent> minPercents; ///< by workspace
-    UsagePercents writing; ///< what the note names that is under way
+    UsagePercents writing; ///< percents of the snapshot that is being written
     bool isWriting = false;
-    Instant lastWriteAt{}; ///< of the last request
-    Instant notBefore{}; ///< no note before this
+    Instant lastWriteAt{}; ///< when the last write began
+    Instant notBefore{}; ///< no snapshot is written before this
     UsagePermits acknowledged;
-    bool maybeInStore = false; ///< the zone's note in the store may name workspaces
+    bool maybeInStore = false; ///< the zone's snapshot in the store may name workspaces
 
     auto operator<=>(const UsageSnapshotWriter &) const = default;
 };
 
-/** The part that a workspace needs until the next notes are written; 0: it needs none. */
+/** The percent that a workspace needs until the next snapshot is written; 0: it needs none. */
 int percentNeeded(const WorkspaceLimit &limit, const QuotaPolicy &policy, const FleetUsage &fleet);
 
 /**
- * This VM, which started at `startedAt`, begins to write for its zone. Permits that another one
- * gave to these workspaces may still count.
+ * This VM, which started at `startedAt`, takes over the snapshots of its zone. Permits that the
+ * previous writer gave to `workspaces` may still be valid.
  */
 void startSnapshotWriter(UsageSnapshotWriter &noting, const std::vector<std::string> &workspaces,
                          const QuotaPolicy &policy, Instant startedAt, Instant now);
@@ -60,15 +60,15 @@
 
 bool isWriteDue(const UsageSnapshotWriter &noting, Instant now);
 
-/** A note is being written; returns what it has to name. */
+/** Begins to write a snapshot; returns the percents that it has to name. */
 UsagePercents beginSnapshot(UsageSnapshotWriter &noting, Instant now);
 
 void endSnapshot(UsageSnapshotWriter &noting, bool acknowledged);
 
-/** What the zone's VMs may be told. */
+/** The permits to report to the zone's VMs. */
 UsagePermits permitsOf(const UsageSnapshotWriter &noting);
 
-/** The part of what may be used in a window that is let run now. */
+/** The part of the usable units of a window that is admitted at `now`. */
 double shareAllowed(const UsagePermits &permits, const std::string &workspace, Instant now);
 
 } // namespace monsoonbay
--- a/libs/quota/include/quota/UsageWindow.h
+++ b/libs/quota/include/quota/UsageWindow.h
@@ -11,34 +11,33 @@
 
 namespace monsoonbay {
 
-/** What calls of one workspace used at one VM, by parts of the window. */
+/** Usage and demand of one workspace at one VM, in a sliding window of equal parts. */
 struct UsageWindow
 {
     static constexpr std::size_t parts = 32; ///< of the window
 
     WindowCounts<std::int64_t, parts> used;
     WindowCounts<std::int64_t, parts> requested;
-    Instant since{}; ///< the VM's start: there were no asks before
+    Instant since{}; ///< the VM's start: nothing was requested before
     std::array<WindowCounts<std::int64_t, parts>, callClassCount> requestedByClass;
     std::array<WindowCounts<std::int64_t, parts>, callClassCount> callsInWindowByClass;
-    double carry = 0; ///< see admitCall(); in [0, 1)
-    std::array<double, callClassCount>
-        carryByClass{}; ///< by class, what was added to `carry` since
+    double carry = 0; ///< random phase of `carryByClass`, in [0, 1); see admitCall()
+    std::array<double, callClassCount> carryByClass{}; ///< sum of shares less admitted calls
 };
 
-/** A call asks for `units`, whether it gets them or not. */
+/** Records the demand of a call for `units`, whether it is admitted or not. */
 void recordRequested(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
                      Instant now, CallClass callClass = CallClass::Rank2);
 
 void recordUsage(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant now);
 
-/** A call that was let run at `spentAt` has not run. */
+/** Takes back the usage of a call that was admitted at `spentAt` but has not run. */
 void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant spentAt,
               Instant now);
 
 WorkspaceUse usageOf(UsageWindow &record, const QuotaPolicy &policy, Instant now);
 
-/** Units a second that were asked for, as it was told `before` ago. */
+/** Units a second that were requested, as this VM reported them `before` ago. */
 double requestRateBefore(UsageWindow &record, const QuotaPolicy &policy, Duration before,
                          Instant now);
 
--- a/libs/quota/include/quota/WorkspaceUse.h
+++ b/libs/quota/include/quota/WorkspaceUse.h
@@ -8,15 +8,16 @@
 namespace monsoonbay {
 
 /**
- * What calls of one workspace used lately: at one VM, or at several together. Whole numbers, so
- * that what was added to a sum can be taken off exactly.
+ * Recent usage and demand of one workspace, at one VM or summed over several. Whole numbers, so
+ * that what was added to a sum can be subtracted exactly.
  */
 struct WorkspaceUse
 {
-    std::int64_t unitsInWindow = 0; ///< units in the window
-    std::int64_t requestedPerSecond = 0; ///< units, whether they were let run or not
-    CountsByClass requestedByClass{}; ///< of requestedPerSecond; the rest is of the last class
-    CountsByClass callsInWindowByClass{}; ///< calls that asked in the window
+    std::int64_t unitsInWindow = 0; ///< units of admitted calls in the window
+    std::int64_t requestedPerSecond = 0; ///< units of all calls, admitted or not
+    CountsByClass
+        requestedByClass{}; ///< parts of requestedPerSecond; the rest belongs to the last class
+    CountsByClass callsInWindowByClass{}; ///< all calls in the window, admitted or not
     std::int64_t requestedInWindow = 0; ///< units of these calls
 
     bool operator==(const WorkspaceUse &) const = default;
@@ -25,7 +26,7 @@
 using WorkspaceUses = KeyedSums<WorkspaceUse>; ///< by workspace
 
 /**
- * Class of a call of `units` on a route of `rank`; `use` is of all calls of its workspace before.
+ * Class of a call of `units` on a route of `rank`; `use` covers all earlier calls of its workspace.
  */
 CallClass classOf(const WorkspaceUse &use, std::int64_t units, int rank) noexcept;
 
@@ -33,7 +34,7 @@
 
 void addUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept;
 
-/** Takes `use`, which was added before, off `sum`. */
+/** Subtracts `use`, which was added before, from `sum`. */
 void subtractUsage(WorkspaceUse &sum, const WorkspaceUse &use) noexcept;
 
 } // namespace monsoonbay
--- a/libs/quota/src/Admission.cpp
+++ b/libs/quota/src/Admission.cpp
@@ -10,31 +10,32 @@
 namespace {
 
 /**
- * Of what use may pass a limit by; the rest is for what was let run elsewhere and has not been told
- * yet. A small workspace's slack is a few of its calls, so more of it is left.
+ * Parts of the tolerance that are used deliberately; the rest covers calls that were admitted
+ * elsewhere and not reported yet. The slack of a small workspace is only a few of its calls, so a
+ * larger part of it is kept.
  */
 constexpr double excessUsed = 0.7;
 constexpr double slackUsed = 0.4;
 
 /**
- * Room goes in this part of the window: a workspace that asks for many times its limit is then
- * served evenly, and not all at once and nothing afterwards.
+ * Free units are given out over this part of the window, so that a workspace that requests many
+ * times its limit is served evenly, and not all at once with nothing afterwards.
  */
 constexpr double fillShare = 0.125;
 
-/** Part of what may be used that stays free while more is asked for: room is given away so fast. */
+/** Part of the usable units that stays free under excess demand, as free units are given out. */
 constexpr double steadyRoom = fillShare / (1 + fillShare);
 
-/** What is counted as used before a start ends this part of a window after what can have been. */
+/** Usage assumed from before a start is kept longer than real usage, by this part of a window. */
 constexpr double endShare = 0.125;
 
-/** Calls, spread over a window, below which growth is not told from chance. */
+/** Calls in a window below which growth of the demand cannot be told from chance. */
 constexpr double fewCalls = 12;
 constexpr double mostGrowth = 8;
 
 constexpr Duration soonest = std::chrono::milliseconds(500);
 
-/** Units a second that all VMs in touch together may let run now. */
+/** Units a second that all reachable VMs together may admit now. */
 double admittedPerSecond(const WorkspaceLimit &limit, const QuotaPolicy &policy,
                          const FleetUsage &fleet) noexcept
 {
@@ -44,8 +45,8 @@
 }
 
 /**
- * Units of a call by which growth is told from chance. Beside large calls, a small one's own units
- * would make every large call look like growth.
+ * Units per call that askedNow() uses to tell growth from chance. With calls of several classes it
+ * is the mean: by the units of a small call, every large call would look like growth.
  */
 double typicalUnits(const WorkspaceUse &use, std::int64_t units)
 {
@@ -59,9 +60,9 @@
     return static_cast<double>(use.requestedInWindow) / static_cast<double>(calls);
 }
 
-// Units a second that all VMs in touch are asked for now; what they told of it is older. Where
-// calls are many, the asks at this VM grow as those at all others do: they are a sample. A few
-// calls say nothing, so as many are counted on both sides as make the ratio change little.
+// Estimates the units a second that are requested from all reachable VMs now; their reports are
+// older. If calls are many, the demand at this VM is a sample and grows like that at all others. A
+// few calls say nothing, so `few` is added on both sides of the ratio, which then changes little.
 double askedNow(UsageWindow &own, const QuotaPolicy &policy, const FleetUsage &fleet,
                 std::int64_t units, Instant now)
 {
@@ -73,8 +74,9 @@
     return here + others * std::clamp(growth, 1 / mostGrowth, mostGrowth);
 }
 
-// `asked` is divided as the VMs told; what they told without classes is of the last one. The calls
-// are those of a whole window at all VMs, heard or not: others of the workspace's calls fare alike.
+// Divides `asked` among the classes as the VMs reported them; demand reported without a class
+// belongs to the last one. Calls are extrapolated to a whole window and to all VMs, reachable or
+// not, as the workspace's calls at unreachable VMs get the same shares.
 ClassDemand classDemandOf(const QuotaPolicy &policy, const FleetUsage &fleet, double asked)
 {
     const WorkspaceUse &use = fleet.usage;
@@ -96,9 +98,10 @@
     return demand;
 }
 
-// Where one call is more than the part of these VMs, the share alone decides: it then lets run as
-// many of such calls, over all parts, as fit together. So it does where a call is larger than what
-// stays free of their part, but not of the whole: beside smaller calls, it would hardly ever fit.
+// A call that is larger than the part of the reachable VMs is decided by its class's share alone:
+// over all partitions, the share admits as many such calls as fit together. The same holds for a
+// call that is larger than what stays free of their part but not of the whole limit: beside smaller
+// calls it would hardly ever fit.
 bool isDecidedByShare(const WorkspaceLimit &limit, const QuotaPolicy &policy,
                       const FleetUsage &fleet, double cost)
 {
@@ -116,7 +119,7 @@
     return static_cast<double>(std::max(fleet.reachableVms, 1)) / known;
 }
 
-// No faster than use is heard of: until then, what was let run elsewhere has been told.
+// Never faster than state updates arrive: by then, what was admitted elsewhere has been reported.
 double secondsToFill(const QuotaPolicy &policy, const FleetUsage &fleet) noexcept
 {
     return std::max(fillShare * toSeconds(policy.window), 2 * toSeconds(fleet.updateAge));
@@ -128,11 +131,12 @@
         + slackUsed * policy.slack;
 }
 
-// Every VM lets the same share of calls of a class run, the shares that keep all of them together
-// within the limit: so none has to know what its part is, and news that are some tenths of a second
-// old only shift a share a little. The carry spreads what is let run evenly, whatever the calls'
-// sizes; it is drawn for each VM, or all would let their first call run at the same time. Each
-// class has its own, so that small calls do not wait for the spacing of large ones.
+// Every VM admits the same share of the calls of a class; the shares keep all VMs together within
+// the limit. So no VM has to know its part of the limit, and state updates that are some tenths of
+// a second old shift a share only a little. The accumulators `carryByClass` spread the admitted
+// calls evenly whatever their sizes. Their phase `carry` is random for each VM, or all VMs would
+// admit their first call at the same time. Each class has its own accumulator, so that small calls
+// do not wait for the spacing of large ones.
 QuotaDecision admitCall(UsageWindow &own, const WorkspaceLimit &limit, const QuotaPolicy &policy,
                         const FleetUsage &fleet, std::int64_t units, Instant now,
                         CallClass callClass)
@@ -140,7 +144,7 @@
     if (!isLimited(limit))
         return {true, {}, 1, true};
     const double asked = std::max(askedNow(own, policy, fleet, units, now), 1.0);
-    // What was let run since the others told of it counts as used already.
+    // What the others have probably admitted since their reports counts as used already.
     FleetUsage ahead = fleet;
     const double letRun = std::min(admittedPerSecond(limit, policy, fleet), asked);
     const double leaving =
@@ -166,7 +170,7 @@
     return {false, std::clamp<Duration>(wait, soonest, policy.window / 2), share, fits};
 }
 
-// As much as may have been used, but for what lets the rate go on from the first moment.
+// The maximum that may have been used, less what the rate needs to continue from the first moment.
 WorkspaceUse assumedUsageBeforeStart(const WorkspaceLimit &limit, const QuotaPolicy &policy,
                                      int knownVms, Duration sinceStart) noexcept
 {
--- a/libs/quota/src/ClassShares.cpp
+++ b/libs/quota/src/ClassShares.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/** Part of the even share that each class keeps. */
+/** Minimum share of each class, as a part of the even share. */
 constexpr double leastShare = 0.5;
 
 /**
- * Least share of a class against the share of all calls, counted by calls. The even share is one of
- * units: many small calls raise the share of all calls far beyond it.
+ * Minimum share of a class, as a part of the share of all calls, both counted in calls. The even
+ * share counts units, and many small calls raise the share of all calls far above it.
  */
 constexpr double leastOfCalls = 0.25;
 
-/** Standard deviations of the number of calls admitted that a class is kept above that. */
+/** Standard deviations by which a class's admitted calls are kept above that minimum. */
 constexpr double deviationsKept = 2;
 
-/** Part of a share that is counted on; the rest is for chance and for errors of the demand. */
+/** Bounds of the part of a share that is relied on; the rest covers chance and estimate errors. */
 constexpr double leastCounted = 0.55;
 constexpr double mostCounted = 0.9;
 
@@ -47,14 +47,15 @@
     return shares;
 }
 
-// A VM spaces the calls that it admits evenly, so that it is half a call off at most by chance.
+// Standard deviation of the admitted calls. As each VM spaces its admitted calls evenly, it is off
+// by half a call at most.
 double deviationOf(double calls, double share, int vms)
 {
     const double drawn = calls * share * (1 - share);
     return std::sqrt(vms > 0 ? std::min(drawn, 0.25 * vms) : drawn);
 }
 
-/** What a class counts on of its share; fewer calls vary by more. */
+/** The part of a class's share that can be relied on; it is smaller for fewer calls. */
 double shareCountedOn(const ClassDemand &demand, const ClassShares &shares, std::size_t index)
 {
     const double calls = demand.calls[index];
@@ -79,8 +80,8 @@
 
 } // namespace
 
-// Where the least share has to be more than `leastShare` gives, it is the smallest that serves
-// every class often enough. The even share always does, so there is one.
+// If the minimum share by `leastShare` serves some class too rarely, finds the smallest one that
+// serves all of them by bisection. The even share always does, so one exists.
 ClassShares classSharesOf(const ClassDemand &demand, double evenShare) noexcept
 {
     ClassShares even;
--- a/libs/quota/src/FleetSize.cpp
+++ b/libs/quota/src/FleetSize.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/** A VM that was silent for so long, while the store was heard, is taken as gone. */
+/** VMs that were unreachable for so long while the store answered are considered gone. */
 constexpr Duration silentCounts = std::chrono::seconds(60);
 
-/** When many start at once, it takes some seconds until all of them are heard. */
+/** How long the VM list counts: if many VMs start at once, reaching all takes some seconds. */
 constexpr Duration listCounts = std::chrono::seconds(15);
 
 /**
- * A VM that goes from one relay to another is counted by both for a moment; only what is heard all
- * through a span of this length counts.
+ * A VM that changes its relay is counted by both relays for a moment, so only VMs that are
+ * reachable throughout a span of this length count.
  */
 constexpr Duration span = std::chrono::seconds(2);
 
@@ -31,8 +31,8 @@
 
 } // namespace
 
-// The list names VMs that are gone for long as well, so it only counts until the first ones that
-// are heard have been counted.
+// The list also names VMs that are long gone, so it only counts until reachable VMs have been
+// counted for the first time.
 void updateFleetSize(FleetSize &size, const VmCount &count, Instant now) noexcept
 {
     if (size.seenAt == Instant{})
@@ -45,7 +45,7 @@
     size.minReachable = std::min(size.minReachable, count.reachable);
     if (now - size.spanStartedAt < span)
         return;
-    // In its first span a VM does not hear all yet.
+    // In its first span a VM does not receive the state updates of all VMs yet.
     if (!size.firstSpan)
         takeSettled(size, size.minReachable, count.storeReachable, now);
     size.firstSpan = false;
--- a/libs/quota/src/UsageSnapshot.cpp
+++ b/libs/quota/src/UsageSnapshot.cpp
@@ -12,14 +12,15 @@
 constexpr auto ages = static_cast<std::int64_t>(ageBuckets);
 
 /**
- * Units of age `i` were let run i - 0.5 to i + 3 parts before the note was written: the newest part
- * of a record may have just begun, and what is told by way of two relays is rounded down twice.
+ * Units of age `i` were admitted i - 0.5 to i + 3 parts before the snapshot was written: the newest
+ * part may have just begun, and ages reported through two relays are rounded down twice.
  */
 constexpr std::int64_t widthOfAge = 3;
 
-// Each note holds what all VMs in touch let run, and at least one that permitted more than
-// `shareWithoutSnapshot` is fresh; which one is not known. Taken together, the units of an old note
-// and of a fresh one would be counted as leaving although the old ones had left before the start.
+// The maximum usage before the start that is still in the window. Each snapshot holds what all
+// reachable VMs admitted, and at least one that permitted more than `shareWithoutSnapshot` was
+// fresh at the start; which one is unknown. If the units of all zones' snapshots were added, units
+// of an old one would count as expiring after the start although they had expired before it.
 double mostUsed(const std::string &workspace, const WorkspaceLimit &limit,
                 const QuotaPolicy &policy, const std::vector<UsageSnapshot> &zones, Duration after)
 {
@@ -38,8 +39,8 @@
 
 } // namespace
 
-// As the other VM is up, not all VMs have ended since it read them: what was used since then is
-// known to VMs that are up.
+// As the other VM is running, not all VMs have ended since it read its snapshots: what was used
+// since then is known to running VMs.
 void adoptSnapshots(StartupSnapshots &own, const StartupSnapshots &told, const QuotaPolicy &policy,
                     Instant now)
 {
@@ -48,10 +49,10 @@
         own = told;
 }
 
-// The reader does not know how long before its start the note was written. After `permitLifetime`
-// only what `shareWithoutSnapshot` covers was let run, so that no longer time has to be looked at.
-// Within it the sum is least just after a part of the note's time has passed, when one more age may
-// have left before the start.
+// The reader does not know how long before its start the snapshot was written. Beyond
+// `permitLifetime` only what `shareWithoutSnapshot` covers was admitted, so longer times need not
+// be examined. Within it, the sum is smallest just after another part of the window has passed
+// since the write, when one more age may have expired before the start.
 std::int64_t minUnitsExpired(const UnitsByAge &units, const QuotaPolicy &policy,
                              Duration after) noexcept
 {
@@ -77,7 +78,7 @@
     WorkspaceUse use;
     if (now - startedAt >= policy.window)
         return use;
-    // A note that was read late may have been written after the start.
+    // A snapshot that was read late may have been written after the start.
     const double used = notes.wereRead
         ? mostUsed(workspace, limit, policy, notes.zones, now - notes.readAt)
         : usableInWindow(limit, policy);
@@ -85,8 +86,9 @@
     return use;
 }
 
-// A note that did not tell when this leaves would have the next start count it for a whole window
-// more. What has left before the window is over may have been used again since, so it is not told.
+// Without these units in the snapshot, the next start would assume the same usage for another whole
+// window. Assumed units that expire before the end of the first window are left out, as they may
+// have been used again since.
 void addAssumedUnits(UnitsByAge &sum, const std::string &workspace, const WorkspaceLimit &limit,
                      const QuotaPolicy &policy, const StartupSnapshots &notes, int knownVms,
                      Instant startedAt, Instant now)
--- a/libs/quota/src/UsageSnapshotWriter.cpp
+++ b/libs/quota/src/UsageSnapshotWriter.cpp
@@ -10,10 +10,10 @@
 
 constexpr Duration noteSpacing = std::chrono::seconds(1);
 
-/** Beyond the use that is expected when a note is no longer fresh; demand may grow meanwhile. */
+/** Added to the usage expected at the end of a permit, as demand may grow meanwhile. */
 constexpr int percentSpare = 4;
 
-/** What both allow. */
+/** The percents that both allow. */
 UsagePercents leastOf(const UsagePercents &first, const UsagePercents &second)
 {
     UsagePercents least;
@@ -27,9 +27,9 @@
 
 } // namespace
 
-// Calls are slowed down when room is less than what is asked for while it is given away, so that
-// much is added. A note that permits no more than a workspace is about to use leaves more room
-// after a restart of all VMs than one that permits everything.
+// Calls are throttled once the free units are fewer than the demand during secondsToFill(), so that
+// time is added to the spacing of the snapshots. A snapshot that permits only what a workspace is
+// about to use leaves more free units after a restart of all VMs than one that permits everything.
 int percentNeeded(const WorkspaceLimit &limit, const QuotaPolicy &policy, const FleetUsage &fleet)
 {
     const double ahead = toSeconds(noteSpacing) + secondsToFill(policy, fleet);
@@ -42,11 +42,11 @@
     return std::min(static_cast<int>(percent) + percentSpare, allPercent);
 }
 
-// A note that names less than permits of the former writer still allow would hide use from a
-// restart. After a start that may have been one of all VMs, notes are needed at once and name
-// everything. Else the former writer's last note stays until its permits are over: while all VMs
-// end within a second, each that takes over would replace a precise note by one that names
-// everything.
+// A snapshot that names less than the valid permits of the previous writer would hide usage from a
+// restart. Within a window of its start, which may have been a restart of all VMs, the new writer
+// needs snapshots at once, and they name everything. Otherwise the previous writer's last snapshot
+// stays until its permits have expired: if all VMs end within a second, each new writer would
+// replace a precise snapshot by one that names everything.
 void startSnapshotWriter(UsageSnapshotWriter &noting, const std::vector<std::string> &workspaces,
                          const QuotaPolicy &policy, Instant startedAt, Instant now)
 {
@@ -60,8 +60,8 @@
         noting.minPercents[workspace] = {allPercent, now + permitLifetime};
 }
 
-// A permit counts for `permitLifetime`. Until those that went beyond what is wanted now are over,
-// notes have to name what they allow.
+// A permit is valid for `permitLifetime`. Until permits for more than is wanted now have expired,
+// snapshots have to name what they allow.
 void updateWantedPercents(UsageSnapshotWriter &noting, UsagePercents wanted, Instant now)
 {
     std::erase_if(noting.minPercents,
@@ -83,8 +83,8 @@
     return !noting.wanted.empty() || (noting.maybeInStore && noting.minPercents.empty());
 }
 
-// The new note may be in the store before its answer is, or without one: from now on no more is
-// permitted than both notes name.
+// The new snapshot may be in the store before the acknowledgement arrives, or without one: from now
+// on no more is permitted than both snapshots name.
 UsagePercents beginSnapshot(UsageSnapshotWriter &noting, Instant now)
 {
     noting.writing.clear();
--- a/libs/quota/src/UsageWindow.cpp
+++ b/libs/quota/src/UsageWindow.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/** Parts that asks are averaged over: a few calls, and no longer than a burst. */
+/** Parts over which the demand is averaged: some calls, but no longer than a burst. */
 constexpr std::int64_t partsAveraged = UsageWindow::parts / 4;
 
-/** `until`: end of the parts that the units are of. */
+/** Rate of `units` that were requested in the averaged parts up to `until`. */
 double perSecond(const UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
                  Instant until)
 {
@@ -57,7 +57,7 @@
         advance(record.callsInWindowByClass[index], policy.window, now);
         const std::int64_t asked = sumOf(record.requestedByClass[index], 0, partsAveraged);
         use.requestedByClass[index] = std::llround(perSecond(record, policy, asked, now));
-        // Classes and whole have to agree exactly, whatever is rounded.
+        // The sum has to equal its classes exactly, so it is taken after rounding.
         use.requestedPerSecond += use.requestedByClass[index];
         use.callsInWindowByClass[index] = sumOf(record.callsInWindowByClass[index]);
     }
--- a/libs/quota/src/WorkspaceUse.cpp
+++ b/libs/quota/src/WorkspaceUse.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/** Small calls count at most the mean divided by this. */
+/** A call is small if it costs at most the mean divided by this. */
 constexpr double smallDivisor = 8;
 
 constexpr int lastRank = 2;
 
 } // namespace
 
-// The mean is of the calls at all VMs: many a VM has one call of a workspace in a window, or none,
-// and would take its own small calls for the usual ones.
+// The mean covers the calls at all VMs: a VM often has one call of a workspace in a window, or
+// none, and would take its own small calls for typical ones.
 CallClass classOf(const WorkspaceUse &use, std::int64_t units, int rank) noexcept
 {
     const std::int64_t calls = std::accumulate(use.callsInWindowByClass.begin(),
--- a/libs/quota/tests/Classes.cpp
+++ b/libs/quota/tests/Classes.cpp
@@ -19,7 +19,7 @@
     return {{115, 9190, 1}, {27.7, 9190, 2}, {134, 826, 0}, {141.6, 200, 2}};
 }
 
-/** Days on which a workspace asks for `times` its limit from 12 s to 24 s. */
+/** Scenarios in which a workspace requests `times` its limit from 12 s to 24 s. */
 std::vector<FleetScenario> daysOf(double times)
 {
     std::vector<FleetScenario> days;
@@ -52,7 +52,7 @@
     return outcome;
 }
 
-/** The day with a restart of all, with a zone that is cut off, and with single VMs that are. */
+/** The scenario with a restart of all VMs, with a partitioned zone, and with isolated VMs. */
 std::vector<FleetScenario> withFaults(const FleetScenario &day)
 {
     std::vector<FleetScenario> days(3, day);
@@ -62,7 +62,7 @@
     return days;
 }
 
-/** Sum over the classes of `amounts`, by their shares. */
+/** Sum of `amounts` over the classes, weighted by their shares. */
 double sumBy(const std::array<double, callClassCount> &amounts, const ClassShares &shares)
 {
     return std::inner_product(amounts.begin(), amounts.end(), shares.begin(), 0.0);
@@ -70,8 +70,8 @@
 
 } // namespace
 
-// Guards against classes that together get more than the limit leaves, or less although they ask
-// for it, and against one that is served less than a quarter as often as all calls.
+// Guards against classes that together get more or fewer units than an even share admits, and
+// against a class that is served less than a quarter as often as all calls.
 Test(classes, all_together_get_what_they_would_get_evenly)
 {
     cr_assert(rc::check("sum", [] {
@@ -100,13 +100,14 @@
     cr_assert_float_eq(shares[0], 1, 1e-9);
     cr_assert_float_eq(shares[1], 1, 1e-9);
     cr_assert_float_eq(shares[2], 0.25 + 0.25, 1e-9,
-                       "500 units less 250 kept for all and 150, of 400");
+                       "of 500 units, 250 are the minimum of all classes and 150 go to the first "
+                       "two; 100 are left for 400");
 }
 
 Test(classes, small_is_said_by_the_mean_of_all_vms)
 {
     WorkspaceUse use;
-    cr_assert(classOf(use, 200, 1) == CallClass::Rank1, "it is the mean itself");
+    cr_assert(classOf(use, 200, 1) == CallClass::Rank1, "the first call is the mean itself");
     use.requestedInWindow = 100 * 3200;
     use.callsInWindowByClass = {40, 0, 30, 30};
     cr_assert(classOf(use, 200, 1) == CallClass::Small);
@@ -115,9 +116,10 @@
     cr_assert(classOf(use, 9190, -1) == CallClass::Rank0);
 }
 
-// Guards against a booking of 200 tokens that is refused beside a prompt of 9,190, and against
-// kinds that are starved by those which go before them, or classes that lift the bound: former VMs
-// tell none, and bursts, cuts and restarts change the demand before all have heard of it.
+// Guards against refusing a booking of 200 tokens as often as a prompt of 9,190, against classes
+// that starve later ones, and against classes that raise usage above the bound: VMs of an earlier
+// version report no classes, and bursts, partitions and restarts change the demand before all VMs
+// have received the updates.
 Test(classes, at_twice_the_limit_small_and_urgent_calls_run)
 {
     for (const FleetScenario &day : daysOf(2)) {
@@ -134,7 +136,8 @@
     }
 }
 
-// At six times the limit there is too little for all calls of the first classes.
+// Guards against starving later classes at six times the limit, which does not even serve all calls
+// of the first classes.
 Test(classes, at_six_times_the_limit_no_class_starves)
 {
     for (FleetScenario day : daysOf(6)) {
@@ -150,7 +153,7 @@
     }
 }
 
-// Guards against carries of several classes that let more run than one does.
+// Guards against accumulators of several classes that admit more calls than a single one.
 Test(classes, calls_of_one_class_are_decided_alike_whichever_it_is)
 {
     cr_assert(rc::check("alike", [] {
--- a/libs/quota/tests/FleetModel.cpp
+++ b/libs/quota/tests/FleetModel.cpp
@@ -18,14 +18,14 @@
 constexpr Duration told = std::chrono::milliseconds(50); ///< between two snapshots
 constexpr std::size_t toldKept = 160;
 constexpr Duration away = std::chrono::seconds(1); ///< between the end of a VM and its start
-constexpr Duration noteTakes = std::chrono::milliseconds(40); ///< until the store answers
+constexpr Duration noteTakes = std::chrono::milliseconds(40); ///< duration of a store write
 const std::string name = "workspace";
 
-/** Units of a call: most are of a few thousand, some of many, unless there is a largest. */
+/** Units of a call: log-normal, most of a few thousand and some of many, or uniform if bounded. */
 struct Calls
 {
     std::lognormal_distribution<double> unbounded{8.6, 1.0};
-    double largest = 0; ///< 0: none
+    double largest = 0; ///< 0: unbounded
 
     double mean() const
     {
@@ -40,7 +40,7 @@
     }
 };
 
-/** What came of the calls of one class or kind. */
+/** Counts of the calls of one class and of those that ran. */
 struct Came
 {
     int calls = 0;
@@ -55,18 +55,18 @@
 struct Vm
 {
     UsageWindow record;
-    double level = 0; ///< of its own bucket, where the division gives it one
-    double age = 0; ///< of its news, s
+    double level = 0; ///< of its own token bucket, if the division gives it one
+    double age = 0; ///< of the state updates that it has, s
     double permitAge = 0; ///< s
-    int group = 0; ///< hears those of the same group
+    int group = 0; ///< reaches the VMs of the same group
     Instant started{};
     Instant endsAt{}; ///< at the next restart
     bool up = true;
     StartupSnapshots notes;
-    bool heardNotes = true; ///< it has heard what others read
+    bool heardNotes = true; ///< has received the snapshots that others read at their start
 };
 
-/** What all VMs told at one moment. */
+/** The state updates of all VMs at one moment. */
 struct Snapshot
 {
     struct Told
@@ -78,10 +78,10 @@
 
     std::vector<Told> vms;
     std::vector<UsagePermits> permits; ///< by zone
-    std::vector<UnitsByAge> units; ///< of all VMs that the zone's relay hears, by zone
+    std::vector<UnitsByAge> units; ///< of all VMs that the zone's relay reaches, by zone
 };
 
-/** The VMs of one zone, whose relay is the first that is up. */
+/** The VMs of one zone. Its relay is the first of them that is up. */
 struct Zone
 {
     std::size_t relay = 0;
@@ -91,7 +91,7 @@
     Instant writtenAt{};
 };
 
-/** One bucket for all VMs, as a coordinator without delay would keep it. */
+/** One token bucket for all VMs, as an ideal coordinator without delay would keep it. */
 struct Bucket
 {
     double level = 0;
@@ -192,7 +192,7 @@
         this->checkWindow(at);
     }
 
-    /** `expected`: calls in this step, in the mean. */
+    /** `expected`: mean number of calls in this step. */
     void playMany(double expected, const CallsOfKind &kind)
     {
         std::poisson_distribution<int> count(expected);
@@ -249,7 +249,8 @@
             this->drawEnds();
     }
 
-    // By the time that it hears of others' use, a VM has heard what those read that started before.
+    // By the time that a VM receives the others' usage, it has also received the snapshots that
+    // VMs which started earlier had read.
     void hearNotes(Vm &vm)
     {
         if (vm.heardNotes || !vm.up || this->now - vm.started < fromSeconds(vm.age))
@@ -261,7 +262,6 @@
         }
     }
 
-    // The relay of a zone is the first of its VMs that is up.
     void chooseRelay(std::size_t index)
     {
         Zone &zone = this->zones[index];
@@ -370,7 +370,7 @@
         return use;
     }
 
-    /** What was told `age` ago, s; null: nothing, or the VM was not up. */
+    /** The state updates of `age` seconds ago; null: there were none, or the VM was not up. */
     const Snapshot *heardBy(const Vm &vm, double age) const
     {
         const auto back = static_cast<std::size_t>(age / toSeconds(told));
@@ -521,7 +521,7 @@
             this->inWindow -= this->recent.front().units;
             this->recent.pop_front();
         }
-        // A lower limit binds one window after it is known everywhere.
+        // A lowered limit is enforced one window after all VMs have it.
         const bool settling = this->day.lowered < 1 && this->within(at, 18, 29);
         const WorkspaceLimit &binding = settling ? this->day.limit : this->limit;
         this->mostOfBound =
@@ -546,7 +546,7 @@
     std::vector<Zone> zones;
     std::vector<UsageSnapshot> store; ///< by zone
     std::size_t nextRestart = 0;
-    Instant lastUp{}; ///< all VMs are back from the restart that was drawn last
+    Instant lastUp{}; ///< when all VMs are up again after the latest restart that was drawn
     std::deque<Ran> recent;
     double inWindow = 0;
     double mostOfBound = 0;
--- a/libs/quota/tests/Limits.cpp
+++ b/libs/quota/tests/Limits.cpp
@@ -28,7 +28,7 @@
     return policy;
 }
 
-/** Some days of a workspace at deployments of 7 and 70 VMs. */
+/** Scenarios of a workspace in deployments of 7 and 70 VMs. */
 std::vector<FleetScenario> daysOf(double rate)
 {
     std::vector<FleetScenario> days;
@@ -77,7 +77,7 @@
     cr_assert(isUnused(usageOf(record, policy, start + 100s)));
 }
 
-// Guards against use that is counted twice on a VM whose clock has run for less than a window.
+// Guards against counting usage twice on a VM whose clock has run for less than a window.
 Test(limits, use_counts_once_on_a_clock_that_has_just_begun)
 {
     const QuotaPolicy policy = policyOfDays();
@@ -86,7 +86,7 @@
     cr_assert_eq(usageOf(record, policy, Instant{} + 5s).unitsInWindow, 700);
 }
 
-// Guards against a call that has not run and is taken off twice, or off a later window.
+// Guards against refunding a call that has not run twice, or in a later window.
 Test(limits, what_has_not_run_is_given_back_where_it_was_taken)
 {
     cr_assert(rc::check("given back", [] {
@@ -102,7 +102,7 @@
     }));
 }
 
-// Guards against refusing a workspace that asks for less than its limit gives.
+// Guards against refusing calls of a workspace whose demand is below its limit.
 Test(limits, usual_demand_is_let_run)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
@@ -111,8 +111,8 @@
     }
 }
 
-// Guards against a sum over all VMs beyond the limit while a workspace asks for many times its
-// usual, at all VMs or at a few of them.
+// Guards against total usage above the limit while a workspace requests a multiple of its usual
+// demand, at all VMs or at a few of them.
 Test(limits, many_times_the_usual_stays_within_the_limit)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
@@ -126,7 +126,7 @@
     }
 }
 
-// Guards against VMs that hear nobody and each take the whole limit for their own.
+// Guards against isolated VMs that each use the whole limit.
 Test(limits, vms_that_hear_nobody_keep_to_their_part)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
@@ -138,7 +138,7 @@
     }
 }
 
-// Guards against an availability zone that is cut off and takes the whole limit for its own.
+// Guards against a partitioned availability zone that uses the whole limit.
 Test(limits, a_zone_that_is_cut_off_keeps_to_its_part)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
@@ -150,8 +150,8 @@
     }
 }
 
-// Guards against a second allowance for those who are started anew: all VMs end at once in the
-// middle of a window and know nothing of it when they are back.
+// Guards against granting a window's units twice: all VMs restart at once in the middle of a window
+// and have no record of its usage afterwards.
 Test(limits, a_common_restart_gives_nothing_twice)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
@@ -163,7 +163,7 @@
     }
 }
 
-// Guards against refusing calls below their limit after a restart of all VMs.
+// Guards against refusing calls below the limit after a restart of all VMs.
 Test(limits, after_a_common_restart_usual_demand_is_let_run_at_once)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
@@ -175,8 +175,8 @@
     }
 }
 
-// Guards against a second allowance where most of the window was used just before all VMs end: none
-// of it leaves the window for seconds, and nobody knows of it.
+// Guards against granting a window's units twice when most of it was used just before all VMs
+// restart: none of that usage expires for seconds, and no VM has a record of it.
 Test(limits, a_common_restart_soon_after_a_burst_gives_nothing_twice)
 {
     for (FleetScenario day : daysOf(887000)) {
@@ -187,8 +187,8 @@
     }
 }
 
-// Guards against a bound that large deployments pass, and against calls below their limit that they
-// refuse: news are 1.2 s old at 300 VMs and 2.4 s at 840.
+// Guards against large deployments that exceed the bound or refuse calls below the limit: state
+// updates are 1.2 s old with 300 VMs and 2.4 s old with 840.
 Test(limits, at_300_and_840_vms_the_limit_holds_and_usual_demand_is_let_run)
 {
     FleetScenario day = daysOf(200000).front();
@@ -203,7 +203,7 @@
     }
 }
 
-// Guards against a bound that is passed by single calls of half a window and more.
+// Guards against exceeding the bound by single calls of half a window and more.
 Test(limits, calls_of_any_size_stay_within_the_limit)
 {
     FleetScenario day = daysOf(29000).front();
@@ -248,7 +248,7 @@
 
 namespace {
 
-/** The same count, noted for as long as `duration`. */
+/** Reports the same count for `duration`. */
 void noteFor(FleetSize &size, const VmCount &count, Duration duration, Instant &now)
 {
     const Instant end = now + duration;
@@ -258,7 +258,7 @@
 
 } // namespace
 
-// Guards against a VM in a long cut that forgets the others and takes their part.
+// Guards against a VM that forgets the others during a long partition and uses their part.
 Test(limits, silent_vms_keep_their_part_while_the_store_is_not_heard)
 {
     FleetSize size;
@@ -267,11 +267,11 @@
     noteFor(size, {1, 1, false}, 300s, now);
     cr_assert_eq(size.known, 70);
     noteFor(size, {1, 1, true}, 10s, now);
-    cr_assert_eq(size.known, 1, "the store is heard, and they are not: they are gone");
+    cr_assert_eq(size.known, 1, "the store answers and the others do not: they are gone");
 }
 
-// Guards against refusing calls below their limit: while VMs went from one relay to another 99 of
-// 70 were counted, and each kept to 70 of 99 parts for a minute.
+// Guards against refusing calls below the limit: while VMs changed their relay, 99 were counted
+// instead of 70, and for a minute they used only 70/99 of the limit.
 Test(limits, vms_that_two_relays_count_for_a_moment_are_not_believed)
 {
     FleetSize size;
@@ -281,11 +281,11 @@
     noteFor(size, {70, 70, true}, 10s, now);
     cr_assert_eq(size.known, 70);
     noteFor(size, {73, 73, true}, 10s, now);
-    cr_assert_eq(size.known, 73, "added ones count");
+    cr_assert_eq(size.known, 73, "added VMs count");
 }
 
-// Guards against refusing nearly all calls for a minute after a common restart: a count that was
-// too high for a moment, before the first span was over, stayed.
+// Guards against refusing nearly all calls for a minute after a restart of all VMs: a count that
+// was too high for a moment, before the first span had ended, was kept.
 Test(limits, vms_counted_too_often_at_the_start_are_not_believed)
 {
     FleetSize size;
@@ -302,15 +302,15 @@
     noteFor(size, {1, 200, true}, 1s, now);
     cr_assert_eq(size.known, 200);
     noteFor(size, {40, 200, true}, 9s, now);
-    cr_assert_eq(size.known, 200, "all start at once, and some are not heard yet");
+    cr_assert_eq(size.known, 200, "all start at once, and some are not reachable yet");
     noteFor(size, {70, 200, true}, 10s, now);
-    cr_assert_eq(size.known, 70, "the others on the list are gone for long");
+    cr_assert_eq(size.known, 70, "the other listed VMs are long gone");
     FleetSize cut;
     noteFor(cut, {1, 70, false}, 100s, now);
     cr_assert_eq(cut.known, 70);
 }
 
-// Sums of what VMs tell come apart again exactly, whatever the order.
+// Guards against sums of reported usage from which a part can no longer be subtracted exactly.
 Test(limits, sums_of_uses_come_apart_exactly)
 {
     cr_assert(rc::check("sums", [] {
--- a/libs/quota/tests/Refusals.cpp
+++ b/libs/quota/tests/Refusals.cpp
@@ -46,8 +46,8 @@
                  day.limit.ratePerSecond, static_cast<unsigned long long>(day.seed));
     for (const auto &[key, sum] : rows)
         std::fprintf(stderr,
-                     "%5.1f s %s: %d calls at %zu VMs, %lld units, %d did not fit; in the mean "
-                     "share %.2f, used %.2f of %.2f allowed, %.0f VMs in touch\n",
+                     "%5.1f s %s: %d calls at %zu VMs, %lld units, %d did not fit; means: "
+                     "share %.2f, used %.2f of %.2f allowed, %.0f VMs reachable\n",
                      toSeconds(key.first), textOf(key.second).data(), sum.calls, sum.vms.size(),
                      static_cast<long long>(sum.units), sum.unfitting, sum.share / sum.calls,
                      sum.window / sum.calls, sum.allowed / sum.calls, sum.inTouch / sum.calls);
--- a/libs/quota/tests/Refusals.h
+++ b/libs/quota/tests/Refusals.h
@@ -6,7 +6,7 @@
 
 namespace monsoonbay {
 
-/** Prints a row for each class and half of a second on standard error. */
+/** Prints a row for each class and half second to standard error. */
 void printRefusals(const FleetScenario &day, const std::vector<Refusal> &refusals);
 
 } // namespace monsoonbay
--- a/libs/quota/tests/UsageSnapshots.cpp
+++ b/libs/quota/tests/UsageSnapshots.cpp
@@ -16,7 +16,7 @@
     FleetScenario day;
     day.vms = vms;
     day.callersAt = vms;
-    // As the relays of four zones space their exchanges; see loadReportAge().
+    // By the intervals at which the relays of four zones exchange updates; see loadReportAge().
     day.updateAge = std::max(60ms, 2ms * vms) + std::max(60ms, 3ms * vms) / 2;
     day.permitAge = std::max(60ms, 2ms * vms) / 2;
     day.limit.unit = QuotaUnit::Tokens;
@@ -32,7 +32,7 @@
     return std::chrono::milliseconds(*rc::gen::inRange(leastMs, mostMs));
 }
 
-/** A day with restarts while the store is away for some zones and VMs are cut off. */
+/** A random scenario with restarts while the store rejects some zones and VMs are cut off. */
 FleetScenario drawnDay()
 {
     FleetScenario day =
@@ -69,8 +69,8 @@
 
 } // namespace
 
-// Guards against a second allowance after a restart of all VMs when all of the window was used in
-// its second half: for four seconds nothing of it leaves the window.
+// Guards against granting a window's units twice after a restart of all VMs when they were all used
+// in its second half: for four seconds none of them expires.
 Test(spend_notes, a_window_used_just_before_a_common_restart_is_not_given_again)
 {
     for (const int vms : {7, 83}) {
@@ -85,8 +85,8 @@
     }
 }
 
-// Guards against use beyond the bound when all VMs end once or twice, within a second, while the
-// store is away for some zones or VMs are cut off.
+// Guards against usage above the bound when all VMs restart once or twice, within a second, while
+// the store rejects the writes of some zones or VMs are cut off.
 Test(spend_notes, whatever_fails_the_bound_holds)
 {
     cr_assert(rc::check("bound", [] {
@@ -95,8 +95,9 @@
     }));
 }
 
-// Guards against a restart of all VMs of a large deployment that gives a window twice. News are a
-// second old at 300 VMs and three at 840, where bursts pass the bound without a restart as well.
+// Guards against granting a window's units twice after a restart of all VMs of a large deployment.
+// State updates are a second old with 300 VMs and three with 840, where bursts exceed the bound
+// even without a restart.
 Test(spend_notes, large_deployments_use_no_more_by_a_restart)
 {
     for (const int vms : {300, 840}) {
@@ -111,7 +112,7 @@
     }
 }
 
-// Guards against refusing most calls of a workspace that asks for what it usually does.
+// Guards against refusing most calls of a workspace with its usual demand after a restart.
 Test(spend_notes, usual_demand_is_served_after_a_common_restart)
 {
     for (const int vms : {7, 83, 300}) {
@@ -124,8 +125,8 @@
     }
 }
 
-// Guards against units that are counted as leaving the window after the start although they may
-// have left before, or leave later.
+// Guards against counting units as expired after the start that may have expired before it or
+// expire later.
 Test(spend_notes, no_more_units_are_taken_as_left_than_leave)
 {
     cr_assert(rc::check("left", [] {
@@ -171,7 +172,7 @@
     cr_assert_eq(countedAtStart(readNotes({{"a", noted}}), 8s), 0.0);
 }
 
-// Guards against use of before one start that the next one counts for a whole window more.
+// Guards against assuming usage from before one start for another whole window after the next.
 Test(spend_notes, what_was_counted_at_a_start_leaves_with_its_window)
 {
     const FleetScenario day = dayOf(1);
@@ -187,8 +188,8 @@
     cr_assert_eq(later, UnitsByAge{});
 }
 
-// Guards against refusing most calls of a workspace that asks for what it usually does when all VMs
-// end a second time before the window of the first time is over.
+// Guards against refusing most calls of a workspace with its usual demand when all VMs restart a
+// second time within a window of the first restart.
 Test(spend_notes, usual_demand_is_served_after_a_second_restart)
 {
     for (const int vms : {7, 83, 300}) {
@@ -199,8 +200,8 @@
     }
 }
 
-// Guards against the units of an old note, of a zone that the store rejects, which have left the
-// window before the start and would be subtracted beside those of a fresh one.
+// Guards against subtracting the units of an old snapshot, of a zone whose writes the store
+// rejects, beside those of a fresh one: they had expired before the start.
 Test(spend_notes, units_of_two_zones_notes_are_not_added)
 {
     const double usable = usableInWindow(dayOf(1).limit, dayOf(1).policy);
@@ -211,14 +212,14 @@
     cr_assert_float_eq(countedAtStart(notes, 7s), 0.7, 0.001);
 }
 
-// Guards against a note that names less than permits of an earlier one still allow.
+// Guards against a snapshot that names less than valid permits of an earlier one allow.
 Test(spend_notes, a_note_names_what_permits_may_still_allow)
 {
     UsageSnapshotWriter noting;
     updateWantedPercents(noting, {{"a", 90}}, start);
     cr_assert(isWriteDue(noting, start));
     cr_assert_eq(beginSnapshot(noting, start).at("a"), 90);
-    cr_assert(permitsOf(noting).percents.empty(), "it is not acknowledged yet");
+    cr_assert(permitsOf(noting).percents.empty(), "the snapshot is not acknowledged yet");
     endSnapshot(noting, true);
     cr_assert_eq(shareAllowed(permitsOf(noting), "a", start + 1999ms), 0.9);
     cr_assert_eq(shareAllowed(permitsOf(noting), "a", start + 2s), shareWithoutSnapshot);
@@ -231,17 +232,17 @@
     cr_assert_eq(beginSnapshot(noting, start + 2s).at("a"), 60);
     updateWantedPercents(noting, {{"a", 90}}, start + 2s);
     endSnapshot(noting, false);
-    cr_assert_eq(permitsOf(noting).percents.at("a"), 60, "the last note may be in the store");
+    cr_assert_eq(permitsOf(noting).percents.at("a"), 60, "the last snapshot may be in the store");
     updateWantedPercents(noting, {}, start + 3s);
     cr_assert_not(isWriteDue(noting, start + 3s));
     updateWantedPercents(noting, {}, start + 5s);
-    cr_assert(isWriteDue(noting, start + 5s), "the end of the period");
+    cr_assert(isWriteDue(noting, start + 5s), "the lower bound has expired");
     cr_assert(beginSnapshot(noting, start + 5s).empty());
     endSnapshot(noting, true);
     cr_assert_not(isWriteDue(noting, start + 60s));
 }
 
-// Guards against a VM that takes over and hides what the one before it had permitted.
+// Guards against a new writer whose snapshot hides what the previous writer had permitted.
 Test(spend_notes, who_takes_over_waits_or_names_everything)
 {
     UsageSnapshotWriter noting;
