--- a/libs/residency/include/residency/Placement.h
+++ b/libs/residency/include/residency/Placement.h
@@ -15,23 +15,23 @@
 
 struct PlacementPolicy;
 
-/** What placement decisions depend on, from the manifest and the settings. */
+/** Parameters of placement, from the manifest and the settings. */
 struct PlacementConfig
 {
     double stallWeight = 0.5;
     double batchWeight = 0.5;
     double loadsPerSecond = 2;
-    double storeShare = 1; ///< this side's share of the store while zones are cut off
+    double storeShare = 1; ///< share of the store's rate on this side of a partition
     Duration minResidency = std::chrono::seconds(5);
-    Duration wantLifetime = std::chrono::seconds(2); ///< a want not repeated for so long is dropped
+    Duration wantLifetime = std::chrono::seconds(2); ///< wants that are not repeated expire
     Duration loadTimeout = std::chrono::seconds(60);
     Duration firstBackoff = std::chrono::milliseconds(500);
     Duration maxBackoff = std::chrono::seconds(30);
-    double fullTargetShare = 0.75; ///< of a target's batch; above it a hot adapter gets a replica
+    double fullTargetShare = 0.75; ///< batch fill that calls for a replica; not used yet
     DemandConfig demand;
 };
 
-/** One adapter slot of a target in use. */
+/** An occupied adapter slot of a target. */
 struct ResidentSlot
 {
     AdapterId adapter;
@@ -41,7 +41,7 @@
     auto operator<=>(const ResidentSlot &) const = default;
 };
 
-/** A model engine as its owner last told of it. */
+/** A model engine as its owner last reported it. */
 struct TargetView
 {
     TargetId target;
@@ -62,19 +62,22 @@
     }
 };
 
-/** Requests of one entry VM that wait for an adapter that is not resident. */
+/**
+ * Requests of one entry VM that wait for an adapter that is not resident. The VM repeats its want
+ * while requests wait.
+ */
 struct Want
 {
     AdapterId adapter;
     VmId origin;
     int waiting = 0;
     Instant oldest{};
-    Instant deadline{}; ///< the nearest of the waiters
-    double weight = 1; ///< sum of the waiters' priority weights
+    Instant deadline{}; ///< the earliest of the waiting requests
+    double weight = 1; ///< sum of the waiting requests' priority weights
     Instant receivedAt{};
 };
 
-/** All that wait for one adapter. */
+/** The wants of all entry VMs for one adapter. */
 struct WantSet
 {
     std::vector<Want> wants;
@@ -86,7 +89,7 @@
     Instant deadline() const noexcept;
 };
 
-/** Order to the owner of a target: load an adapter, evicting another first if named. */
+/** Command to the owner of a target to load an adapter, after evicting another if one is named. */
 struct LoadOrder
 {
     std::uint64_t permit = 0;
@@ -97,7 +100,7 @@
     auto operator<=>(const LoadOrder &) const = default;
 };
 
-/** Word to the waiters of an adapter: refused as not run, or how long the load will take. */
+/** Answer to a want: refused as not run, or the expected time of the load. */
 struct WantVerdict
 {
     AdapterId adapter;
@@ -106,35 +109,35 @@
     Duration expectedWait{};
 };
 
-/** What a decision step wants done. */
+/** The results of a decision step, to be sent. */
 struct PlacementActions
 {
     std::vector<LoadOrder> orders;
     std::vector<WantVerdict> verdicts;
 };
 
-/** How an ordered load ended. */
+/** How a commanded load ended. */
 enum class LoadOutcome {
     Loaded,
-    Declined, ///< the owner would not: slot pinned, no lease, target gone
-    Failed, ///< the engine tried and failed
+    Declined, ///< by the owner: slot pinned, no lease, target gone
+    Failed, ///< in the engine
 };
 
-/** A load that was ordered and has not ended. */
+/** A load that was commanded and has not ended. */
 struct PendingLoad
 {
     LoadOrder order;
     Instant startedAt{};
 };
 
-/** Waiting after failed loads of an adapter. */
+/** Exponential back-off after failed loads. */
 struct Backoff
 {
     int failures = 0;
     Instant until{};
 };
 
-/** Counts that tell how placement fares. */
+/** Counters of placement decisions and their results. */
 struct PlacementCounters
 {
     std::uint64_t loadsOrdered = 0;
@@ -147,8 +150,8 @@
 };
 
 /**
- * Soft state of the load-permit coordinator of one reachable side. Nothing in it has to last:
- * owners repeat their targets, entry VMs repeat their wants.
+ * Soft state of the coordinator, which grants the load permits on one side of a partition. It need
+ * not be persisted: owners repeat the state of their targets, entry VMs repeat their wants.
  */
 struct PlacementState
 {
@@ -156,7 +159,7 @@
     const PlacementPolicy *policy = nullptr;
     std::vector<TargetView> targets;
     std::unordered_map<TargetId, std::size_t> targetIndex;
-    std::unordered_map<AdapterId, int> copies; ///< resident or loading, on usable targets
+    std::unordered_map<AdapterId, int> copies; ///< resident or loading on targets that take work
     std::unordered_map<AdapterId, WantSet> wants;
     std::unordered_map<std::uint64_t, PendingLoad> pending;
     std::unordered_map<AdapterId, Backoff> backoffs;
@@ -164,18 +167,18 @@
     std::uint64_t nextPermit = 1;
     Instant nextLoadAt{};
     Instant nextPrefetchAt{};
-    double loadSeconds = 0; ///< smoothed time of a load
+    double loadSeconds = 0; ///< moving average of the time of a load
     PlacementCounters counters;
 };
 
-/** Policy is a name known to placementPolicies(); the permit numbers start at `firstPermit`. */
+/** `policy` is one of placementPolicies(); the permit numbers start at `firstPermit`. */
 PlacementState makePlacement(const PlacementConfig &config, const PlacementPolicy &policy,
                              Instant now, std::uint64_t firstPermit = 1);
 
-/** Takes the owner's newest word about a target; replaces what was known. */
+/** Replaces the state of a target by its owner's newest report. */
 void updateTarget(PlacementState &state, const TargetView &view);
 
-/** Marks a target leaving, or not; what it holds no longer counts as resident. */
+/** Marks a target as leaving or not; the adapters of a leaving one do not count as resident. */
 void setTargetLeaving(PlacementState &state, TargetId target, bool leaving);
 
 void forgetTarget(PlacementState &state, TargetId target);
@@ -183,22 +186,22 @@
 /** Counts requests; `hits` of them found their adapter resident. */
 void recordDemand(PlacementState &state, AdapterId adapter, int count, int hits, Instant now);
 
-/** Takes an entry VM's newest word about who waits there; waiting 0 withdraws it. */
+/** Replaces an entry VM's want for an adapter; `waiting` 0 withdraws it. */
 void updateWant(PlacementState &state, const Want &want, Instant now);
 
 void recordLoadResult(PlacementState &state, std::uint64_t permit, LoadOutcome outcome,
                       Instant now);
 
-/** Orders what the policy wants loaded now and judges wants that cannot be met in time. */
+/** Commands the loads that the policy chooses now, and refuses the wants that it rejects. */
 PlacementActions decide(PlacementState &state, Instant now);
 
 /** True if a usable target holds the adapter. */
 bool isResident(const PlacementState &state, AdapterId adapter);
 
-/** Expected time of one load, from measured ones or the store's rate. */
+/** Expected time of one load: the measured one, but no less than by the store's rate. */
 Duration expectedLoadTime(const PlacementState &state);
 
-/** Bytes of the coordinator's state, estimated from its containers. */
+/** Memory of the coordinator's state in bytes, estimated from its containers. */
 std::size_t bytesOf(const PlacementState &state);
 
 } // namespace monsoonbay
--- a/libs/residency/include/residency/PlacementPolicy.h
+++ b/libs/residency/include/residency/PlacementPolicy.h
@@ -9,14 +9,14 @@
 
 namespace monsoonbay {
 
-/** Where to load an adapter, and what goes for it. */
+/** Where to load an adapter, and what to evict for it. */
 struct SlotChoice
 {
     std::size_t target = 0; ///< index into PlacementState::targets
     AdapterId evict; ///< value 0: a slot is free
 };
 
-/** The next thing to load. */
+/** The next adapter to load, and where. */
 struct LoadChoice
 {
     AdapterId adapter;
@@ -24,31 +24,31 @@
     bool prefetch = false;
 };
 
-/** What a router sees of a target that could take a request. */
+/** A target that could take a request, as the router sees it. */
 struct RouteCandidate
 {
     TargetId target;
     bool resident = false;
-    int running = 0; ///< reported, plus what was sent since the report
+    int running = 0; ///< requests: those reported, plus those sent since the report
     int maxBatch = 1;
     bool sameZone = false;
-    bool prefixCached = false; ///< hint from late, gappy cache events
+    bool prefixCached = false; ///< a hint, as cache events arrive late and incompletely
 };
 
-/** Free functions that make up one way of placing adapters. */
+/** The functions of one placement policy. */
 struct PlacementPolicy
 {
     std::string_view name;
-    /** Loads that may run at the same time; 0 is one a target. */
+    /** Maximum concurrent loads; 0: one for each target. */
     int loadsAtOnce = 1;
-    /** Index of the best candidate, or the size if none will do. */
+    /** Index of the best candidate, or the size if none is suitable. */
     std::size_t (*route)(std::span<const RouteCandidate> candidates, double stallWeight,
                          double batchWeight);
-    /** The next load, if any is worth its permit now. */
+    /** The next demanded load, if any should start now. */
     std::optional<LoadChoice> (*nextLoad)(const PlacementState &state, Instant now);
-    /** What to load ahead of demand, if anything; asked only while no demanded load is due. */
+    /** The next prefetch, if any; called only while nextLoad() returns none. */
     std::optional<LoadChoice> (*prefetch)(const PlacementState &state, Instant now);
-    /** Adapters whose waiters are refused now. */
+    /** Adapters whose waiting requests are refused now. */
     std::vector<AdapterId> (*refuse)(PlacementState &state, Instant now);
 };
 
@@ -58,7 +58,7 @@
 /** The policy of that name, or nullptr. */
 const PlacementPolicy *findPlacementPolicy(std::string_view name);
 
-/** Registers a policy at start-up; one static object in the plug-in's source file. */
+/** Registers a policy at start-up; a static object in the source file of the policy. */
 struct PlacementRegistration
 {
     explicit PlacementRegistration(const PlacementPolicy &policy);
@@ -66,7 +66,7 @@
 
 } // namespace monsoonbay
 
-/** Registers POLICY and gives the linker a symbol to keep the plug-in by. */
+/** Registers POLICY and exports a symbol by which the linker keeps its object file. */
 #define MONSOONBAY_REGISTER_PLACEMENT(NAME, POLICY)                                                \
     extern "C" const ::monsoonbay::PlacementRegistration monsoonbayPlacement##NAME;                \
     const ::monsoonbay::PlacementRegistration monsoonbayPlacement##NAME                            \
--- a/libs/residency/include/residency/SlotTable.h
+++ b/libs/residency/include/residency/SlotTable.h
@@ -16,10 +16,10 @@
     AdapterRef adapter;
     AdapterId id;
     int pins = 0; ///< requests dispatched by this owner and not ended
-    int lingering = 0; ///< requests whose hop broke and which may still run
-    int reported = 0; ///< requests that the engine says it runs on it
+    int lingering = 0; ///< requests whose connection broke and which may still run
+    int reported = 0; ///< running requests of the adapter in the engine's last report
     Instant since{};
-    std::uint64_t generation = 0; ///< tells this stay in the slot from earlier ones
+    std::uint64_t generation = 0; ///< grows with every load, to tell it from earlier ones
 
     auto operator<=>(const OwnedSlot &) const = default;
 
@@ -38,7 +38,7 @@
     auto operator<=>(const ReportedSlot &) const = default;
 };
 
-/** An engine's word about itself. */
+/** An engine's report of its state. */
 struct SlotReport
 {
     std::uint64_t epoch = 0; ///< changes with a restart
@@ -49,8 +49,8 @@
 };
 
 /**
- * The slots of one engine as its owner keeps them. Only the owner knows every request that runs
- * there, so only here is it decided whether an adapter may be evicted.
+ * The slots of one engine, kept by its owner. Only the owner knows every request that runs there,
+ * so whether an adapter may be evicted is decided only here.
  */
 struct SlotTable
 {
@@ -58,37 +58,38 @@
     std::vector<OwnedSlot> resident;
     std::optional<AdapterRef> loading;
     std::uint64_t epoch = 0;
-    bool reported = false; ///< a report has been seen since the claim
+    bool reported = false; ///< a report has arrived since the claim
     int running = 0; ///< dispatched by this owner and not ended
     std::uint64_t revision = 0; ///< grows with every change of what is resident
     std::uint64_t nextGeneration = 1;
 };
 
-/** Holds one stay of an adapter in its slot. */
+/** Keeps an adapter of one generation in its slot. */
 struct SlotPin
 {
     AdapterId adapter;
     std::uint64_t generation = 0;
 };
 
-/** Holds the adapter in its slot for one request; nothing if it is not resident. */
+/** Pins the adapter in its slot for one request; nothing if it is not resident. */
 std::optional<SlotPin> pin(SlotTable &table, AdapterId adapter);
 
-/** Ends a pin. `ended` tells that the engine is known to have ended the request. */
+/** Releases a pin. `ended`: the engine is known to have ended the request. */
 void unpin(SlotTable &table, const SlotPin &held, bool ended);
 
-/** Takes back an adapter from the table that the engine says it does not hold. */
+/** The engine reported that it does not hold the adapter: removes it unless it is pinned. */
 void markNotResident(SlotTable &table, AdapterId adapter);
 
 /**
- * Begins a load, evicting `evict` if its value is not 0. Refuses, with nothing changed, if the
- * victim is in use, no slot is free, or a load is under way.
+ * Begins a load and evicts `evict` if its value is not 0. Refuses, with nothing changed, if no
+ * report has arrived yet, the victim is in use, no slot is free, or a load is in progress. Ok with
+ * nothing changed if the adapter is resident already.
  */
 ErrorKind beginLoad(SlotTable &table, const AdapterRef &adapter, AdapterId evict);
 
 void endLoad(SlotTable &table, bool loaded, Instant now);
 
-/** Takes the engine's word; returns true if the engine restarted since the last one. */
+/** Applies an engine's report; returns true if the engine restarted since the last one. */
 bool applyReport(SlotTable &table, const SlotReport &report, Instant now);
 
 const OwnedSlot *findSlot(const SlotTable &table, AdapterId adapter);
--- a/libs/residency/src/DemandTable.cpp
+++ b/libs/residency/src/DemandTable.cpp
@@ -83,8 +83,8 @@
     table.windowAt = now;
 }
 
-// What was asked for since the sum of misses began to rise is known by that alone; everything
-// else keeps a small part of its rate, in case it was not touched by the shift.
+// An adapter that was requested since the sum of misses began to rise is rated by that time alone;
+// every other keeps a small part of its rate, in case the shift did not affect it.
 void forget(DemandTable &table, Instant now)
 {
     const double window = std::max(shortestWindow, toSeconds(now - table.missesRoseAt));
@@ -127,10 +127,11 @@
     table.slowTotal += count;
 }
 
-// The usual share of hits is measured, not forecast: a forecast of the residents' share is too
-// high by nature, since residents are those that were estimated highest, and it saw a shift every
-// minute of a steady run. With drift 0.2 and threshold 7 a steady run gives a false alarm in about
-// e^(2 * 0.2 * 7 / 0.25) = 73,000 requests, and a full shift shows after about twenty-five.
+// The usual hit ratio is measured, not derived from the estimated rates: those of the residents are
+// biased upwards, as the adapters with the highest estimates are resident, and gave a false alarm
+// every minute of a steady run. With drift 0.2 and threshold 7 a steady run gives a false alarm
+// about every e^(2 * 0.2 * 7 / 0.25) = 73,000 requests, and a complete shift is detected after
+// about 25 requests.
 void recordHit(DemandTable &table, bool hit, Instant now)
 {
     advanceWindow(table, now);
@@ -154,9 +155,10 @@
     return table.unexpectedMisses > table.config.shiftSuspicion;
 }
 
-// A hot adapter that has been silent for many of its mean gaps is probably dead: with the prior
-// p of staying alive, Bayes gives P(alive | silence t) = p e^-rt / (p e^-rt + 1 - p). A cold one
-// may be silent for long without that meaning anything, and keeps its estimate.
+// A hot adapter without requests for many of its mean gaps is probably no longer in demand: with
+// prior probability p of staying in demand, Bayes gives
+// P(in demand | silence t) = p e^-rt / (p e^-rt + 1 - p). For a cold adapter a long silence means
+// little, so it keeps its estimate.
 double rateOf(const DemandTable &table, AdapterId adapter, Instant now)
 {
     const DemandEntry *entry = findEntry(table, adapter);
--- a/libs/residency/src/Forecast.cpp
+++ b/libs/residency/src/Forecast.cpp
@@ -1,6 +1,7 @@
-// Placement by forecast. The store's rate is the hard limit, so the three regimes get their own
-// answer: store idle - prefetch and replicate; store near its rate - choose well what to evict
-// and load what helps most waiters; store over its rate - refuse at once what cannot come in time.
+// Placement by estimated request rates. The store's load rate is the bottleneck. While the store is
+// idle, free slots are filled ahead of demand; near its rate, the policy chooses what to evict and
+// loads what saves the most waiting; above its rate, it refuses at once what cannot be loaded in
+// time.
 
 #include <algorithm>
 #include <array>
@@ -12,24 +13,24 @@
 
 namespace {
 
-/** A resident copy in another zone costs a hop of a millisecond; almost nothing. */
+/** Routing cost of a target in another zone: its hop of a millisecond matters very little. */
 constexpr double zoneHopCost = 0.02;
-/** A cached prefix only breaks ties: its hint is late and has gaps. */
+/** A cached prefix only breaks ties, as its hint is late and incomplete. */
 constexpr double prefixBonus = 0.01;
-/** What a full target's queue costs over any other choice. */
+/** Routing cost of a full target, where the request would queue; above any other cost. */
 constexpr double queueCost = 10;
-/** Preference of a load that deserves its slot for longer than the one request. */
+/** Benefit factor of an adapter that is hot enough to keep its slot beyond the waiting requests. */
 constexpr double hotPreference = 20;
-/** Seconds of evidence from which on rates tell the hot from the merely recent. */
+/** Effective seconds of counts above which rates can tell hot adapters from recent ones. */
 constexpr double trustedWindow = 300;
-/** What a slot's demand counts while another target holds the adapter too. */
+/** Factor of an adapter's rate in the eviction cost while another target holds it too. */
 constexpr double spareCopyShare = 0.25;
 constexpr double leastWeight = 0.05;
-/** A load that has taken so many times the usual means that the store stands still. */
+/** A load that takes longer than this many expected load times means that the store is stalled. */
 constexpr int standstillFactor = 4;
-/** Share of the time to a deadline that loads already admitted may fill. */
+/** Part of the time to a deadline that the admitted loads may take. */
 constexpr double admissibleShare = 0.3;
-/** The waiters' age that counts as much as one more waiter. */
+/** Waiting time that adds the weight of the waiting requests once more to their benefit. */
 constexpr double ageOfOneWaiterSeconds = 15;
 
 std::size_t routeByWeights(std::span<const RouteCandidate> candidates, double stallWeight,
@@ -58,19 +59,18 @@
     return best;
 }
 
-/** Value of a wholly filled target, in requests a second that would have to wait, at equal weights.
- */
+/** Discount of the eviction cost on a full target, at equal weights, in requests a second. */
 constexpr double fillValue = 0.006;
 
-/** False during a popularity shift and until enough has been seen after it. */
+/** False during a suspected popularity shift and until enough requests were counted after one. */
 bool ratesTrusted(const PlacementState &state)
 {
     return !shiftSuspected(state.demand) && state.demand.slowWindow >= trustedWindow;
 }
 
-// Expected stall that evicting a slot causes, in requests a second that would have to wait. The
-// weights exchange it against batch efficiency: on a busy target the loaded adapter's requests
-// share steps that run anyway, so a slot there is worth evicting even if it is a little warmer.
+// Expected stalls by the eviction, in requests a second that would have to wait. The weights trade
+// them against batch efficiency: on a busy target the loaded adapter's requests share batch steps
+// that run anyway, so evicting there pays even if the evicted adapter is a little hotter.
 double evictionCost(const PlacementState &state, const TargetView &target, const ResidentSlot &slot,
                     Instant now)
 {
@@ -117,16 +117,16 @@
     const std::optional<SlotChoice> free = freeSlot(state, now);
     if (free)
         return free;
-    // By old rates the newly popular look cold, and each would be evicted for the next one before
-    // the shift is certain; recency does not make that mistake.
+    // By their old rates newly popular adapters look cold, and each would be evicted for the next
+    // one until the shift is certain. Least recently used eviction avoids that.
     if (shiftSuspected(state.demand))
         return leastRecentSlot(state, now);
     return cheapestSlot(state, now);
 }
 
 /**
- * The rate from which on an adapter deserves a slot: that of the one to evict; zero while rates
- * cannot tell.
+ * Rate above which an adapter is worth a slot: that of the adapter to evict; zero if the rates
+ * cannot be trusted or a slot is free.
  */
 double residentRate(const PlacementState &state, const SlotChoice &slot, Instant now)
 {
@@ -135,9 +135,10 @@
     return rateOf(state.demand, slot.evict, now);
 }
 
-// Stall that loading now rather than later saves: those who wait and those who will come
-// meanwhile. One that deserves its slot goes first, so that under overload the tail's queue does
-// not make the hot set wait; the age term bounds how long a lone waiter can be overtaken.
+// Stalls saved by loading now rather than later: of the waiting requests and of those expected
+// meanwhile. An adapter that is much hotter than the evicted one goes first, so that under overload
+// hot adapters do not queue behind the long tail. The age term bounds how long a single waiting
+// request can be overtaken.
 double benefitOf(const PlacementState &state, AdapterId adapter, const WantSet &set, double hotRate,
                  Instant now)
 {
@@ -156,8 +157,8 @@
     auto operator<=>(const DatedWant &) const = default;
 };
 
-// Whoever was admitted is loaded in time. Helpful loads may go first only as long as all admitted
-// ones still fit before their deadlines; then the earliest deadline goes first.
+// A load of higher benefit may go first only if all wanted adapters still fit their deadlines
+// after it. Otherwise the one with the earliest deadline is returned; value 0: nothing is urgent.
 AdapterId urgentLoad(const PlacementState &state, Instant now)
 {
     std::vector<DatedWant> dated;
@@ -209,7 +210,7 @@
 }
 
 // Only free slots are filled ahead of demand, as after a restart. Evicting for a prefetch was
-// measured to lose: it delays the demanded load that comes meanwhile (docs/design/residency.md).
+// measured to be worse: it delays the next demanded load (docs/design/residency.md).
 std::optional<LoadChoice> prefetch(const PlacementState &state, Instant now)
 {
     const std::optional<SlotChoice> slot = freeSlot(state, now);
@@ -226,7 +227,7 @@
     return std::nullopt;
 }
 
-/** True if the adapter's loads fail and the next try cannot end before the deadline. */
+/** True if the adapter's loads fail and the next attempt cannot end before the deadline. */
 bool failsUntil(const PlacementState &state, AdapterId adapter, Instant deadline)
 {
     const auto backoff = state.backoffs.find(adapter);
@@ -234,8 +235,8 @@
         && backoff->second.until + expectedLoadTime(state) > deadline;
 }
 
-// A load that takes many times what loads take means that the store is down or very slow. For how
-// long is unknown; what has lasted for some time is expected to last that long again.
+// A load that takes many times the expected time means that the store is down or very slow. The
+// stall is expected to last as long again as it has lasted so far.
 Duration expectedStandstill(const PlacementState &state, Instant now)
 {
     Duration longest{};
@@ -257,8 +258,8 @@
     return a.weight != b.weight ? a.weight > b.weight : a.adapter < b.adapter;
 }
 
-// A want that is admitted keeps its place, so that nobody is refused late but for a failed load.
-// A new one is admitted if its load still ends in time after all that are admitted.
+// A want that was admitted stays admitted, so that a late refusal comes only from a failing load or
+// a stalled store. A new one is admitted if its load still ends in time after all admitted ones.
 std::vector<AdapterId> refuseHopeless(PlacementState &state, Instant now)
 {
     std::vector<FreshWant> fresh;
@@ -285,8 +286,8 @@
     for (const FreshWant &want : fresh) {
         const auto ahead = static_cast<double>(admitted + state.pending.size());
         const double room = toSeconds(want.deadline - now) * admissibleShare;
-        // With nothing ahead it is always tried: if everybody were refused on the word of a slow
-        // load, no load would ever show that the store is quick again.
+        // With nothing ahead it is always admitted: if one slow load made the policy refuse all
+        // wants, no load would ever show that the store is fast again.
         if (ahead > 0 && (ahead + 1) * loadSeconds > room) {
             refused.push_back(want.adapter);
             continue;
--- a/libs/residency/src/Naive.cpp
+++ b/libs/residency/src/Naive.cpp
@@ -1,9 +1,9 @@
-// The naive version of the differential tests, in the fewest plain lines: every request goes to
-// the target that runs least, whether or not the adapter is there; each target loads what it is
-// asked for first, evicts its own least recently used, and takes no permit.
+// Reference policy of the differential tests, as simple as possible: every request goes to the
+// target with the fewest running requests, whether or not it holds the adapter; each target loads
+// what was requested there first, evicts its own least recently used adapter, and needs no permit.
 //
-// The router decides the target here, so loads are chosen by who waits at which target; the
-// caller keeps wants by target through Want::origin, which names the target.
+// As the router decides the target here, loads are chosen by the wants of each target: the code
+// that uses this policy sets Want::origin to the target instead of the entry VM.
 
 #include "PlacementSupport.h"
 
--- a/libs/residency/src/Placement.cpp
+++ b/libs/residency/src/Placement.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double loadTimeSmoothing = 0.2;
-constexpr double slowestCounted = 3; ///< times the expected time of a load
+constexpr double slowestCounted = 3; ///< cap of a measured load time, in expected load times
 constexpr Duration prefetchPause = std::chrono::seconds(1);
 constexpr Duration declinedPause = std::chrono::milliseconds(100);
 
@@ -55,8 +55,8 @@
     }
 }
 
-// The owner of a target may die between the order and its result. Without this the permit would
-// stay out for ever and no adapter would be loaded again.
+// The owner of a target may die between a command and its result. Without this timeout its permit
+// would never be returned and no adapter would be loaded again.
 void dropLostLoads(PlacementState &state, Instant now)
 {
     std::vector<std::uint64_t> lost;
@@ -88,8 +88,8 @@
         target.loading.erase(found);
 }
 
-// The owner knows better than this view: the victim is in use, or the target takes no orders now.
-// Another choice is made at once; the owner's next word corrects the view.
+// The owner's state is newer than this view: the victim is in use, or the target takes no commands
+// now. Another choice is made at once; the owner's next report corrects the view.
 void restoreDeclined(PlacementState &state, TargetView &target, const LoadOrder &order, Instant now)
 {
     target.backoffUntil = std::max(target.backoffUntil, now + declinedPause);
@@ -104,7 +104,7 @@
 {
     const int limit = state.policy->loadsAtOnce == 0 ? static_cast<int>(state.targets.size())
                                                      : state.policy->loadsAtOnce;
-    // Loads that a former coordinator ordered still use the store; the owners tell of them.
+    // Loads that a previous coordinator commanded still use the store; the owners report them.
     std::size_t loading = 0;
     for (const TargetView &target : state.targets)
         loading += target.loading.size();
@@ -112,8 +112,8 @@
     return static_cast<int>(underWay) < limit && now >= state.nextLoadAt;
 }
 
-// Looking through all adapters for one worth prefetching takes milliseconds at 67,000 of them; a
-// coordinator that did so at every tick in vain would spend more than its share of a core.
+// Searching 67,000 adapters for one worth prefetching takes milliseconds. After a search without a
+// result the coordinator pauses: at every tick it would use more than its share of a core.
 std::optional<LoadChoice> prefetchIfDue(PlacementState &state, Instant now)
 {
     if (state.policy->prefetch == nullptr || now < state.nextPrefetchAt)
@@ -140,7 +140,7 @@
     state.pending[order.permit] = PendingLoad{order, now};
     ++state.counters.loadsOrdered;
     state.counters.prefetches += choice.prefetch ? 1 : 0;
-    // While cut off, several sides use one store: each paces its starts to its share of the rate.
+    // During a partition several sides use one store: each limits its load starts to its share.
     if (state.config.storeShare < 1)
         state.nextLoadAt =
             now + fromSeconds(1 / (state.config.loadsPerSecond * state.config.storeShare));
@@ -225,7 +225,7 @@
     target = view;
     target.backoffUntil = backoffUntil;
     target.failures = failures;
-    // The owner's word may be older than the order that is on its way to it.
+    // The owner's report may be older than a command that is on its way to it.
     for (const auto &[permit, load] : state.pending) {
         if (load.order.target != view.target)
             continue;
@@ -320,7 +320,7 @@
     }
     ++state.counters.loadsDone;
     state.backoffs.erase(load.order.adapter);
-    // One load that sat through an outage of the store says nothing about the next one.
+    // A load that lasted through an outage of the store says nothing about the next one.
     const double took = std::min(toSeconds(now - load.startedAt),
                                  slowestCounted * toSeconds(expectedLoadTime(state)));
     state.loadSeconds = state.loadSeconds == 0
--- a/libs/residency/src/PlainGood.cpp
+++ b/libs/residency/src/PlainGood.cpp
@@ -1,6 +1,7 @@
-// The baseline that has to be beaten: what a good engineer writes in an afternoon.
-// Resident-first routing to the least-running target, one LRU over all slots, waiters of an
-// adapter gathered, loads one at a time in arrival order. Nobody is refused but by deadline.
+// Baseline policy, against which the others are measured: routes to the target with the fewest
+// running requests among those that hold the adapter, evicts the least recently used adapter over
+// all targets, and loads one adapter at a time in order of arrival, for all requests that wait for
+// it together. Requests are refused only by their deadline.
 
 #include "PlacementSupport.h"
 
--- a/libs/residency/src/SlotTable.cpp
+++ b/libs/residency/src/SlotTable.cpp
@@ -40,7 +40,7 @@
     return found == report.resident.end() ? nullptr : &*found;
 }
 
-// A slot that was loaded, or pinned, after the report was asked for is newer than the report.
+// A slot that was loaded after the report was requested, or is pinned, is newer than the report.
 void reconcile(SlotTable &table, const SlotReport &report, Instant now)
 {
     for (const ReportedSlot &reported : report.resident) {
@@ -79,9 +79,9 @@
 {
     --table.running;
     OwnedSlot *slot = slotOf(table, held.adapter);
-    // After a restart of the engine the slot is gone with all that ran on it, or the adapter is
-    // back for another stay, whose pins are not ours to take: one too few and it would be evicted
-    // under a running request.
+    // After a restart of the engine the slot is gone with all requests on it, or the adapter was
+    // loaded again. The pins of that later load belong to other requests: with one too few it would
+    // be evicted under a running request.
     if (slot == nullptr || slot->generation != held.generation)
         return;
     assert(slot->pins > 0);
--- a/libs/residency/tests/Placing.cpp
+++ b/libs/residency/tests/Placing.cpp
@@ -1,4 +1,4 @@
-// Placement decisions under drawn events, for every policy that registered itself.
+// Placement decisions under random events, and by single scenarios.
 
 #include <set>
 #include <vector>
@@ -41,7 +41,7 @@
     return state;
 }
 
-/** Checks an order against what the state held before it was given. */
+/** Checks a load command against the state before it was given. */
 void checkOrder(const std::vector<TargetView> &before, const LoadOrder &order)
 {
     for (const TargetView &target : before) {
@@ -78,7 +78,7 @@
             const LoadOutcome outcome = static_cast<LoadOutcome>(other);
             recordLoadResult(state, open.front().permit, outcome, now);
             open.erase(open.begin());
-        } else if (deed == 3) { // requests pin and unpin a slot of a target
+        } else if (deed == 3) { // requests pin or unpin the slots of a target
             TargetView view = state.targets[static_cast<std::size_t>(other)];
             for (ResidentSlot &slot : view.resident)
                 slot.pins = adapter % 2;
@@ -122,8 +122,8 @@
     cr_assert_null(findPlacementPolicy("no-such"));
 }
 
-// Symptom: callers of a cold adapter waited up to their deadline and were refused then. Cause: the
-// store's queue was not weighed against the deadline when they came.
+// Guards against requests for a cold adapter that wait until their deadline and are refused then:
+// the store's queue has to be compared with the deadline when they arrive.
 Test(placement, what_cannot_come_in_time_is_refused_at_once)
 {
     const Instant now = Instant{} + std::chrono::seconds(10);
@@ -132,16 +132,15 @@
         updateWant(state, wantOf(adapter, 1, now, std::chrono::seconds(5)), now);
     const PlacementActions actions = decide(state, now);
     cr_assert_eq(actions.orders.size(), 1);
-    // Two loads a second and 0.3 of five seconds: three can come, the rest is told so now.
+    // Two loads a second and 0.3 of five seconds: three can be loaded, the rest is refused now.
     cr_assert_eq(actions.verdicts.size(), 37);
     for (const WantVerdict &verdict : actions.verdicts)
         cr_assert(verdict.refusal == ErrorKind::StoreSaturated);
-    cr_assert_eq(decide(state, now).verdicts.size(), 0, "who was admitted is not refused later");
+    cr_assert_eq(decide(state, now).verdicts.size(), 0, "admitted wants are not refused later");
 }
 
-// Symptom: while the store was down callers waited to their deadlines. Sequence: a load is under
-// way when the store stops; further callers come. Cause: the expected time of a load was the usual
-// one.
+// Guards against requests that wait until their deadlines while the store is down: a load is in
+// progress when the store stops, and the expected load time stays the usual one.
 Test(placement, while_the_store_stands_still_callers_are_told)
 {
     Instant now = Instant{} + std::chrono::seconds(10);
@@ -162,9 +161,8 @@
     cr_assert_lt(statusReportedAt, deadline - std::chrono::seconds(10));
 }
 
-// Symptom: after an outage of the store every caller was refused for ever. Sequence: a load sits
-// through the outage and ends; its time is taken for that of the next. Cause: no load was tried any
-// more.
+// Guards against refusing every request after an outage of the store: a load lasts through the
+// outage, its time is taken for that of the next one, and no load is tried any more.
 Test(placement, after_a_standstill_loads_are_tried_again)
 {
     Instant now = Instant{} + std::chrono::seconds(10);
@@ -183,8 +181,8 @@
     cr_assert_lt(toSeconds(expectedLoadTime(state)), 1.0);
 }
 
-// Symptom: no adapter was loaded any more. Sequence: the owner died between the order and its
-// result. Cause: the permit stayed out for ever.
+// Guards against a permit that is never returned, so that nothing is loaded any more: the owner
+// dies between the command and its result.
 Test(placement, a_lost_load_gives_its_permit_back)
 {
     Instant now = Instant{} + std::chrono::seconds(10);
@@ -197,9 +195,8 @@
     cr_assert_eq(state.counters.loadsLost, 1);
 }
 
-// Symptom: an adapter whose first load failed was never loaded again. Sequence: ordered, failed,
-// wanted again after the back-off. Cause: its count of copies stayed, at zero, and was taken for
-// one.
+// Guards against an adapter that is never loaded again after its first load failed: its count of
+// copies stayed in the map with the value zero and was taken for a copy.
 Test(placement, a_failed_load_is_tried_again_after_its_back_off)
 {
     Instant now = Instant{} + std::chrono::seconds(10);
@@ -212,8 +209,8 @@
     cr_assert_eq(decide(state, now).orders.size(), 1);
 }
 
-// Symptom: an adapter that was resident only on a leaving target was never loaded elsewhere, and
-// its callers waited to their deadlines. Cause: the leaving target's copy went on counting.
+// Guards against an adapter that is resident only on a leaving target and never loaded elsewhere,
+// while its requests wait until their deadlines: the leaving target's copy still counted.
 Test(placement, what_a_leaving_target_holds_is_loaded_elsewhere)
 {
     const Instant now = Instant{} + std::chrono::seconds(10);
@@ -228,7 +225,7 @@
     cr_assert(actions.orders[0].target != view.target);
 }
 
-// Symptom: one broken adapter kept the store busy. Cause to rule out: no back-off after failures.
+// Guards against one broken adapter that keeps the store busy, without a back-off after failures.
 Test(placement, a_failing_load_backs_off_and_its_waiters_are_told)
 {
     Instant now = Instant{} + std::chrono::seconds(10);
@@ -250,8 +247,8 @@
     cr_assert(actions.verdicts[0].refusal == ErrorKind::LoadFailed);
 }
 
-// Symptom: for minutes after a shift the store reloaded yesterday's adapters. Cause: old rates
-// outweighed what was asked for now.
+// Guards against loading formerly popular adapters for minutes after a popularity shift, because
+// old rates outweigh present demand, and against shifts detected in steady demand.
 Test(demand, a_shift_is_seen_and_steady_demand_is_not_taken_for_one)
 {
     DemandTable table = makeDemandTable({}, Instant{});
--- a/libs/residency/tests/Slots.cpp
+++ b/libs/residency/tests/Slots.cpp
@@ -1,4 +1,4 @@
-// The slots of an engine as its owner keeps them: no eviction under a running request.
+// The owner's table of an engine's slots never evicts an adapter under a running request.
 
 #include <map>
 #include <vector>
@@ -17,7 +17,7 @@
     return {"a" + std::to_string(number), "1"};
 }
 
-/** The engine itself, in the fewest plain lines: what is in its slots and what runs there. */
+/** A minimal model of the engine: what is in its slots and what runs there. */
 struct TrueEngine
 {
     std::uint64_t epoch = 1;
@@ -45,8 +45,9 @@
 
 } // namespace
 
-// Symptom: a summary broke off because its adapter was evicted. The sequences are drawn: requests,
-// broken hops, loads, restarts and reports that lag. The cause would be a pin lost or taken twice.
+// Guards against evicting an adapter under a running request, which breaks off its answer, as by a
+// pin that is lost or released twice. Runs random sequences of requests, broken connections, loads,
+// restarts and late reports.
 Test(slots, never_evict_what_the_engine_runs)
 {
     cr_assert(rc::check("slot table", [] {
@@ -65,7 +66,7 @@
             if (deed <= 1) { // a request
                 const std::optional<SlotPin> held = pin(table, id);
                 if (held && !engine.running.contains(number)) {
-                    unpin(table, *held, true); // the engine says not-resident
+                    unpin(table, *held, true); // the engine answers "not resident"
                     markNotResident(table, id);
                 } else if (held) {
                     ++engine.running[number];
@@ -118,9 +119,9 @@
     }));
 }
 
-// Symptom: after an engine's restart an adapter was evicted under a new request. Sequence: request
-// R1 runs, the engine restarts, the adapter is loaded again, R2 is dispatched, R1's end is noticed.
-// Cause: R1's end took R2's pin.
+// Guards against evicting an adapter under a running request after an engine's restart: request R1
+// runs, the engine restarts, the adapter is loaded again, R2 is dispatched, and the end of R1
+// releases the pin of R2.
 Test(slots, a_pin_of_an_earlier_stay_does_not_count_for_the_next)
 {
     SlotTable table;
@@ -143,8 +144,8 @@
     cr_assert(beginLoad(table, adapterOf(2), adapter.id()) != ErrorKind::Ok);
 }
 
-// Symptom: a new owner evicted what its predecessor's requests were using. Cause to rule out: only
-// own pins count.
+// Guards against a new owner that counts only its own pins and evicts an adapter that requests of
+// its predecessor use.
 Test(slots, what_the_engine_reports_as_running_is_in_use)
 {
     SlotTable table;
