--- a/libs/routing/include/routing/ResidentDirectory.h
+++ b/libs/routing/include/routing/ResidentDirectory.h
@@ -16,17 +16,17 @@
 
 namespace monsoonbay {
 
-/** Orders the news of one target: by the owner's token, then by the owner's count of changes. */
+/** Orders the reports of one target: by the owner's token, then by the owner's change count. */
 struct StatusVersion
 {
-    std::uint64_t token = 0;
-    std::uint64_t local = 0;
+    std::uint64_t token = 0; ///< log offset of the owner's fencing token
+    std::uint64_t local = 0; ///< its counter of zone-local claims
     std::uint64_t change = 0;
 
     auto operator<=>(const StatusVersion &) const = default;
 };
 
-/** What an owner tells of its target. */
+/** An owner's report of its target. */
 struct TargetStatus
 {
     TargetId target;
@@ -43,7 +43,7 @@
     AdapterId loading;
 };
 
-/** Where a request may go. */
+/** A target for a request and the VM that owns it. */
 struct TargetRoute
 {
     TargetId target;
@@ -51,30 +51,31 @@
 };
 
 /**
- * Which targets hold which adapters, as the owners told last. A stale entry costs a bounce, never
- * a wrong answer. Sharded by adapter, each shard under its own lock; choosing allocates nothing.
+ * Index of the targets that hold each adapter, as their owners last reported. A stale entry costs a
+ * redirected attempt, never a wrong answer. Sharded by adapter, with a lock for each shard;
+ * choose() allocates nothing.
  */
 class ResidentDirectory
 {
 public:
     explicit ResidentDirectory(std::string ownZone);
 
-    /** Takes newer news of a target; false, with nothing changed, if newer ones are known. */
+    /** Applies a report; false, with nothing changed, if it is not newer than the last one. */
     bool apply(const TargetStatus &status);
 
     void remove(TargetId target);
 
-    /** Marks a target leaving or not, whatever its owner says. */
+    /** Marks a target as leaving or not by the VM list, independently of its owner's reports. */
     void setLeaving(TargetId target, bool leaving);
 
     /** The best target that holds the adapter, by the policy and the weights. */
     std::optional<TargetRoute> choose(AdapterId adapter, const PlacementPolicy &policy,
                                       double stallWeight, double batchWeight) const;
 
-    /** The target turned out not to hold the adapter: the entry goes, until newer news. */
+    /** The target did not hold the adapter: removes the entry until a newer report names it. */
     void removeHolder(AdapterId adapter, TargetId target);
 
-    /** Counts what this VM sent to a target since its last report, or the reports' lag herds. */
+    /** Counts a request sent since the target's report, so that not all go to the same target. */
     void recordSent(TargetId target);
 
     std::vector<TargetStatus> statuses() const;
--- a/libs/routing/src/ResidentDirectory.cpp
+++ b/libs/routing/src/ResidentDirectory.cpp
@@ -59,8 +59,9 @@
         shard.holders.erase(found);
 }
 
-// The target's lock is let go before the shards' locks are taken: no two locks are ever held at
-// once. Between the two a reader may see a holder too few or too many, which costs it a bounce.
+// The entry's lock is released before the shards' locks are taken, so no two of them are ever held
+// at once. Between the two a reader may see a stale set of holders, which costs it a redirected
+// attempt.
 bool ResidentDirectory::apply(const TargetStatus &status)
 {
     const EntryPtr entry = this->findOrAdd(status.target);
--- a/libs/routing/tests/Directory.cpp
+++ b/libs/routing/tests/Directory.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-// The directory against a naive map of targets that is searched from end to end.
+// Guards against routes that differ from those of a plain map of all targets' newest reports.
 Test(directory, agrees_with_a_naive_map_on_any_order_of_news)
 {
     cr_assert(rc::check("directory", [] {
@@ -76,8 +76,8 @@
     }));
 }
 
-// Symptom: a target that was leaving still got requests. Sequence: the VM list said leaving, then
-// its owner's routine news arrived without the mark. Cause: the later word won over the stricter.
+// Guards against routing to a leaving target: the VM list marks it, and a later report of its owner
+// without the mark must not clear it.
 Test(directory, a_leaving_target_gets_nothing_new_whatever_its_owner_says)
 {
     ResidentDirectory directory("zone");
@@ -91,8 +91,8 @@
     cr_assert(directory.choose(AdapterId{5}, policy, 1, 0).has_value());
 }
 
-// Symptom: all entry VMs sent to the same engine between two load reports. Cause: only what the
-// report says was counted.
+// Guards against sending everything to the same engine between two reports, because only the
+// reported requests are counted.
 Test(directory, what_was_sent_since_the_report_counts)
 {
     ResidentDirectory directory("zone");
