--- a/libs/quota/benchmark/Admitting.cpp
+++ b/libs/quota/benchmark/Admitting.cpp
@@ -24,10 +24,10 @@
         recordRequested(record, policy, 9190, now);
         FleetUsage fleet;
         fleet.usage = usageOf(record, policy, now);
-        const QuotaDecision verdict = admitCall(record, limit, policy, fleet, 9190, now);
-        if (verdict.admitted)
+        const QuotaDecision decision = admitCall(record, limit, policy, fleet, 9190, now);
+        if (decision.admitted)
             recordUsage(record, policy, 9190, now);
-        benchmark::DoNotOptimize(verdict);
+        benchmark::DoNotOptimize(decision);
     }
 }
 
@@ -53,11 +53,11 @@
         recordRequested(record, policy, units, now, callClass);
         FleetUsage fleet;
         fleet.usage = usageOf(record, policy, now);
-        const QuotaDecision verdict =
+        const QuotaDecision decision =
             admitCall(record, limit, policy, fleet, units, now, callClass);
-        if (verdict.admitted)
+        if (decision.admitted)
             recordUsage(record, policy, units, now);
-        benchmark::DoNotOptimize(verdict);
+        benchmark::DoNotOptimize(decision);
     }
 }
 
--- a/libs/quota/include/quota/UsageSnapshot.h
+++ b/libs/quota/include/quota/UsageSnapshot.h
@@ -45,12 +45,12 @@
 };
 
 /**
- * Another VM of the zone, which is running, read `told` when it started. If it restarted together
- * with this one and read earlier, its snapshots replace those of this VM, which may have been
- * written after the restart.
+ * Another VM of the zone, which is running, read `peerSnapshots` when it started. If it restarted
+ * together with this one and read earlier, its snapshots replace those of this VM, which may have
+ * been written after the restart.
  */
-void adoptSnapshots(StartupSnapshots &own, const StartupSnapshots &told, const QuotaPolicy &policy,
-                    Instant now);
+void adoptSnapshots(StartupSnapshots &own, const StartupSnapshots &peerSnapshots,
+                    const QuotaPolicy &policy, Instant now);
 
 /** Lower bound of a snapshot's units that leave the window within `after` of its reader's start. */
 std::int64_t minUnitsExpired(const UnitsByAge &units, const QuotaPolicy &policy,
@@ -61,7 +61,7 @@
  * VMs may have admitted and what is still in the window.
  */
 WorkspaceUse assumedUsageAtStart(const std::string &workspace, const WorkspaceLimit &limit,
-                                 const QuotaPolicy &policy, const StartupSnapshots &notes,
+                                 const QuotaPolicy &policy, const StartupSnapshots &snapshots,
                                  int knownVms, Instant startedAt, Instant now);
 
 /**
@@ -70,7 +70,7 @@
  * start, at the latest.
  */
 void addAssumedUnits(UnitsByAge &sum, const std::string &workspace, const WorkspaceLimit &limit,
-                     const QuotaPolicy &policy, const StartupSnapshots &notes, int knownVms,
+                     const QuotaPolicy &policy, const StartupSnapshots &snapshots, int knownVms,
                      Instant startedAt, Instant now);
 
 } // namespace monsoonbay
--- a/libs/quota/include/quota/UsageSnapshotWriter.h
+++ b/libs/quota/include/quota/UsageSnapshotWriter.h
@@ -53,20 +53,20 @@
  * This VM, which started at `startedAt`, takes over the snapshots of its zone. Permits that the
  * previous writer gave to `workspaces` may still be valid.
  */
-void startSnapshotWriter(UsageSnapshotWriter &noting, const std::vector<std::string> &workspaces,
+void startSnapshotWriter(UsageSnapshotWriter &writer, const std::vector<std::string> &workspaces,
                          const QuotaPolicy &policy, Instant startedAt, Instant now);
 
-void updateWantedPercents(UsageSnapshotWriter &noting, UsagePercents wanted, Instant now);
+void updateWantedPercents(UsageSnapshotWriter &writer, UsagePercents wanted, Instant now);
 
-bool isWriteDue(const UsageSnapshotWriter &noting, Instant now);
+bool isWriteDue(const UsageSnapshotWriter &writer, Instant now);
 
 /** Begins to write a snapshot; returns the percents that it has to name. */
-UsagePercents beginSnapshot(UsageSnapshotWriter &noting, Instant now);
+UsagePercents beginSnapshot(UsageSnapshotWriter &writer, Instant now);
 
-void endSnapshot(UsageSnapshotWriter &noting, bool acknowledged);
+void endSnapshot(UsageSnapshotWriter &writer, bool acknowledged);
 
 /** The permits to report to the zone's VMs. */
-UsagePermits permitsOf(const UsageSnapshotWriter &noting);
+UsagePermits permitsOf(const UsageSnapshotWriter &writer);
 
 /** The part of the usable units of a window that is admitted at `now`. */
 double shareAllowed(const UsagePermits &permits, const std::string &workspace, Instant now);
--- a/libs/quota/include/quota/UsageWindow.h
+++ b/libs/quota/include/quota/UsageWindow.h
@@ -31,9 +31,9 @@
 
 void recordUsage(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant now);
 
-/** Takes back the usage of a call that was admitted at `spentAt` but has not run. */
-void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant spentAt,
-              Instant now);
+/** Takes back the usage of a call that was admitted at `admittedAt` but has not run. */
+void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
+              Instant admittedAt, Instant now);
 
 WorkspaceUse usageOf(UsageWindow &record, const QuotaPolicy &policy, Instant now);
 
--- a/libs/quota/src/Admission.cpp
+++ b/libs/quota/src/Admission.cpp
@@ -14,8 +14,8 @@
  * elsewhere and not reported yet. The slack of a small workspace is only a few of its calls, so a
  * larger part of it is kept.
  */
-constexpr double excessUsed = 0.7;
-constexpr double slackUsed = 0.4;
+constexpr double usedExcessShare = 0.7;
+constexpr double usedSlackShare = 0.4;
 
 /**
  * Free units are given out over this part of the window, so that a workspace that requests many
@@ -24,29 +24,30 @@
 constexpr double fillShare = 0.125;
 
 /** Part of the usable units that stays free under excess demand, as free units are given out. */
-constexpr double steadyRoom = fillShare / (1 + fillShare);
+constexpr double steadyFreeShare = fillShare / (1 + fillShare);
 
 /** Usage assumed from before a start is kept longer than real usage, by this part of a window. */
-constexpr double endShare = 0.125;
+constexpr double expiryMarginShare = 0.125;
 
 /** Calls in a window below which growth of the demand cannot be told from chance. */
-constexpr double fewCalls = 12;
-constexpr double mostGrowth = 8;
+constexpr double minSampleCalls = 12;
+constexpr double maxGrowth = 8;
 
-constexpr Duration soonest = std::chrono::milliseconds(500);
+constexpr Duration minRetryDelay = std::chrono::milliseconds(500);
 
 /** Units a second that all reachable VMs together may admit now. */
 double admittedPerSecond(const WorkspaceLimit &limit, const QuotaPolicy &policy,
                          const FleetUsage &fleet) noexcept
 {
-    const double room = reachableShare(fleet) * fleet.allowedShare * usableInWindow(limit, policy)
+    const double freeUnits =
+        reachableShare(fleet) * fleet.allowedShare * usableInWindow(limit, policy)
         - static_cast<double>(fleet.usage.unitsInWindow);
-    return std::max(room / secondsToFill(policy, fleet), 0.0);
+    return std::max(freeUnits / secondsToFill(policy, fleet), 0.0);
 }
 
 /**
- * Units per call that askedNow() uses to tell growth from chance. With calls of several classes it
- * is the mean: by the units of a small call, every large call would look like growth.
+ * Units per call that currentDemand() uses to tell growth from chance. With calls of several
+ * classes it is the mean: by the units of a small call, every large call would look like growth.
  */
 double typicalUnits(const WorkspaceUse &use, std::int64_t units)
 {
@@ -62,38 +63,40 @@
 
 // Estimates the units a second that are requested from all reachable VMs now; their reports are
 // older. If calls are many, the demand at this VM is a sample and grows like that at all others. A
-// few calls say nothing, so `few` is added on both sides of the ratio, which then changes little.
-double askedNow(UsageWindow &own, const QuotaPolicy &policy, const FleetUsage &fleet,
-                std::int64_t units, Instant now)
+// few calls say nothing, so `sampleUnits` is added on both sides of the ratio, which then changes
+// little.
+double currentDemand(UsageWindow &own, const QuotaPolicy &policy, const FleetUsage &fleet,
+                     std::int64_t units, Instant now)
 {
     const double here = requestRateBefore(own, policy, Duration::zero(), now);
     const double before = requestRateBefore(own, policy, fleet.updateAge, now);
     const double others = std::max(static_cast<double>(fleet.usage.requestedPerSecond) - here, 0.0);
-    const double few = fewCalls * typicalUnits(fleet.usage, units) / toSeconds(policy.window);
-    const double growth = (here + few) / (before + few);
-    return here + others * std::clamp(growth, 1 / mostGrowth, mostGrowth);
+    const double sampleUnits =
+        minSampleCalls * typicalUnits(fleet.usage, units) / toSeconds(policy.window);
+    const double growth = (here + sampleUnits) / (before + sampleUnits);
+    return here + others * std::clamp(growth, 1 / maxGrowth, maxGrowth);
 }
 
-// Divides `asked` among the classes as the VMs reported them; demand reported without a class
+// Divides `requested` among the classes as the VMs reported them; demand reported without a class
 // belongs to the last one. Calls are extrapolated to a whole window and to all VMs, reachable or
 // not, as the workspace's calls at unreachable VMs get the same shares.
-ClassDemand classDemandOf(const QuotaPolicy &policy, const FleetUsage &fleet, double asked)
+ClassDemand classDemandOf(const QuotaPolicy &policy, const FleetUsage &fleet, double requested)
 {
     const WorkspaceUse &use = fleet.usage;
-    const double inWindow = asked * toSeconds(policy.window) / reachableShare(fleet);
-    const double times =
+    const double inWindow = requested * toSeconds(policy.window) / reachableShare(fleet);
+    const double scale =
         inWindow / static_cast<double>(std::max<std::int64_t>(use.requestedInWindow, 1));
-    const std::int64_t told =
+    const std::int64_t reported =
         std::accumulate(use.requestedByClass.begin(), use.requestedByClass.end(), std::int64_t{0});
-    const std::int64_t whole = std::max<std::int64_t>({use.requestedPerSecond, told, 1});
+    const std::int64_t total = std::max<std::int64_t>({use.requestedPerSecond, reported, 1});
     CountsByClass parts = use.requestedByClass;
-    parts.back() += whole - told;
+    parts.back() += total - reported;
     ClassDemand demand;
     demand.vms = std::max(fleet.knownVms, fleet.reachableVms);
     for (std::size_t index = 0; index < callClassCount; ++index) {
         demand.units[index] =
-            asked * static_cast<double>(parts[index]) / static_cast<double>(whole);
-        demand.calls[index] = times * static_cast<double>(use.callsInWindowByClass[index]);
+            requested * static_cast<double>(parts[index]) / static_cast<double>(total);
+        demand.calls[index] = scale * static_cast<double>(use.callsInWindowByClass[index]);
     }
     return demand;
 }
@@ -105,10 +108,10 @@
 bool isDecidedByShare(const WorkspaceLimit &limit, const QuotaPolicy &policy,
                       const FleetUsage &fleet, double cost)
 {
-    const double whole = maxInWindow(limit, policy);
-    const double part = reachableShare(fleet) * whole;
-    const double free = steadyRoom * fleet.allowedShare;
-    return (cost > part && cost <= whole) || (cost > free * part && cost <= free * whole);
+    const double total = maxInWindow(limit, policy);
+    const double part = reachableShare(fleet) * total;
+    const double free = steadyFreeShare * fleet.allowedShare;
+    return (cost > part && cost <= total) || (cost > free * part && cost <= free * total);
 }
 
 } // namespace
@@ -127,8 +130,8 @@
 
 double usableInWindow(const WorkspaceLimit &limit, const QuotaPolicy &policy) noexcept
 {
-    return grantedInWindow(limit, policy) * (1 + excessUsed * policy.excess)
-        + slackUsed * policy.slack;
+    return grantedInWindow(limit, policy) * (1 + usedExcessShare * policy.excess)
+        + usedSlackShare * policy.slack;
 }
 
 // Every VM admits the same share of the calls of a class; the shares keep all VMs together within
@@ -143,22 +146,23 @@
 {
     if (!isLimited(limit))
         return {true, {}, 1, true};
-    const double asked = std::max(askedNow(own, policy, fleet, units, now), 1.0);
+    const double requested = std::max(currentDemand(own, policy, fleet, units, now), 1.0);
     // What the others have probably admitted since their reports counts as used already.
-    FleetUsage ahead = fleet;
-    const double letRun = std::min(admittedPerSecond(limit, policy, fleet), asked);
-    const double leaving =
+    FleetUsage projected = fleet;
+    const double admittedRate = std::min(admittedPerSecond(limit, policy, fleet), requested);
+    const double expiringRate =
         static_cast<double>(fleet.usage.unitsInWindow) / toSeconds(policy.window);
-    const double untold = std::max(letRun - leaving, 0.0) * toSeconds(fleet.updateAge);
-    ahead.usage.unitsInWindow += static_cast<std::int64_t>(untold);
-    const double rate = admittedPerSecond(limit, policy, ahead);
-    const double most = reachableShare(fleet) * maxInWindow(limit, policy);
+    const double unreported =
+        std::max(admittedRate - expiringRate, 0.0) * toSeconds(fleet.updateAge);
+    projected.usage.unitsInWindow += static_cast<std::int64_t>(unreported);
+    const double rate = admittedPerSecond(limit, policy, projected);
+    const double maxUnits = reachableShare(fleet) * maxInWindow(limit, policy);
     const auto cost = static_cast<double>(units);
-    const double allowed = most * fleet.allowedShare;
-    const double room = allowed - static_cast<double>(ahead.usage.unitsInWindow);
-    const bool fits = cost <= room || isDecidedByShare(limit, policy, fleet, cost);
-    const ClassDemand demand = classDemandOf(policy, fleet, asked);
-    const double share = classSharesOf(demand, std::min(rate / asked, 1.0))[indexOf(callClass)];
+    const double allowed = maxUnits * fleet.allowedShare;
+    const double freeUnits = allowed - static_cast<double>(projected.usage.unitsInWindow);
+    const bool fits = cost <= freeUnits || isDecidedByShare(limit, policy, fleet, cost);
+    const ClassDemand demand = classDemandOf(policy, fleet, requested);
+    const double share = classSharesOf(demand, std::min(rate / requested, 1.0))[indexOf(callClass)];
     double &carried = own.carryByClass[indexOf(callClass)];
     carried += fits ? share : 0;
     if (own.carry + carried >= 1) {
@@ -166,8 +170,8 @@
         return {true, {}, share, fits};
     }
     const double surplus = share > 0 ? 1 / share - 1 : toSeconds(policy.window);
-    const Duration wait = fromSeconds(surplus * toSeconds(soonest));
-    return {false, std::clamp<Duration>(wait, soonest, policy.window / 2), share, fits};
+    const Duration wait = fromSeconds(surplus * toSeconds(minRetryDelay));
+    return {false, std::clamp<Duration>(wait, minRetryDelay, policy.window / 2), share, fits};
 }
 
 // The maximum that may have been used, less what the rate needs to continue from the first moment.
@@ -175,10 +179,12 @@
                                      int knownVms, Duration sinceStart) noexcept
 {
     const double window = toSeconds(policy.window);
-    const double kept = std::clamp(1 + endShare - toSeconds(sinceStart) / window, 0.0, 1.0);
-    const double most = usableInWindow(limit, policy) - limit.ratePerSecond * fillShare * window;
+    const double kept =
+        std::clamp(1 + expiryMarginShare - toSeconds(sinceStart) / window, 0.0, 1.0);
+    const double maxUnits =
+        usableInWindow(limit, policy) - limit.ratePerSecond * fillShare * window;
     WorkspaceUse use;
-    use.unitsInWindow = static_cast<std::int64_t>(most * kept / std::max(knownVms, 1));
+    use.unitsInWindow = static_cast<std::int64_t>(maxUnits * kept / std::max(knownVms, 1));
     return use;
 }
 
--- a/libs/quota/src/FleetSize.cpp
+++ b/libs/quota/src/FleetSize.cpp
@@ -7,25 +7,26 @@
 namespace {
 
 /** VMs that were unreachable for so long while the store answered are considered gone. */
-constexpr Duration silentCounts = std::chrono::seconds(60);
+constexpr Duration unreachableTimeout = std::chrono::seconds(60);
 
 /** How long the VM list counts: if many VMs start at once, reaching all takes some seconds. */
-constexpr Duration listCounts = std::chrono::seconds(15);
+constexpr Duration listTimeout = std::chrono::seconds(15);
 
 /**
  * A VM that changes its relay is counted by both relays for a moment, so only VMs that are
  * reachable throughout a span of this length count.
  */
-constexpr Duration span = std::chrono::seconds(2);
+constexpr Duration countingSpan = std::chrono::seconds(2);
 
-void takeSettled(FleetSize &size, int settled, bool storeHeard, Instant now)
+void applyCount(FleetSize &size, int vmCount, bool storeReachable, Instant now)
 {
     const bool onlyListed = size.seenAt == Instant{};
     const Instant since = onlyListed ? size.firstCountAt : size.seenAt;
-    const bool forgotten = storeHeard && now - since > (onlyListed ? listCounts : silentCounts);
-    if (settled < size.known && !forgotten)
+    const bool isExpired =
+        storeReachable && now - since > (onlyListed ? listTimeout : unreachableTimeout);
+    if (vmCount < size.known && !isExpired)
         return;
-    size.known = settled;
+    size.known = vmCount;
     size.seenAt = now;
 }
 
@@ -43,11 +44,11 @@
         size.minReachable = count.reachable;
     }
     size.minReachable = std::min(size.minReachable, count.reachable);
-    if (now - size.spanStartedAt < span)
+    if (now - size.spanStartedAt < countingSpan)
         return;
     // In its first span a VM does not receive the state updates of all VMs yet.
     if (!size.firstSpan)
-        takeSettled(size, size.minReachable, count.storeReachable, now);
+        applyCount(size, size.minReachable, count.storeReachable, now);
     size.firstSpan = false;
     size.spanStartedAt = now;
     size.minReachable = count.reachable;
--- a/libs/quota/src/UnitsByAge.cpp
+++ b/libs/quota/src/UnitsByAge.cpp
@@ -32,8 +32,8 @@
 void addUnits(WorkspaceUnits &sums, const WorkspaceUnits &units, const QuotaPolicy &policy,
               Duration before)
 {
-    for (const auto &[workspace, told] : units)
-        addUnits(sums[workspace], told, policy, before);
+    for (const auto &[workspace, reported] : units)
+        addUnits(sums[workspace], reported, policy, before);
 }
 
 } // namespace monsoonbay
--- a/libs/quota/src/UsageSnapshotWriter.cpp
+++ b/libs/quota/src/UsageSnapshotWriter.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-constexpr Duration noteSpacing = std::chrono::seconds(1);
+constexpr Duration snapshotInterval = std::chrono::seconds(1);
 
 /** Added to the usage expected at the end of a permit, as demand may grow meanwhile. */
-constexpr int percentSpare = 4;
+constexpr int percentMargin = 4;
 
 /** The percents that both allow. */
-UsagePercents leastOf(const UsagePercents &first, const UsagePercents &second)
+UsagePercents minimumOf(const UsagePercents &first, const UsagePercents &second)
 {
-    UsagePercents least;
+    UsagePercents minimum;
     for (const auto &[workspace, percent] : first) {
         const auto other = second.find(workspace);
         if (other != second.end())
-            least[workspace] = std::min(percent, other->second);
+            minimum[workspace] = std::min(percent, other->second);
     }
-    return least;
+    return minimum;
 }
 
 } // namespace
@@ -32,14 +32,14 @@
 // about to use leaves more free units after a restart of all VMs than one that permits everything.
 int percentNeeded(const WorkspaceLimit &limit, const QuotaPolicy &policy, const FleetUsage &fleet)
 {
-    const double ahead = toSeconds(noteSpacing) + secondsToFill(policy, fleet);
+    const double horizon = toSeconds(snapshotInterval) + secondsToFill(policy, fleet);
     const double expected = static_cast<double>(fleet.usage.unitsInWindow)
-        + static_cast<double>(fleet.usage.requestedPerSecond) * ahead;
+        + static_cast<double>(fleet.usage.requestedPerSecond) * horizon;
     const double share = expected / (reachableShare(fleet) * usableInWindow(limit, policy));
     if (share < shareWithoutSnapshot)
         return 0;
     const double percent = std::ceil(std::min(share, 1.0) * allPercent);
-    return std::min(static_cast<int>(percent) + percentSpare, allPercent);
+    return std::min(static_cast<int>(percent) + percentMargin, allPercent);
 }
 
 // A snapshot that names less than the valid permits of the previous writer would hide usage from a
@@ -47,68 +47,68 @@
 // needs snapshots at once, and they name everything. Otherwise the previous writer's last snapshot
 // stays until its permits have expired: if all VMs end within a second, each new writer would
 // replace a precise snapshot by one that names everything.
-void startSnapshotWriter(UsageSnapshotWriter &noting, const std::vector<std::string> &workspaces,
+void startSnapshotWriter(UsageSnapshotWriter &writer, const std::vector<std::string> &workspaces,
                          const QuotaPolicy &policy, Instant startedAt, Instant now)
 {
-    noting = UsageSnapshotWriter();
-    noting.maybeInStore = true;
+    writer = UsageSnapshotWriter();
+    writer.maybeInStore = true;
     if (now - startedAt >= policy.window) {
-        noting.notBefore = now + permitLifetime;
+        writer.notBefore = now + permitLifetime;
         return;
     }
     for (const std::string &workspace : workspaces)
-        noting.minPercents[workspace] = {allPercent, now + permitLifetime};
+        writer.minPercents[workspace] = {allPercent, now + permitLifetime};
 }
 
 // A permit is valid for `permitLifetime`. Until permits for more than is wanted now have expired,
 // snapshots have to name what they allow.
-void updateWantedPercents(UsageSnapshotWriter &noting, UsagePercents wanted, Instant now)
+void updateWantedPercents(UsageSnapshotWriter &writer, UsagePercents wanted, Instant now)
 {
-    std::erase_if(noting.minPercents,
+    std::erase_if(writer.minPercents,
                   [now](const auto &entry) { return entry.second.validUntil <= now; });
     for (const auto &[workspace, percent] : wanted) {
-        MinPercent &held = noting.minPercents[workspace];
+        MinPercent &held = writer.minPercents[workspace];
         if (percent >= held.percent)
             held = {percent, now + permitLifetime};
     }
-    noting.wanted = std::move(wanted);
+    writer.wanted = std::move(wanted);
 }
 
-bool isWriteDue(const UsageSnapshotWriter &noting, Instant now)
+bool isWriteDue(const UsageSnapshotWriter &writer, Instant now)
 {
-    if (noting.isWriting || now < noting.notBefore)
+    if (writer.isWriting || now < writer.notBefore)
         return false;
-    if (noting.lastWriteAt != Instant{} && now - noting.lastWriteAt < noteSpacing)
+    if (writer.lastWriteAt != Instant{} && now - writer.lastWriteAt < snapshotInterval)
         return false;
-    return !noting.wanted.empty() || (noting.maybeInStore && noting.minPercents.empty());
+    return !writer.wanted.empty() || (writer.maybeInStore && writer.minPercents.empty());
 }
 
 // The new snapshot may be in the store before the acknowledgement arrives, or without one: from now
 // on no more is permitted than both snapshots name.
-UsagePercents beginSnapshot(UsageSnapshotWriter &noting, Instant now)
+UsagePercents beginSnapshot(UsageSnapshotWriter &writer, Instant now)
 {
-    noting.writing.clear();
-    for (const auto &[workspace, held] : noting.minPercents)
-        noting.writing[workspace] = held.percent;
-    noting.acknowledged.percents = leastOf(noting.acknowledged.percents, noting.writing);
-    noting.isWriting = true;
-    noting.lastWriteAt = now;
-    noting.maybeInStore = noting.maybeInStore || !noting.writing.empty();
-    return noting.writing;
+    writer.writing.clear();
+    for (const auto &[workspace, held] : writer.minPercents)
+        writer.writing[workspace] = held.percent;
+    writer.acknowledged.percents = minimumOf(writer.acknowledged.percents, writer.writing);
+    writer.isWriting = true;
+    writer.lastWriteAt = now;
+    writer.maybeInStore = writer.maybeInStore || !writer.writing.empty();
+    return writer.writing;
 }
 
-void endSnapshot(UsageSnapshotWriter &noting, bool acknowledged)
+void endSnapshot(UsageSnapshotWriter &writer, bool acknowledged)
 {
-    noting.isWriting = false;
+    writer.isWriting = false;
     if (!acknowledged)
         return;
-    noting.maybeInStore = !noting.writing.empty();
-    noting.acknowledged = {std::move(noting.writing), noting.lastWriteAt};
+    writer.maybeInStore = !writer.writing.empty();
+    writer.acknowledged = {std::move(writer.writing), writer.lastWriteAt};
 }
 
-UsagePermits permitsOf(const UsageSnapshotWriter &noting)
+UsagePermits permitsOf(const UsageSnapshotWriter &writer)
 {
-    return {leastOf(noting.wanted, noting.acknowledged.percents), noting.acknowledged.writtenAt};
+    return {minimumOf(writer.wanted, writer.acknowledged.percents), writer.acknowledged.writtenAt};
 }
 
 double shareAllowed(const UsagePermits &permits, const std::string &workspace, Instant now)
--- a/libs/quota/src/UsageWindow.cpp
+++ b/libs/quota/src/UsageWindow.cpp
@@ -35,11 +35,11 @@
     advance(record.used, policy.window, now) += units;
 }
 
-void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant spentAt,
-              Instant now)
+void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
+              Instant admittedAt, Instant now)
 {
     advance(record.used, policy.window, now);
-    const std::int64_t age = ageOf(record.used, policy.window, spentAt);
+    const std::int64_t age = ageOf(record.used, policy.window, admittedAt);
     if (age > record.used.inWindow)
         return;
     record.used.part(record.used.newest - age) -= units;
@@ -55,8 +55,8 @@
     for (std::size_t index = 0; index < callClassCount; ++index) {
         advance(record.requestedByClass[index], policy.window, now);
         advance(record.callsInWindowByClass[index], policy.window, now);
-        const std::int64_t asked = sumOf(record.requestedByClass[index], 0, partsAveraged);
-        use.requestedByClass[index] = std::llround(perSecond(record, policy, asked, now));
+        const std::int64_t requestedUnits = sumOf(record.requestedByClass[index], 0, partsAveraged);
+        use.requestedByClass[index] = std::llround(perSecond(record, policy, requestedUnits, now));
         // The sum has to equal its classes exactly, so it is taken after rounding.
         use.requestedPerSecond += use.requestedByClass[index];
         use.callsInWindowByClass[index] = sumOf(record.callsInWindowByClass[index]);
@@ -69,8 +69,8 @@
 {
     advance(record.requested, policy.window, now);
     const std::int64_t age = ageOf(record.requested, policy.window, now - before);
-    const std::int64_t asked = sumOf(record.requested, age, age + partsAveraged);
-    return perSecond(record, policy, asked, now - before);
+    const std::int64_t requestedUnits = sumOf(record.requested, age, age + partsAveraged);
+    return perSecond(record, policy, requestedUnits, now - before);
 }
 
 } // namespace monsoonbay
--- a/libs/quota/tests/Classes.cpp
+++ b/libs/quota/tests/Classes.cpp
@@ -14,52 +14,52 @@
 constexpr Instant start = Instant{} + 1000s;
 
 /** Long prompts of two ranks, urgent short ones and bookings. */
-std::vector<CallsOfKind> kindsOfArchive()
+std::vector<CallsOfKind> archiveKinds()
 {
     return {{115, 9190, 1}, {27.7, 9190, 2}, {134, 826, 0}, {141.6, 200, 2}};
 }
 
 /** Scenarios in which a workspace requests `times` its limit from 12 s to 24 s. */
-std::vector<FleetScenario> daysOf(double times)
+std::vector<FleetScenario> scenariosOf(double times)
 {
-    std::vector<FleetScenario> days;
+    std::vector<FleetScenario> scenarios;
     for (const int vms : {7, 70, 300}) {
         for (const double rate : {200000.0, 887000.0}) {
-            FleetScenario day;
-            day.vms = vms;
-            day.callersAt = vms;
-            day.updateAge = vms == 7 ? 100ms : 450ms;
-            day.limit.unit = QuotaUnit::Tokens;
-            day.limit.ratePerSecond = rate;
-            day.limit.burst = rate;
-            day.policy.slack = 110000;
-            day.hot = times / day.usual;
-            day.kinds = kindsOfArchive();
-            days.push_back(day);
+            FleetScenario scenario;
+            scenario.vms = vms;
+            scenario.vmsWithCalls = vms;
+            scenario.updateAge = vms == 7 ? 100ms : 450ms;
+            scenario.limit.unit = QuotaUnit::Tokens;
+            scenario.limit.ratePerSecond = rate;
+            scenario.limit.burst = rate;
+            scenario.policy.slack = 110000;
+            scenario.hot = times / scenario.usualDemand;
+            scenario.kinds = archiveKinds();
+            scenarios.push_back(scenario);
         }
     }
-    return days;
+    return scenarios;
 }
 
-FleetOutcome playBounded(const FleetScenario &day)
+FleetOutcome runBounded(const FleetScenario &scenario)
 {
-    FleetOutcome outcome = simulateDay(day, Division::BySum);
+    FleetOutcome outcome = simulateScenario(scenario, Division::BySum);
     for (const double served : outcome.servedByClass)
-        cr_expect_geq(served, 0.25 * outcome.servedCalls, "%d VMs, rate %g: %g of %g", day.vms,
-                      day.limit.ratePerSecond, served, outcome.servedCalls);
-    cr_expect_leq(outcome.mostOfBound, 1.0, "%d VMs, rate %g: %g of the bound", day.vms,
-                  day.limit.ratePerSecond, outcome.mostOfBound);
+        cr_expect_geq(served, 0.25 * outcome.servedCalls, "%d VMs, rate %g: %g of %g", scenario.vms,
+                      scenario.limit.ratePerSecond, served, outcome.servedCalls);
+    cr_expect_leq(outcome.maxOfBound, 1.0, "%d VMs, rate %g: %g of the bound", scenario.vms,
+                  scenario.limit.ratePerSecond, outcome.maxOfBound);
     return outcome;
 }
 
 /** The scenario with a restart of all VMs, with a partitioned zone, and with isolated VMs. */
-std::vector<FleetScenario> withFaults(const FleetScenario &day)
+std::vector<FleetScenario> withFaults(const FleetScenario &scenario)
 {
-    std::vector<FleetScenario> days(3, day);
-    days[0].restarts = {std::chrono::seconds(16)};
-    days[1].cutTogether = 0.25;
-    days[2].cutAlone = day.vms / 3;
-    return days;
+    std::vector<FleetScenario> scenarios(3, scenario);
+    scenarios[0].restarts = {std::chrono::seconds(16)};
+    scenarios[1].partitionedShare = 0.25;
+    scenarios[2].isolatedVms = scenario.vms / 3;
+    return scenarios;
 }
 
 /** Sum of `amounts` over the classes, weighted by their shares. */
@@ -93,7 +93,7 @@
     }));
 }
 
-Test(classes, the_first_go_first)
+Test(classes, the_first_classes_go_first)
 {
     const ClassDemand demand{{100, 100, 400, 400}, {10, 10, 40, 40}};
     const ClassShares shares = classSharesOf(demand, 0.5);
@@ -104,7 +104,7 @@
                        "two; 100 are left for 400");
 }
 
-Test(classes, small_is_said_by_the_mean_of_all_vms)
+Test(classes, small_calls_are_defined_by_the_mean_of_all_vms)
 {
     WorkspaceUse use;
     cr_assert(classOf(use, 200, 1) == CallClass::Rank1, "the first call is the mean itself");
@@ -122,17 +122,17 @@
 // have received the updates.
 Test(classes, at_twice_the_limit_small_and_urgent_calls_run)
 {
-    for (const FleetScenario &day : daysOf(2)) {
-        const FleetOutcome outcome = playBounded(day);
+    for (const FleetScenario &scenario : scenariosOf(2)) {
+        const FleetOutcome outcome = runBounded(scenario);
         cr_expect_geq(outcome.servedByClass[indexOf(CallClass::Small)], 0.95);
         cr_expect_geq(outcome.servedByClass[indexOf(CallClass::Rank0)], 0.9);
-        std::vector<FleetScenario> others = withFaults(day);
-        others.resize(5, day);
-        others[3].silentOnClasses = day.vms / 2;
+        std::vector<FleetScenario> others = withFaults(scenario);
+        others.resize(5, scenario);
+        others[3].vmsWithoutClasses = scenario.vms / 2;
         others[4].burstOf = 2;
         others[4].burst = 2.5;
         for (const FleetScenario &other : others)
-            playBounded(other);
+            runBounded(other);
     }
 }
 
@@ -140,16 +140,16 @@
 // of the first classes.
 Test(classes, at_six_times_the_limit_no_class_starves)
 {
-    for (FleetScenario day : daysOf(6)) {
-        const FleetOutcome outcome = playBounded(day);
+    for (FleetScenario scenario : scenariosOf(6)) {
+        const FleetOutcome outcome = runBounded(scenario);
         cr_expect_gt(outcome.servedByClass[indexOf(CallClass::Small)], 0.7);
         cr_expect_gt(outcome.servedByClass[indexOf(CallClass::Rank0)],
                      1.5 * outcome.servedByClass[indexOf(CallClass::Rank1)]);
-        for (const FleetScenario &other : withFaults(day))
-            playBounded(other);
-        day.oneClass = true;
-        const double blind = simulateDay(day, Division::BySum).mostOfBound;
-        cr_expect_leq(outcome.mostOfBound, std::max(blind, 0.95), "no more than without classes");
+        for (const FleetScenario &other : withFaults(scenario))
+            runBounded(other);
+        scenario.oneClass = true;
+        const double blind = simulateScenario(scenario, Division::BySum).maxOfBound;
+        cr_expect_leq(outcome.maxOfBound, std::max(blind, 0.95), "no more than without classes");
     }
 }
 
--- a/libs/quota/tests/FleetModel.cpp
+++ b/libs/quota/tests/FleetModel.cpp
@@ -15,14 +15,14 @@
 constexpr Instant begin = Instant{} + std::chrono::seconds(1000);
 constexpr Duration length = std::chrono::seconds(34);
 constexpr Duration step = std::chrono::milliseconds(10);
-constexpr Duration told = std::chrono::milliseconds(50); ///< between two snapshots
-constexpr std::size_t toldKept = 160;
-constexpr Duration away = std::chrono::seconds(1); ///< between the end of a VM and its start
-constexpr Duration noteTakes = std::chrono::milliseconds(40); ///< duration of a store write
+constexpr Duration updateInterval = std::chrono::milliseconds(50); ///< between two state updates
+constexpr std::size_t maxUpdates = 160;
+constexpr Duration downtime = std::chrono::seconds(1); ///< between the end of a VM and its start
+constexpr Duration writeLatency = std::chrono::milliseconds(40); ///< duration of a store write
 const std::string name = "workspace";
 
 /** Units of a call: log-normal, most of a few thousand and some of many, or uniform if bounded. */
-struct Calls
+struct CallSizes
 {
     std::lognormal_distribution<double> unbounded{8.6, 1.0};
     double largest = 0; ///< 0: unbounded
@@ -41,7 +41,7 @@
 };
 
 /** Counts of the calls of one class and of those that ran. */
-struct Came
+struct CallCounts
 {
     int calls = 0;
     int ran = 0;
@@ -62,21 +62,21 @@
     Instant started{};
     Instant endsAt{}; ///< at the next restart
     bool up = true;
-    StartupSnapshots notes;
-    bool heardNotes = true; ///< has received the snapshots that others read at their start
+    StartupSnapshots startupSnapshots;
+    bool hasPeerSnapshots = true; ///< has received the snapshots that others read at their start
 };
 
 /** The state updates of all VMs at one moment. */
-struct Snapshot
+struct FleetUpdates
 {
-    struct Told
+    struct VmUpdate
     {
         WorkspaceUse use;
         bool up = true;
         int group = 0;
     };
 
-    std::vector<Told> vms;
+    std::vector<VmUpdate> vms;
     std::vector<UsagePermits> permits; ///< by zone
     std::vector<UnitsByAge> units; ///< of all VMs that the zone's relay reaches, by zone
 };
@@ -86,7 +86,7 @@
 {
     std::size_t relay = 0;
     Instant relaySince{};
-    UsageSnapshotWriter noting;
+    UsageSnapshotWriter writer;
     UsageSnapshot writing;
     Instant writtenAt{};
 };
@@ -113,40 +113,40 @@
 class Fleet
 {
 public:
-    Fleet(const FleetScenario &day, Division division)
-        : day(day)
+    Fleet(const FleetScenario &scenario, Division division)
+        : scenario(scenario)
         , division(division)
-        , random(day.seed)
-        , limit(day.limit)
+        , random(scenario.seed)
+        , limit(scenario.limit)
     {
         std::uniform_real_distribution<double> part(0, 1);
-        for (int index = 0; index < day.vms; ++index) {
+        for (int index = 0; index < scenario.vms; ++index) {
             Vm vm;
             vm.record.carry = part(this->random);
-            vm.age = toSeconds(day.updateAge) * (0.5 + part(this->random));
-            vm.permitAge = toSeconds(day.permitAge) / toSeconds(day.updateAge) * vm.age;
+            vm.age = toSeconds(scenario.updateAge) * (0.5 + part(this->random));
+            vm.permitAge = toSeconds(scenario.permitAge) / toSeconds(scenario.updateAge) * vm.age;
             this->vms.push_back(vm);
         }
-        this->zones.resize(static_cast<std::size_t>(day.zones));
+        this->zones.resize(static_cast<std::size_t>(scenario.zones));
         this->store.resize(this->zones.size());
-        this->drawEnds();
-        this->calls.largest = day.largestCall;
-        this->ideal.level = day.limit.burst;
+        this->drawRestarts();
+        this->calls.largest = scenario.largestCall;
+        this->ideal.level = scenario.limit.burst;
         for (Vm &vm : this->vms)
-            vm.level = day.limit.burst / day.vms;
+            vm.level = scenario.limit.burst / scenario.vms;
     }
 
-    FleetOutcome play()
+    FleetOutcome run()
     {
         for (Duration at{}; at < length; at += step)
-            this->playStep(at);
-        this->outcome.mostOfBound = this->mostOfBound;
+            this->runStep(at);
+        this->outcome.maxOfBound = this->maxOfBound;
         this->outcome.served = this->ran / std::max(this->idealRan, 1.0);
         this->outcome.servedInCalm = this->calmRan / std::max(this->calmIdeal, 1.0);
         this->outcome.servedCalls = this->allHot.share();
         for (std::size_t index = 0; index < callClassCount; ++index)
             this->outcome.servedByClass[index] = this->hotByClass[index].share();
-        this->outcome.servedAfter = this->ranAfter / std::max(this->askedAfter, 1.0);
+        this->outcome.servedAfter = this->ranAfter / std::max(this->requestedAfter, 1.0);
         return this->outcome;
     }
 
@@ -156,82 +156,83 @@
         return at >= std::chrono::seconds(from) && at < std::chrono::seconds(to);
     }
 
-    void playStep(Duration at)
+    void runStep(Duration at)
     {
         this->now = begin + at;
         this->setGroups(at);
         for (Vm &vm : this->vms)
-            this->endOrStart(vm);
+            this->stopOrStart(vm);
         for (Vm &vm : this->vms)
-            this->hearNotes(vm);
+            this->receiveSnapshots(vm);
         if (at == std::chrono::seconds(18))
-            this->limit.ratePerSecond *= this->day.lowered;
-        this->writeNotes();
-        if (at.count() % told.count() == 0)
-            this->tell();
+            this->limit.ratePerSecond *= this->scenario.rateFactor;
+        this->writeSnapshots();
+        if (at.count() % updateInterval.count() == 0)
+            this->publishUpdates();
         const double seconds = toSeconds(step);
         this->ideal.refill(this->limit, seconds);
         for (Vm &vm : this->vms)
             this->refill(vm, seconds);
-        if (this->day.quietBefore && at < std::chrono::seconds(this->day.hotFrom))
+        if (this->scenario.quietBefore && at < std::chrono::seconds(this->scenario.hotFromSecond))
             return;
-        const bool hot = this->within(at, this->day.hotFrom, 24);
-        const double rate =
-            this->day.usual * this->day.limit.ratePerSecond * (hot ? this->day.hot : 1);
+        const bool hot = this->within(at, this->scenario.hotFromSecond, 24);
+        const double rate = this->scenario.usualDemand * this->scenario.limit.ratePerSecond
+            * (hot ? this->scenario.hot : 1);
         this->hot = hot;
-        if (this->day.kinds.empty())
-            this->playMany(rate * seconds / this->calls.mean(), {});
+        if (this->scenario.kinds.empty())
+            this->runCalls(rate * seconds / this->calls.mean(), {});
         double mean = 0;
-        for (const CallsOfKind &kind : this->day.kinds)
+        for (const CallsOfKind &kind : this->scenario.kinds)
             mean += kind.callsPerSecond * static_cast<double>(kind.units);
-        for (std::size_t index = 0; index < this->day.kinds.size(); ++index) {
-            const CallsOfKind &kind = this->day.kinds[index];
-            const double times = hot && index == this->day.burstOf ? this->day.burst : 1;
-            this->playMany(times * rate * seconds * kind.callsPerSecond / mean, kind);
+        for (std::size_t index = 0; index < this->scenario.kinds.size(); ++index) {
+            const CallsOfKind &kind = this->scenario.kinds[index];
+            const double times = hot && index == this->scenario.burstOf ? this->scenario.burst : 1;
+            this->runCalls(times * rate * seconds * kind.callsPerSecond / mean, kind);
         }
         this->checkWindow(at);
     }
 
     /** `expected`: mean number of calls in this step. */
-    void playMany(double expected, const CallsOfKind &kind)
+    void runCalls(double expected, const CallsOfKind &kind)
     {
         std::poisson_distribution<int> count(expected);
         const int calls = count(this->random);
         for (int call = 0; call < calls; ++call)
-            this->playCall(kind);
+            this->runCall(kind);
     }
 
     void setGroups(Duration at)
     {
         const bool cut = this->within(at, 10, 26);
-        for (int index = 0; index < this->day.vms; ++index) {
+        for (int index = 0; index < this->scenario.vms; ++index) {
             Vm &vm = this->vms[static_cast<std::size_t>(index)];
             vm.group = 0;
-            if (cut && index < this->day.cutAlone)
+            if (cut && index < this->scenario.isolatedVms)
                 vm.group = 1 + index;
-            else if (cut && index >= this->day.vms * (1 - this->day.cutTogether))
+            else if (cut && index >= this->scenario.vms * (1 - this->scenario.partitionedShare))
                 vm.group = -1;
         }
     }
 
-    void drawEnds()
+    void drawRestarts()
     {
-        if (this->nextRestart >= this->day.restarts.size())
+        if (this->nextRestart >= this->scenario.restarts.size())
             return;
         std::uniform_real_distribution<double> part(0, 1);
-        const Instant from = begin + this->day.restarts[this->nextRestart];
+        const Instant from = begin + this->scenario.restarts[this->nextRestart];
         for (Vm &vm : this->vms)
-            vm.endsAt = from + fromSeconds(toSeconds(this->day.apart) * part(this->random));
-        this->lastUp = from + this->day.apart + away;
+            vm.endsAt =
+                from + fromSeconds(toSeconds(this->scenario.restartSpread) * part(this->random));
+        this->lastUp = from + this->scenario.restartSpread + downtime;
         ++this->nextRestart;
     }
 
-    void endOrStart(Vm &vm)
+    void stopOrStart(Vm &vm)
     {
         if (vm.endsAt == Instant{} || this->now < vm.endsAt)
             return;
         vm.up = false;
-        if (this->now < vm.endsAt + away)
+        if (this->now < vm.endsAt + downtime)
             return;
         const double carry = std::uniform_real_distribution<double>(0, 1)(this->random);
         vm.up = true;
@@ -241,24 +242,25 @@
         vm.record.since = this->now;
         vm.started = this->now;
         vm.level = 0;
-        vm.notes = {true, this->now, this->store};
-        vm.heardNotes = false;
+        vm.startupSnapshots = {true, this->now, this->store};
+        vm.hasPeerSnapshots = false;
         const bool all = std::all_of(this->vms.begin(), this->vms.end(),
                                      [](const Vm &other) { return other.endsAt == Instant{}; });
         if (all)
-            this->drawEnds();
+            this->drawRestarts();
     }
 
     // By the time that a VM receives the others' usage, it has also received the snapshots that
     // VMs which started earlier had read.
-    void hearNotes(Vm &vm)
+    void receiveSnapshots(Vm &vm)
     {
-        if (vm.heardNotes || !vm.up || this->now - vm.started < fromSeconds(vm.age))
+        if (vm.hasPeerSnapshots || !vm.up || this->now - vm.started < fromSeconds(vm.age))
             return;
-        vm.heardNotes = true;
+        vm.hasPeerSnapshots = true;
         for (const Vm &other : this->vms) {
             if (other.up && other.group == vm.group)
-                adoptSnapshots(vm.notes, other.notes, this->day.policy, this->now);
+                adoptSnapshots(vm.startupSnapshots, other.startupSnapshots, this->scenario.policy,
+                               this->now);
         }
     }
 
@@ -280,145 +282,148 @@
         zone.relay = relay;
         zone.relaySince = this->now;
         zone.writtenAt = Instant{};
-        startSnapshotWriter(zone.noting, {name}, this->day.policy, vm.started, this->now);
+        startSnapshotWriter(zone.writer, {name}, this->scenario.policy, vm.started, this->now);
     }
 
     bool reachesStore(std::size_t zone) const
     {
         const Duration at = this->now - begin;
-        const bool outage = at >= this->day.storeAwayFrom && at < this->day.storeAwayUntil;
-        return !outage || static_cast<int>(zone) >= this->day.storeAwayFor;
+        const bool outage = at >= this->scenario.rejectedFrom && at < this->scenario.rejectedUntil;
+        return !outage || static_cast<int>(zone) >= this->scenario.rejectedZones;
     }
 
-    void writeNotes()
+    void writeSnapshots()
     {
         for (std::size_t index = 0; index < this->zones.size(); ++index) {
             Zone &zone = this->zones[index];
             this->chooseRelay(index);
             if (zone.relaySince == Instant{})
                 continue;
-            if (zone.noting.isWriting && this->now >= zone.writtenAt) {
-                endSnapshot(zone.noting, this->reachesStore(index));
+            if (zone.writer.isWriting && this->now >= zone.writtenAt) {
+                endSnapshot(zone.writer, this->reachesStore(index));
                 if (this->reachesStore(index))
                     this->store[index] = zone.writing;
             }
-            if (this->now.time_since_epoch().count() % told.count() != 0)
+            if (this->now.time_since_epoch().count() % updateInterval.count() != 0)
                 continue;
             UsagePercents wanted;
             const int percent =
-                percentNeeded(this->limit, this->day.policy, this->seenBy(zone.relay));
+                percentNeeded(this->limit, this->scenario.policy, this->usageSeenBy(zone.relay));
             if (percent > 0)
                 wanted[name] = percent;
-            updateWantedPercents(zone.noting, wanted, this->now);
-            if (!isWriteDue(zone.noting, this->now))
+            updateWantedPercents(zone.writer, wanted, this->now);
+            if (!isWriteDue(zone.writer, this->now))
                 continue;
             zone.writing.clear();
-            for (const auto &[workspace, named] : beginSnapshot(zone.noting, this->now))
-                zone.writing[workspace] = {named, this->unitsHeard(index)};
-            zone.writtenAt = this->now + noteTakes;
+            for (const auto &[workspace, named] : beginSnapshot(zone.writer, this->now))
+                zone.writing[workspace] = {named, this->reportedUnits(index)};
+            zone.writtenAt = this->now + writeLatency;
         }
     }
 
-    UnitsByAge unitsHeard(std::size_t zone) const
+    UnitsByAge reportedUnits(std::size_t zone) const
     {
         const Vm &relay = this->vms[this->zones[zone].relay];
         UnitsByAge units{};
-        const Snapshot *heard = this->heardBy(relay, relay.age);
-        if (heard != nullptr)
-            addUnits(units, heard->units[zone], this->day.policy, fromSeconds(relay.age));
+        const FleetUpdates *updates = this->updatesFor(relay, relay.age);
+        if (updates != nullptr)
+            addUnits(units, updates->units[zone], this->scenario.policy, fromSeconds(relay.age));
         return units;
     }
 
-    void tell()
+    void publishUpdates()
     {
-        Snapshot snapshot;
-        snapshot.units.resize(this->zones.size());
+        FleetUpdates fleetUpdates;
+        fleetUpdates.units.resize(this->zones.size());
         for (const Zone &zone : this->zones)
-            snapshot.permits.push_back(permitsOf(zone.noting));
+            fleetUpdates.permits.push_back(permitsOf(zone.writer));
         for (Vm &vm : this->vms) {
-            snapshot.vms.push_back({this->ownUse(vm), vm.up, vm.group});
+            fleetUpdates.vms.push_back({this->ownUse(vm), vm.up, vm.group});
             if (!vm.up)
                 continue;
-            UnitsByAge units = unitsByAge(vm.record, this->day.policy, this->now);
+            UnitsByAge units = unitsByAge(vm.record, this->scenario.policy, this->now);
             if (vm.started != Instant{})
-                addAssumedUnits(units, name, this->limit, this->day.policy, vm.notes, this->day.vms,
-                                vm.started, this->now);
+                addAssumedUnits(units, name, this->limit, this->scenario.policy,
+                                vm.startupSnapshots, this->scenario.vms, vm.started, this->now);
             for (std::size_t zone = 0; zone < this->zones.size(); ++zone) {
                 if (this->vms[this->zones[zone].relay].group == vm.group)
-                    addUnits(snapshot.units[zone], units, this->day.policy, Duration::zero());
+                    addUnits(fleetUpdates.units[zone], units, this->scenario.policy,
+                             Duration::zero());
             }
         }
-        this->snapshots.push_back(std::move(snapshot));
-        if (this->snapshots.size() > toldKept)
-            this->snapshots.pop_front();
+        this->updateHistory.push_back(std::move(fleetUpdates));
+        if (this->updateHistory.size() > maxUpdates)
+            this->updateHistory.pop_front();
     }
 
     WorkspaceUse ownUse(Vm &vm)
     {
         if (!vm.up)
             return {};
-        WorkspaceUse use = usageOf(vm.record, this->day.policy, this->now);
-        if (&vm - this->vms.data() < this->day.silentOnClasses) {
+        WorkspaceUse use = usageOf(vm.record, this->scenario.policy, this->now);
+        if (&vm - this->vms.data() < this->scenario.vmsWithoutClasses) {
             use.requestedByClass = {};
             use.callsInWindowByClass = {};
             use.requestedInWindow = 0;
         }
         if (vm.started != Instant{})
             addUsage(use,
-                     assumedUsageAtStart(name, this->limit, this->day.policy, vm.notes,
-                                         this->day.vms, vm.started, this->now));
+                     assumedUsageAtStart(name, this->limit, this->scenario.policy,
+                                         vm.startupSnapshots, this->scenario.vms, vm.started,
+                                         this->now));
         return use;
     }
 
     /** The state updates of `age` seconds ago; null: there were none, or the VM was not up. */
-    const Snapshot *heardBy(const Vm &vm, double age) const
+    const FleetUpdates *updatesFor(const Vm &vm, double age) const
     {
-        const auto back = static_cast<std::size_t>(age / toSeconds(told));
+        const auto back = static_cast<std::size_t>(age / toSeconds(updateInterval));
         const bool sinceStart =
             vm.started == Instant{} || this->now - vm.started > fromSeconds(age);
-        if (back >= this->snapshots.size() || !sinceStart)
+        if (back >= this->updateHistory.size() || !sinceStart)
             return nullptr;
-        return &this->snapshots[this->snapshots.size() - 1 - back];
+        return &this->updateHistory[this->updateHistory.size() - 1 - back];
     }
 
-    FleetUsage seenBy(std::size_t self)
+    FleetUsage usageSeenBy(std::size_t self)
     {
         Vm &vm = this->vms[self];
-        FleetUsage seen;
-        seen.usage = this->ownUse(vm);
-        seen.knownVms = this->day.vms;
-        seen.updateAge = this->day.updateAge;
-        seen.allowedShare = shareWithoutSnapshot;
+        FleetUsage fleetUsage;
+        fleetUsage.usage = this->ownUse(vm);
+        fleetUsage.knownVms = this->scenario.vms;
+        fleetUsage.updateAge = this->scenario.updateAge;
+        fleetUsage.allowedShare = shareWithoutSnapshot;
         const std::size_t zone = self % this->zones.size();
         if (this->zones[zone].relaySince != Instant{} && this->zones[zone].relay == self)
-            seen.allowedShare = shareAllowed(permitsOf(this->zones[zone].noting), name, this->now);
-        const Snapshot *permitted = this->heardBy(vm, vm.permitAge);
+            fleetUsage.allowedShare =
+                shareAllowed(permitsOf(this->zones[zone].writer), name, this->now);
+        const FleetUpdates *permitted = this->updatesFor(vm, vm.permitAge);
         const std::size_t relay = this->zones[zone].relay;
         if (permitted != nullptr && permitted->vms[relay].group == vm.group)
-            seen.allowedShare = std::max(seen.allowedShare,
-                                         shareAllowed(permitted->permits[zone], name, this->now));
-        const Snapshot *heard = this->heardBy(vm, vm.age);
-        if (heard == nullptr)
-            return seen;
+            fleetUsage.allowedShare = std::max(
+                fleetUsage.allowedShare, shareAllowed(permitted->permits[zone], name, this->now));
+        const FleetUpdates *updates = this->updatesFor(vm, vm.age);
+        if (updates == nullptr)
+            return fleetUsage;
         for (std::size_t other = 0; other < this->vms.size(); ++other) {
-            const Snapshot::Told &told = heard->vms[other];
-            if (other == self || !told.up || told.group != vm.group)
+            const FleetUpdates::VmUpdate &update = updates->vms[other];
+            if (other == self || !update.up || update.group != vm.group)
                 continue;
-            addUsage(seen.usage, told.use);
-            ++seen.reachableVms;
+            addUsage(fleetUsage.usage, update.use);
+            ++fleetUsage.reachableVms;
         }
-        return seen;
+        return fleetUsage;
     }
 
     double partOf(std::size_t self)
     {
         if (this->division == Division::Even)
-            return 1.0 / this->day.vms;
-        const FleetUsage seen = this->seenBy(self);
+            return 1.0 / this->scenario.vms;
+        const FleetUsage fleetUsage = this->usageSeenBy(self);
         const auto own = static_cast<double>(
-            usageOf(this->vms[self].record, this->day.policy, this->now).requestedPerSecond);
-        const double all = std::max(static_cast<double>(seen.usage.requestedPerSecond), 1.0);
-        return own / all * seen.reachableVms / this->day.vms;
+            usageOf(this->vms[self].record, this->scenario.policy, this->now).requestedPerSecond);
+        const double all = std::max(static_cast<double>(fleetUsage.usage.requestedPerSecond), 1.0);
+        return own / all * fleetUsage.reachableVms / this->scenario.vms;
     }
 
     void refill(Vm &vm, double seconds)
@@ -428,43 +433,43 @@
         const auto self = static_cast<std::size_t>(&vm - this->vms.data());
         const double part = this->partOf(self);
         vm.level += part * this->limit.ratePerSecond * seconds;
-        vm.level = std::min(vm.level, std::max(part, 1.0 / this->day.vms) * this->limit.burst);
+        vm.level = std::min(vm.level, std::max(part, 1.0 / this->scenario.vms) * this->limit.burst);
     }
 
     CallClass classAt(std::size_t self, const CallsOfKind &kind)
     {
-        if (this->day.kinds.empty() || this->day.oneClass)
+        if (this->scenario.kinds.empty() || this->scenario.oneClass)
             return CallClass::Rank2;
-        return classOf(this->seenBy(self).usage, kind.units, kind.rank);
+        return classOf(this->usageSeenBy(self).usage, kind.units, kind.rank);
     }
 
-    void playCall(const CallsOfKind &kind)
+    void runCall(const CallsOfKind &kind)
     {
         std::uniform_int_distribution<std::size_t> where(
-            0, static_cast<std::size_t>(this->day.callersAt) - 1);
+            0, static_cast<std::size_t>(this->scenario.vmsWithCalls) - 1);
         const std::size_t self = where(this->random);
-        const std::int64_t units = this->day.kinds.empty()
+        const std::int64_t units = this->scenario.kinds.empty()
             ? static_cast<std::int64_t>(this->calls.units(this->random)) + 1
             : kind.units;
         Vm &vm = this->vms[self];
         if (!vm.up)
             return;
         const CallClass callClass = this->classAt(self, kind);
-        recordRequested(vm.record, this->day.policy, units, this->now, callClass);
+        recordRequested(vm.record, this->scenario.policy, units, this->now, callClass);
         const auto cost = static_cast<double>(units);
         const bool after = this->lastUp != Instant{} && this->now >= this->lastUp
-            && this->now < this->lastUp + this->day.policy.window;
-        this->askedAfter += after ? cost : 0;
+            && this->now < this->lastUp + this->scenario.policy.window;
+        this->requestedAfter += after ? cost : 0;
         if (this->ideal.take(cost)) {
             this->idealRan += cost;
             this->calmIdeal += this->hot ? 0 : cost;
         }
         const bool admitted = this->isAdmitted(self, units, callClass);
         if (this->hot)
-            this->noteHot(callClass, admitted);
+            this->recordHotCall(callClass, admitted);
         if (!admitted)
             return;
-        recordUsage(vm.record, this->day.policy, units, this->now);
+        recordUsage(vm.record, this->scenario.policy, units, this->now);
         this->ran += cost;
         this->calmRan += this->hot ? 0 : cost;
         this->ranAfter += after ? cost : 0;
@@ -472,28 +477,29 @@
         this->inWindow += cost;
     }
 
-    void noteRefusal(std::size_t self, std::int64_t units, CallClass callClass,
-                     const FleetUsage &seen, const QuotaDecision &verdict)
+    void recordRefusal(std::size_t self, std::int64_t units, CallClass callClass,
+                       const FleetUsage &fleetUsage, const QuotaDecision &decision)
     {
-        const double usable = reachableShare(seen) * usableInWindow(this->limit, this->day.policy);
+        const double usable =
+            reachableShare(fleetUsage) * usableInWindow(this->limit, this->scenario.policy);
         Refusal refusal;
         refusal.at = this->now - begin;
         refusal.vm = self;
         refusal.callClass = callClass;
         refusal.units = units;
-        refusal.fits = verdict.fits;
-        refusal.share = verdict.share;
-        refusal.window = static_cast<double>(seen.usage.unitsInWindow) / usable;
-        refusal.allowed = seen.allowedShare;
-        refusal.reachableVms = seen.reachableVms;
+        refusal.fits = decision.fits;
+        refusal.share = decision.share;
+        refusal.window = static_cast<double>(fleetUsage.usage.unitsInWindow) / usable;
+        refusal.allowed = fleetUsage.allowedShare;
+        refusal.reachableVms = fleetUsage.reachableVms;
         this->outcome.refusals.push_back(refusal);
     }
 
-    void noteHot(CallClass callClass, bool admitted)
+    void recordHotCall(CallClass callClass, bool admitted)
     {
-        for (Came *came : {&this->allHot, &this->hotByClass[indexOf(callClass)]}) {
-            ++came->calls;
-            came->ran += admitted ? 1 : 0;
+        for (CallCounts *counts : {&this->allHot, &this->hotByClass[indexOf(callClass)]}) {
+            ++counts->calls;
+            counts->ran += admitted ? 1 : 0;
         }
     }
 
@@ -501,12 +507,12 @@
     {
         Vm &vm = this->vms[self];
         if (this->division == Division::BySum) {
-            const FleetUsage seen = this->seenBy(self);
-            const QuotaDecision verdict = admitCall(vm.record, this->limit, this->day.policy, seen,
-                                                    units, this->now, callClass);
-            if (!verdict.admitted)
-                this->noteRefusal(self, units, callClass, seen, verdict);
-            return verdict.admitted;
+            const FleetUsage fleetUsage = this->usageSeenBy(self);
+            const QuotaDecision decision = admitCall(vm.record, this->limit, this->scenario.policy,
+                                                     fleetUsage, units, this->now, callClass);
+            if (!decision.admitted)
+                this->recordRefusal(self, units, callClass, fleetUsage, decision);
+            return decision.admitted;
         }
         if (vm.level <= 0)
             return false;
@@ -517,15 +523,15 @@
     void checkWindow(Duration at)
     {
         while (!this->recent.empty()
-               && this->now - this->recent.front().at > this->day.policy.window) {
+               && this->now - this->recent.front().at > this->scenario.policy.window) {
             this->inWindow -= this->recent.front().units;
             this->recent.pop_front();
         }
         // A lowered limit is enforced one window after all VMs have it.
-        const bool settling = this->day.lowered < 1 && this->within(at, 18, 29);
-        const WorkspaceLimit &binding = settling ? this->day.limit : this->limit;
-        this->mostOfBound =
-            std::max(this->mostOfBound, this->inWindow / maxInWindow(binding, this->day.policy));
+        const bool settling = this->scenario.rateFactor < 1 && this->within(at, 18, 29);
+        const WorkspaceLimit &binding = settling ? this->scenario.limit : this->limit;
+        this->maxOfBound = std::max(this->maxOfBound,
+                                    this->inWindow / maxInWindow(binding, this->scenario.policy));
     }
 
     struct Ran
@@ -534,41 +540,41 @@
         double units = 0;
     };
 
-    FleetScenario day;
+    FleetScenario scenario;
     Division division;
     std::mt19937_64 random;
     WorkspaceLimit limit;
-    Calls calls;
+    CallSizes calls;
     std::vector<Vm> vms;
     Bucket ideal;
     Instant now{};
-    std::deque<Snapshot> snapshots;
+    std::deque<FleetUpdates> updateHistory;
     std::vector<Zone> zones;
     std::vector<UsageSnapshot> store; ///< by zone
     std::size_t nextRestart = 0;
     Instant lastUp{}; ///< when all VMs are up again after the latest restart that was drawn
     std::deque<Ran> recent;
     double inWindow = 0;
-    double mostOfBound = 0;
+    double maxOfBound = 0;
     double ran = 0;
     double idealRan = 0;
     double calmRan = 0;
     double calmIdeal = 0;
     bool hot = false;
-    Came allHot;
-    std::array<Came, callClassCount> hotByClass{};
+    CallCounts allHot;
+    std::array<CallCounts, callClassCount> hotByClass{};
     double ranAfter = 0;
-    double askedAfter = 0;
+    double requestedAfter = 0;
     FleetOutcome outcome;
 };
 
 } // namespace
 
-FleetOutcome simulateDay(const FleetScenario &day, Division division)
+FleetOutcome simulateScenario(const FleetScenario &scenario, Division division)
 {
-    FleetOutcome outcome = Fleet(day, division).play();
+    FleetOutcome outcome = Fleet(scenario, division).run();
     if (std::getenv("PRINT_REFUSALS") != nullptr)
-        printRefusals(day, outcome.refusals);
+        printRefusals(scenario, outcome.refusals);
     return outcome;
 }
 
--- a/libs/quota/tests/FleetModel.h
+++ b/libs/quota/tests/FleetModel.h
@@ -29,29 +29,30 @@
 struct FleetScenario
 {
     int vms = 70;
-    int callersAt = 70; ///< VMs that receive its calls
+    int vmsWithCalls = 70; ///< VMs that receive its calls
     Duration updateAge = std::chrono::milliseconds(450); ///< mean age of the state updates
     Duration permitAge = std::chrono::milliseconds(70); ///< of the zone relay's permits
     WorkspaceLimit limit;
     QuotaPolicy policy;
-    double usual = 0.56; ///< usual demand, as a part of the rate
-    double hot = 1; ///< demand from `hotFrom` to 24 s, in multiples of the usual one
-    int hotFrom = 12; ///< s
-    bool quietBefore = false; ///< no calls before `hotFrom`
-    int cutAlone = 0; ///< VMs that are isolated from 10 s to 26 s
-    double cutTogether = 0; ///< share of the VMs that reach only each other in that time
+    double usualDemand = 0.56; ///< usual demand, as a part of the rate
+    double hot = 1; ///< demand from `hotFromSecond` to 24 s, in multiples of the usual one
+    int hotFromSecond = 12; ///< s
+    bool quietBefore = false; ///< no calls before `hotFromSecond`
+    int isolatedVms = 0; ///< VMs that are isolated from 10 s to 26 s
+    double partitionedShare = 0; ///< share of the VMs that reach only each other in that time
     std::vector<Duration> restarts; ///< all VMs end then and start again a second later
-    Duration apart{}; ///< time over which their ends, and so their starts, are spread
+    Duration restartSpread{}; ///< time over which their ends, and so their starts, are spread
     int zones = 4;
     double largestCall = 0; ///< units; 0: unbounded
-    int storeAwayFor = 0; ///< zones whose writes the store rejects from `storeAwayFrom` on
-    Duration storeAwayFrom = std::chrono::seconds(12);
-    Duration storeAwayUntil = std::chrono::seconds(30);
-    double lowered = 1; ///< factor of the rate from 18 s on
+    int rejectedZones = 0; ///< zones whose writes the store rejects from `rejectedFrom` on
+    Duration rejectedFrom = std::chrono::seconds(12);
+    Duration rejectedUntil = std::chrono::seconds(30);
+    double rateFactor = 1; ///< factor of the rate from 18 s on
     std::vector<CallsOfKind> kinds; ///< empty: calls of one class and of many sizes
-    std::size_t burstOf = 0; ///< kind whose calls are multiplied by `burst` from `hotFrom` to 24 s
+    std::size_t burstOf =
+        0; ///< kind whose calls are multiplied by `burst` from `hotFromSecond` to 24 s
     double burst = 1;
-    int silentOnClasses = 0; ///< VMs that report no classes
+    int vmsWithoutClasses = 0; ///< VMs that report no classes
     bool oneClass = false; ///< all calls are treated as one class
     std::uint64_t seed = 1;
 };
@@ -72,7 +73,7 @@
 
 struct FleetOutcome
 {
-    double mostOfBound = 0; ///< usage of the fullest window, as a part of the bound
+    double maxOfBound = 0; ///< usage of the fullest window, as a part of the bound
     double served = 0; ///< units admitted, as a part of what one central token bucket admits
     double servedInCalm = 0; ///< like `served`, outside the hot time
     double servedCalls = 0; ///< part of the calls that was admitted in the hot time
@@ -85,6 +86,6 @@
  * Simulates a scenario. With PRINT_REFUSALS in the environment, prints to standard error how many
  * calls of each class were refused in each half second, at how many VMs, why and in which state.
  */
-FleetOutcome simulateDay(const FleetScenario &day, Division division);
+FleetOutcome simulateScenario(const FleetScenario &scenario, Division division);
 
 } // namespace monsoonbay
--- a/libs/quota/tests/Limits.cpp
+++ b/libs/quota/tests/Limits.cpp
@@ -21,7 +21,7 @@
     return limit;
 }
 
-QuotaPolicy policyOfDays()
+QuotaPolicy testPolicy()
 {
     QuotaPolicy policy;
     policy.slack = 110000;
@@ -29,29 +29,29 @@
 }
 
 /** Scenarios of a workspace in deployments of 7 and 70 VMs. */
-std::vector<FleetScenario> daysOf(double rate)
+std::vector<FleetScenario> scenariosOf(double rate)
 {
-    std::vector<FleetScenario> days;
+    std::vector<FleetScenario> scenarios;
     for (const int vms : {7, 70}) {
-        FleetScenario day;
-        day.vms = vms;
-        day.callersAt = vms;
-        day.updateAge = vms == 7 ? 100ms : 450ms;
-        day.limit = limitOf(rate);
-        day.policy = policyOfDays();
-        days.push_back(day);
+        FleetScenario scenario;
+        scenario.vms = vms;
+        scenario.vmsWithCalls = vms;
+        scenario.updateAge = vms == 7 ? 100ms : 450ms;
+        scenario.limit = limitOf(rate);
+        scenario.policy = testPolicy();
+        scenarios.push_back(scenario);
     }
-    return days;
+    return scenarios;
 }
 
-void mostStaysWithin(const FleetScenario &day)
+void expectWithinBound(const FleetScenario &scenario)
 {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-        FleetScenario played = day;
-        played.seed = seed;
-        const FleetOutcome outcome = simulateDay(played, Division::BySum);
-        cr_expect_leq(outcome.mostOfBound, 1.0, "%d VMs, rate %g: %g of the bound", day.vms,
-                      day.limit.ratePerSecond, outcome.mostOfBound);
+        FleetScenario seeded = scenario;
+        seeded.seed = seed;
+        const FleetOutcome outcome = simulateScenario(seeded, Division::BySum);
+        cr_expect_leq(outcome.maxOfBound, 1.0, "%d VMs, rate %g: %g of the bound", scenario.vms,
+                      scenario.limit.ratePerSecond, outcome.maxOfBound);
     }
 }
 
@@ -66,9 +66,9 @@
     cr_assert_eq(costOf(limit, 9190), 1);
 }
 
-Test(limits, what_was_used_leaves_with_its_window)
+Test(limits, usage_expires_with_its_window)
 {
-    const QuotaPolicy policy = policyOfDays();
+    const QuotaPolicy policy = testPolicy();
     UsageWindow record;
     recordRequested(record, policy, 700, start);
     recordUsage(record, policy, 700, start);
@@ -78,19 +78,19 @@
 }
 
 // Guards against counting usage twice on a VM whose clock has run for less than a window.
-Test(limits, use_counts_once_on_a_clock_that_has_just_begun)
+Test(limits, usage_counts_once_on_a_clock_that_has_just_begun)
 {
-    const QuotaPolicy policy = policyOfDays();
+    const QuotaPolicy policy = testPolicy();
     UsageWindow record;
     recordUsage(record, policy, 700, Instant{} + 1s);
     cr_assert_eq(usageOf(record, policy, Instant{} + 5s).unitsInWindow, 700);
 }
 
 // Guards against refunding a call that has not run twice, or in a later window.
-Test(limits, what_has_not_run_is_given_back_where_it_was_taken)
+Test(limits, calls_that_did_not_run_are_refunded_where_they_counted)
 {
     cr_assert(rc::check("given back", [] {
-        const QuotaPolicy policy = policyOfDays();
+        const QuotaPolicy policy = testPolicy();
         UsageWindow record;
         const auto units = static_cast<std::int64_t>(*rc::gen::inRange(1, 100000));
         const auto after = std::chrono::milliseconds(*rc::gen::inRange(0, 20000));
@@ -103,11 +103,11 @@
 }
 
 // Guards against refusing calls of a workspace whose demand is below its limit.
-Test(limits, usual_demand_is_let_run)
+Test(limits, usual_demand_is_admitted)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (const FleetScenario &day : daysOf(rate))
-            cr_expect_geq(simulateDay(day, Division::BySum).served, 0.97);
+        for (const FleetScenario &scenario : scenariosOf(rate))
+            cr_expect_geq(simulateScenario(scenario, Division::BySum).served, 0.97);
     }
 }
 
@@ -116,49 +116,49 @@
 Test(limits, many_times_the_usual_stays_within_the_limit)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetScenario day : daysOf(rate)) {
-            day.hot = 7.5;
-            mostStaysWithin(day);
-            cr_expect_geq(simulateDay(day, Division::BySum).served, 0.9);
-            day.callersAt = std::max(2, day.vms / 10);
-            mostStaysWithin(day);
+        for (FleetScenario scenario : scenariosOf(rate)) {
+            scenario.hot = 7.5;
+            expectWithinBound(scenario);
+            cr_expect_geq(simulateScenario(scenario, Division::BySum).served, 0.9);
+            scenario.vmsWithCalls = std::max(2, scenario.vms / 10);
+            expectWithinBound(scenario);
         }
     }
 }
 
 // Guards against isolated VMs that each use the whole limit.
-Test(limits, vms_that_hear_nobody_keep_to_their_part)
+Test(limits, isolated_vms_keep_to_their_part)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetScenario day : daysOf(rate)) {
-            day.hot = 7.5;
-            day.cutAlone = day.vms / 3;
-            mostStaysWithin(day);
+        for (FleetScenario scenario : scenariosOf(rate)) {
+            scenario.hot = 7.5;
+            scenario.isolatedVms = scenario.vms / 3;
+            expectWithinBound(scenario);
         }
     }
 }
 
 // Guards against a partitioned availability zone that uses the whole limit.
-Test(limits, a_zone_that_is_cut_off_keeps_to_its_part)
+Test(limits, a_partitioned_zone_keeps_to_its_part)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetScenario day : daysOf(rate)) {
-            day.hot = 7.5;
-            day.cutTogether = 0.25;
-            mostStaysWithin(day);
+        for (FleetScenario scenario : scenariosOf(rate)) {
+            scenario.hot = 7.5;
+            scenario.partitionedShare = 0.25;
+            expectWithinBound(scenario);
         }
     }
 }
 
 // Guards against granting a window's units twice: all VMs restart at once in the middle of a window
 // and have no record of its usage afterwards.
-Test(limits, a_common_restart_gives_nothing_twice)
+Test(limits, a_common_restart_grants_nothing_twice)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetScenario day : daysOf(rate)) {
-            day.hot = 7.5;
-            day.restarts = {16s};
-            mostStaysWithin(day);
+        for (FleetScenario scenario : scenariosOf(rate)) {
+            scenario.hot = 7.5;
+            scenario.restarts = {16s};
+            expectWithinBound(scenario);
         }
     }
 }
@@ -167,23 +167,23 @@
 Test(limits, after_a_common_restart_usual_demand_is_let_run_at_once)
 {
     for (const double rate : {29000.0, 200000.0, 887000.0}) {
-        for (FleetScenario day : daysOf(rate)) {
-            day.restarts = {16s};
-            cr_expect_geq(simulateDay(day, Division::BySum).served, 0.95, "%d VMs, rate %g",
-                          day.vms, day.limit.ratePerSecond);
+        for (FleetScenario scenario : scenariosOf(rate)) {
+            scenario.restarts = {16s};
+            cr_expect_geq(simulateScenario(scenario, Division::BySum).served, 0.95,
+                          "%d VMs, rate %g", scenario.vms, scenario.limit.ratePerSecond);
         }
     }
 }
 
 // Guards against granting a window's units twice when most of it was used just before all VMs
 // restart: none of that usage expires for seconds, and no VM has a record of it.
-Test(limits, a_common_restart_soon_after_a_burst_gives_nothing_twice)
+Test(limits, a_common_restart_soon_after_a_burst_grants_nothing_twice)
 {
-    for (FleetScenario day : daysOf(887000)) {
-        day.hot = 7.5;
-        day.hotFrom = 13;
-        day.restarts = {16s};
-        mostStaysWithin(day);
+    for (FleetScenario scenario : scenariosOf(887000)) {
+        scenario.hot = 7.5;
+        scenario.hotFromSecond = 13;
+        scenario.restarts = {16s};
+        expectWithinBound(scenario);
     }
 }
 
@@ -191,33 +191,33 @@
 // updates are 1.2 s old with 300 VMs and 2.4 s old with 840.
 Test(limits, at_300_and_840_vms_the_limit_holds_and_usual_demand_is_let_run)
 {
-    FleetScenario day = daysOf(200000).front();
+    FleetScenario scenario = scenariosOf(200000).front();
     for (const int vms : {300, 840}) {
-        day.vms = vms;
-        day.callersAt = vms;
-        day.updateAge = vms == 300 ? 1200ms : 2400ms;
-        day.hot = 1;
-        cr_expect_geq(simulateDay(day, Division::BySum).served, 0.97, "%d VMs", vms);
-        day.hot = 7.5;
-        mostStaysWithin(day);
+        scenario.vms = vms;
+        scenario.vmsWithCalls = vms;
+        scenario.updateAge = vms == 300 ? 1200ms : 2400ms;
+        scenario.hot = 1;
+        cr_expect_geq(simulateScenario(scenario, Division::BySum).served, 0.97, "%d VMs", vms);
+        scenario.hot = 7.5;
+        expectWithinBound(scenario);
     }
 }
 
 // Guards against exceeding the bound by single calls of half a window and more.
 Test(limits, calls_of_any_size_stay_within_the_limit)
 {
-    FleetScenario day = daysOf(29000).front();
-    day.hot = 6;
-    day.seed = 34;
-    cr_expect_leq(simulateDay(day, Division::BySum).mostOfBound, 1.0);
+    FleetScenario scenario = scenariosOf(29000).front();
+    scenario.hot = 6;
+    scenario.seed = 34;
+    cr_expect_leq(simulateScenario(scenario, Division::BySum).maxOfBound, 1.0);
 }
 
 Test(limits, a_lowered_limit_binds_within_a_window)
 {
     for (const double rate : {200000.0, 887000.0}) {
-        for (FleetScenario day : daysOf(rate)) {
-            day.lowered = 0.3;
-            mostStaysWithin(day);
+        for (FleetScenario scenario : scenariosOf(rate)) {
+            scenario.rateFactor = 0.3;
+            expectWithinBound(scenario);
         }
     }
 }
@@ -225,31 +225,31 @@
 Test(limits, what_can_never_fit_is_refused)
 {
     const WorkspaceLimit limit = limitOf(1000);
-    const QuotaPolicy policy = policyOfDays();
+    const QuotaPolicy policy = testPolicy();
     UsageWindow record;
     record.carry = 0.99;
     const std::int64_t units = 10'000'000;
     for (int call = 0; call < 20; ++call) {
         recordRequested(record, policy, units, start + call * 1s);
-        const QuotaDecision verdict =
+        const QuotaDecision decision =
             admitCall(record, limit, policy, FleetUsage(), units, start + call * 1s);
-        cr_assert(!verdict.admitted);
-        cr_assert(verdict.retryAfter > 0s);
+        cr_assert(!decision.admitted);
+        cr_assert(decision.retryAfter > 0s);
     }
 }
 
 Test(limits, no_limit_admits_all)
 {
     UsageWindow record;
-    const QuotaDecision verdict =
-        admitCall(record, WorkspaceLimit(), policyOfDays(), FleetUsage(), 1'000'000'000, start);
-    cr_assert(verdict.admitted);
+    const QuotaDecision decision =
+        admitCall(record, WorkspaceLimit(), testPolicy(), FleetUsage(), 1'000'000'000, start);
+    cr_assert(decision.admitted);
 }
 
 namespace {
 
 /** Reports the same count for `duration`. */
-void noteFor(FleetSize &size, const VmCount &count, Duration duration, Instant &now)
+void countFor(FleetSize &size, const VmCount &count, Duration duration, Instant &now)
 {
     const Instant end = now + duration;
     for (; now < end; now += 250ms)
@@ -259,28 +259,28 @@
 } // namespace
 
 // Guards against a VM that forgets the others during a long partition and uses their part.
-Test(limits, silent_vms_keep_their_part_while_the_store_is_not_heard)
+Test(limits, unreachable_vms_keep_their_part_while_the_store_does_not_answer)
 {
     FleetSize size;
     Instant now = start;
-    noteFor(size, {70, 70, true}, 10s, now);
-    noteFor(size, {1, 1, false}, 300s, now);
+    countFor(size, {70, 70, true}, 10s, now);
+    countFor(size, {1, 1, false}, 300s, now);
     cr_assert_eq(size.known, 70);
-    noteFor(size, {1, 1, true}, 10s, now);
+    countFor(size, {1, 1, true}, 10s, now);
     cr_assert_eq(size.known, 1, "the store answers and the others do not: they are gone");
 }
 
 // Guards against refusing calls below the limit: while VMs changed their relay, 99 were counted
 // instead of 70, and for a minute they used only 70/99 of the limit.
-Test(limits, vms_that_two_relays_count_for_a_moment_are_not_believed)
+Test(limits, vms_counted_by_two_relays_for_a_moment_do_not_count)
 {
     FleetSize size;
     Instant now = start;
-    noteFor(size, {70, 70, true}, 10s, now);
-    noteFor(size, {99, 70, true}, 1500ms, now);
-    noteFor(size, {70, 70, true}, 10s, now);
+    countFor(size, {70, 70, true}, 10s, now);
+    countFor(size, {99, 70, true}, 1500ms, now);
+    countFor(size, {70, 70, true}, 10s, now);
     cr_assert_eq(size.known, 70);
-    noteFor(size, {73, 73, true}, 10s, now);
+    countFor(size, {73, 73, true}, 10s, now);
     cr_assert_eq(size.known, 73, "added VMs count");
 }
 
@@ -290,28 +290,28 @@
 {
     FleetSize size;
     Instant now = start;
-    noteFor(size, {889, 70, true}, 1500ms, now);
-    noteFor(size, {70, 70, true}, 10s, now);
+    countFor(size, {889, 70, true}, 1500ms, now);
+    countFor(size, {70, 70, true}, 10s, now);
     cr_assert_eq(size.known, 70);
 }
 
-Test(limits, the_list_counts_until_the_first_ones_are_heard)
+Test(limits, the_vm_list_counts_until_vms_are_reachable)
 {
     FleetSize size;
     Instant now = start;
-    noteFor(size, {1, 200, true}, 1s, now);
+    countFor(size, {1, 200, true}, 1s, now);
     cr_assert_eq(size.known, 200);
-    noteFor(size, {40, 200, true}, 9s, now);
+    countFor(size, {40, 200, true}, 9s, now);
     cr_assert_eq(size.known, 200, "all start at once, and some are not reachable yet");
-    noteFor(size, {70, 200, true}, 10s, now);
+    countFor(size, {70, 200, true}, 10s, now);
     cr_assert_eq(size.known, 70, "the other listed VMs are long gone");
     FleetSize cut;
-    noteFor(cut, {1, 70, false}, 100s, now);
+    countFor(cut, {1, 70, false}, 100s, now);
     cr_assert_eq(cut.known, 70);
 }
 
 // Guards against sums of reported usage from which a part can no longer be subtracted exactly.
-Test(limits, sums_of_uses_come_apart_exactly)
+Test(limits, usage_can_be_subtracted_exactly)
 {
     cr_assert(rc::check("sums", [] {
         const auto units = rc::gen::inRange<std::int64_t>(0, 1'000'000'000);
--- a/libs/quota/tests/Refusals.cpp
+++ b/libs/quota/tests/Refusals.cpp
@@ -37,13 +37,13 @@
 
 } // namespace
 
-void printRefusals(const FleetScenario &day, const std::vector<Refusal> &refusals)
+void printRefusals(const FleetScenario &scenario, const std::vector<Refusal> &refusals)
 {
     std::map<std::pair<Duration, CallClass>, Row> rows;
     for (const Refusal &refusal : refusals)
         addRefusal(rows[{refusal.at / row * row, refusal.callClass}], refusal);
-    std::fprintf(stderr, "%d VMs, %.0f units a second, seed %llu\n", day.vms,
-                 day.limit.ratePerSecond, static_cast<unsigned long long>(day.seed));
+    std::fprintf(stderr, "%d VMs, %.0f units a second, seed %llu\n", scenario.vms,
+                 scenario.limit.ratePerSecond, static_cast<unsigned long long>(scenario.seed));
     for (const auto &[key, sum] : rows)
         std::fprintf(stderr,
                      "%5.1f s %s: %d calls at %zu VMs, %lld units, %d did not fit; means: "
--- a/libs/quota/tests/Refusals.h
+++ b/libs/quota/tests/Refusals.h
@@ -7,6 +7,6 @@
 namespace monsoonbay {
 
 /** Prints a row for each class and half second to standard error. */
-void printRefusals(const FleetScenario &day, const std::vector<Refusal> &refusals);
+void printRefusals(const FleetScenario &scenario, const std::vector<Refusal> &refusals);
 
 } // namespace monsoonbay
--- a/libs/quota/tests/UsageSnapshots.cpp
+++ b/libs/quota/tests/UsageSnapshots.cpp
@@ -11,77 +11,76 @@
 
 constexpr Instant start = Instant{} + 1000s;
 
-FleetScenario dayOf(int vms, double rate = 887000)
+FleetScenario scenarioOf(int vms, double rate = 887000)
 {
-    FleetScenario day;
-    day.vms = vms;
-    day.callersAt = vms;
+    FleetScenario scenario;
+    scenario.vms = vms;
+    scenario.vmsWithCalls = vms;
     // By the intervals at which the relays of four zones exchange updates; see loadReportAge().
-    day.updateAge = std::max(60ms, 2ms * vms) + std::max(60ms, 3ms * vms) / 2;
-    day.permitAge = std::max(60ms, 2ms * vms) / 2;
-    day.limit.unit = QuotaUnit::Tokens;
-    day.limit.ratePerSecond = rate;
-    day.limit.burst = rate;
-    day.policy.slack = 110000;
-    day.largestCall = 10000;
-    return day;
+    scenario.updateAge = std::max(60ms, 2ms * vms) + std::max(60ms, 3ms * vms) / 2;
+    scenario.permitAge = std::max(60ms, 2ms * vms) / 2;
+    scenario.limit.unit = QuotaUnit::Tokens;
+    scenario.limit.ratePerSecond = rate;
+    scenario.limit.burst = rate;
+    scenario.policy.slack = 110000;
+    scenario.largestCall = 10000;
+    return scenario;
 }
 
-Duration drawn(int leastMs, int mostMs)
+Duration randomDuration(int minMs, int maxMs)
 {
-    return std::chrono::milliseconds(*rc::gen::inRange(leastMs, mostMs));
+    return std::chrono::milliseconds(*rc::gen::inRange(minMs, maxMs));
 }
 
 /** A random scenario with restarts while the store rejects some zones and VMs are cut off. */
-FleetScenario drawnDay()
+FleetScenario randomScenario()
 {
-    FleetScenario day =
-        dayOf(*rc::gen::element(7, 83), *rc::gen::element(29000.0, 200000.0, 887000.0));
-    day.callersAt = *rc::gen::element(day.vms, std::max(2, day.vms / 10));
-    day.hot = *rc::gen::inRange(40, 61) / 10.0;
-    day.hotFrom = *rc::gen::inRange(8, 15);
-    day.quietBefore = *rc::gen::arbitrary<bool>();
-    day.storeAwayFor = *rc::gen::inRange(0, day.zones + 1);
-    day.storeAwayFrom = drawn(9000, 16000);
-    day.storeAwayUntil = day.storeAwayFrom + drawn(500, 14000);
-    day.cutTogether = *rc::gen::element(0.0, 0.0, 0.25);
-    day.cutAlone = *rc::gen::element(0, 0, 0, day.vms / 3);
-    day.apart = drawn(0, 1000);
-    day.restarts = {drawn(11000, 18000)};
+    FleetScenario scenario =
+        scenarioOf(*rc::gen::element(7, 83), *rc::gen::element(29000.0, 200000.0, 887000.0));
+    scenario.vmsWithCalls = *rc::gen::element(scenario.vms, std::max(2, scenario.vms / 10));
+    scenario.hot = *rc::gen::inRange(40, 61) / 10.0;
+    scenario.hotFromSecond = *rc::gen::inRange(8, 15);
+    scenario.quietBefore = *rc::gen::arbitrary<bool>();
+    scenario.rejectedZones = *rc::gen::inRange(0, scenario.zones + 1);
+    scenario.rejectedFrom = randomDuration(9000, 16000);
+    scenario.rejectedUntil = scenario.rejectedFrom + randomDuration(500, 14000);
+    scenario.partitionedShare = *rc::gen::element(0.0, 0.0, 0.25);
+    scenario.isolatedVms = *rc::gen::element(0, 0, 0, scenario.vms / 3);
+    scenario.restartSpread = randomDuration(0, 1000);
+    scenario.restarts = {randomDuration(11000, 18000)};
     if (*rc::gen::arbitrary<bool>())
-        day.restarts.push_back(day.restarts.front() + 2s + drawn(0, 6000));
-    day.seed = static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000));
-    return day;
+        scenario.restarts.push_back(scenario.restarts.front() + 2s + randomDuration(0, 6000));
+    scenario.seed = static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000));
+    return scenario;
 }
 
-StartupSnapshots readNotes(UsageSnapshot note)
+StartupSnapshots readSnapshots(UsageSnapshot note)
 {
     return {true, start, {std::move(note)}};
 }
 
-double countedAtStart(const StartupSnapshots &notes, Duration after)
+double assumedShare(const StartupSnapshots &snapshots, Duration after)
 {
-    const FleetScenario day = dayOf(1);
-    const WorkspaceUse use =
-        assumedUsageAtStart("a", day.limit, day.policy, notes, 1, start, start + after);
-    return static_cast<double>(use.unitsInWindow) / usableInWindow(day.limit, day.policy);
+    const FleetScenario scenario = scenarioOf(1);
+    const WorkspaceUse use = assumedUsageAtStart("a", scenario.limit, scenario.policy, snapshots, 1,
+                                                 start, start + after);
+    return static_cast<double>(use.unitsInWindow) / usableInWindow(scenario.limit, scenario.policy);
 }
 
 } // namespace
 
 // Guards against granting a window's units twice after a restart of all VMs when they were all used
 // in its second half: for four seconds none of them expires.
-Test(spend_notes, a_window_used_just_before_a_common_restart_is_not_given_again)
+Test(spend_notes, a_window_used_just_before_a_common_restart_is_not_granted_again)
 {
     for (const int vms : {7, 83}) {
-        FleetScenario day = dayOf(vms);
-        day.hot = 7.5;
-        day.hotFrom = 12;
-        day.quietBefore = true;
-        day.restarts = {16s};
-        const FleetOutcome outcome = simulateDay(day, Division::BySum);
-        cr_expect_leq(outcome.mostOfBound, 1.0, "%d VMs: %g of the bound", vms,
-                      outcome.mostOfBound);
+        FleetScenario scenario = scenarioOf(vms);
+        scenario.hot = 7.5;
+        scenario.hotFromSecond = 12;
+        scenario.quietBefore = true;
+        scenario.restarts = {16s};
+        const FleetOutcome outcome = simulateScenario(scenario, Division::BySum);
+        cr_expect_leq(outcome.maxOfBound, 1.0, "%d VMs: %g of the bound", vms, outcome.maxOfBound);
     }
 }
 
@@ -90,8 +89,8 @@
 Test(spend_notes, whatever_fails_the_bound_holds)
 {
     cr_assert(rc::check("bound", [] {
-        const FleetOutcome outcome = simulateDay(drawnDay(), Division::BySum);
-        RC_ASSERT(outcome.mostOfBound <= 1.0);
+        const FleetOutcome outcome = simulateScenario(randomScenario(), Division::BySum);
+        RC_ASSERT(outcome.maxOfBound <= 1.0);
     }));
 }
 
@@ -101,12 +100,12 @@
 Test(spend_notes, large_deployments_use_no_more_by_a_restart)
 {
     for (const int vms : {300, 840}) {
-        FleetScenario day = dayOf(vms);
-        day.hot = 6;
-        const double without = simulateDay(day, Division::BySum).mostOfBound;
-        day.restarts = {16s};
-        day.apart = 1s;
-        const double with = simulateDay(day, Division::BySum).mostOfBound;
+        FleetScenario scenario = scenarioOf(vms);
+        scenario.hot = 6;
+        const double without = simulateScenario(scenario, Division::BySum).maxOfBound;
+        scenario.restarts = {16s};
+        scenario.restartSpread = 1s;
+        const double with = simulateScenario(scenario, Division::BySum).maxOfBound;
         cr_expect_leq(with, std::max(without, 1.0), "%d VMs: %g, without a restart %g", vms, with,
                       without);
     }
@@ -116,75 +115,78 @@
 Test(spend_notes, usual_demand_is_served_after_a_common_restart)
 {
     for (const int vms : {7, 83, 300}) {
-        for (const Duration apart : {0s, 1s}) {
-            FleetScenario day = dayOf(vms);
-            day.restarts = {16s};
-            day.apart = apart;
-            cr_expect_geq(simulateDay(day, Division::BySum).servedAfter, 0.75, "%d VMs", vms);
+        for (const Duration restartSpread : {0s, 1s}) {
+            FleetScenario scenario = scenarioOf(vms);
+            scenario.restarts = {16s};
+            scenario.restartSpread = restartSpread;
+            cr_expect_geq(simulateScenario(scenario, Division::BySum).servedAfter, 0.75, "%d VMs",
+                          vms);
         }
     }
 }
 
 // Guards against counting units as expired after the start that may have expired before it or
 // expire later.
-Test(spend_notes, no_more_units_are_taken_as_left_than_leave)
+Test(spend_notes, no_more_units_count_as_expired_than_expire)
 {
     cr_assert(rc::check("left", [] {
         const QuotaPolicy policy;
         UsageWindow record;
-        std::vector<std::pair<Instant, std::int64_t>> spent;
-        Instant now = start + drawn(0, 1000);
+        std::vector<std::pair<Instant, std::int64_t>> recorded;
+        Instant now = start + randomDuration(0, 1000);
         for (int call = *rc::gen::inRange(1, 30); call > 0; --call) {
-            now += drawn(0, 700);
-            spent.emplace_back(now, *rc::gen::inRange(1, 1000));
-            recordUsage(record, policy, spent.back().second, now);
+            now += randomDuration(0, 700);
+            recorded.emplace_back(now, *rc::gen::inRange(1, 1000));
+            recordUsage(record, policy, recorded.back().second, now);
         }
-        const Duration way = drawn(0, 600);
-        const Duration secondWay = drawn(0, 600);
+        const Duration way = randomDuration(0, 600);
+        const Duration secondWay = randomDuration(0, 600);
         UnitsByAge atRelay{};
         addUnits(atRelay, unitsByAge(record, policy, now), policy, way);
-        UnitsByAge noted{};
-        addUnits(noted, atRelay, policy, secondWay);
-        const Instant startedAt = now + way + secondWay + drawn(0, 2000);
-        const Duration after = drawn(0, 8000);
+        UnitsByAge entry{};
+        addUnits(entry, atRelay, policy, secondWay);
+        const Instant startedAt = now + way + secondWay + randomDuration(0, 2000);
+        const Duration after = randomDuration(0, 8000);
         std::int64_t leaving = 0;
-        for (const auto &[at, units] : spent) {
+        for (const auto &[at, units] : recorded) {
             const Instant leaves = at + policy.window;
             if (leaves > startedAt && leaves <= startedAt + after)
                 leaving += units;
         }
-        RC_ASSERT(minUnitsExpired(noted, policy, after) <= leaving);
+        RC_ASSERT(minUnitsExpired(entry, policy, after) <= leaving);
     }));
 }
 
-Test(spend_notes, what_is_counted_after_a_start_follows_from_the_notes)
+Test(spend_notes, assumed_usage_follows_from_the_snapshots)
 {
-    const FleetScenario day = dayOf(1);
-    const double usable = usableInWindow(day.limit, day.policy);
-    cr_assert_float_eq(countedAtStart(StartupSnapshots(), 7s), 1.0, 0.001, "nothing was read");
-    cr_assert_float_eq(countedAtStart(readNotes({}), 7s), 0.5, 0.001, "no note names it");
-    SnapshotEntry noted;
-    noted.percent = 80;
-    cr_assert_float_eq(countedAtStart(readNotes({{"a", noted}}), 7s), 0.8, 0.001);
-    noted.units[8] = static_cast<std::int64_t>(0.2 * usable);
-    cr_assert_float_eq(countedAtStart(readNotes({{"a", noted}}), 3s), 0.8, 0.001);
-    cr_assert_float_eq(countedAtStart(readNotes({{"a", noted}}), 7s), 0.6, 0.001);
-    cr_assert_eq(countedAtStart(readNotes({{"a", noted}}), 8s), 0.0);
+    const FleetScenario scenario = scenarioOf(1);
+    const double usable = usableInWindow(scenario.limit, scenario.policy);
+    cr_assert_float_eq(assumedShare(StartupSnapshots(), 7s), 1.0, 0.001, "nothing was read");
+    cr_assert_float_eq(assumedShare(readSnapshots({}), 7s), 0.5, 0.001, "no note names it");
+    SnapshotEntry entry;
+    entry.percent = 80;
+    cr_assert_float_eq(assumedShare(readSnapshots({{"a", entry}}), 7s), 0.8, 0.001);
+    entry.units[8] = static_cast<std::int64_t>(0.2 * usable);
+    cr_assert_float_eq(assumedShare(readSnapshots({{"a", entry}}), 3s), 0.8, 0.001);
+    cr_assert_float_eq(assumedShare(readSnapshots({{"a", entry}}), 7s), 0.6, 0.001);
+    cr_assert_eq(assumedShare(readSnapshots({{"a", entry}}), 8s), 0.0);
 }
 
 // Guards against assuming usage from before one start for another whole window after the next.
 Test(spend_notes, what_was_counted_at_a_start_leaves_with_its_window)
 {
-    const FleetScenario day = dayOf(1);
-    SnapshotEntry noted;
-    noted.percent = 90;
-    addAssumedUnits(noted.units, "a", day.limit, day.policy, readNotes({}), 1, start, start + 2s);
-    const double usable = usableInWindow(day.limit, day.policy);
-    cr_assert_float_eq(static_cast<double>(noted.units[4]) / usable, 0.5, 0.001);
-    cr_assert_float_eq(countedAtStart(readNotes({{"a", noted}}), 3s), 0.9, 0.001);
-    cr_assert_float_eq(countedAtStart(readNotes({{"a", noted}}), 7500ms), 0.5, 0.001);
+    const FleetScenario scenario = scenarioOf(1);
+    SnapshotEntry entry;
+    entry.percent = 90;
+    addAssumedUnits(entry.units, "a", scenario.limit, scenario.policy, readSnapshots({}), 1, start,
+                    start + 2s);
+    const double usable = usableInWindow(scenario.limit, scenario.policy);
+    cr_assert_float_eq(static_cast<double>(entry.units[4]) / usable, 0.5, 0.001);
+    cr_assert_float_eq(assumedShare(readSnapshots({{"a", entry}}), 3s), 0.9, 0.001);
+    cr_assert_float_eq(assumedShare(readSnapshots({{"a", entry}}), 7500ms), 0.5, 0.001);
     UnitsByAge later{};
-    addAssumedUnits(later, "a", day.limit, day.policy, readNotes({}), 1, start, start + 8s);
+    addAssumedUnits(later, "a", scenario.limit, scenario.policy, readSnapshots({}), 1, start,
+                    start + 8s);
     cr_assert_eq(later, UnitsByAge{});
 }
 
@@ -193,66 +195,66 @@
 Test(spend_notes, usual_demand_is_served_after_a_second_restart)
 {
     for (const int vms : {7, 83, 300}) {
-        FleetScenario day = dayOf(vms);
-        day.restarts = {14s, 19s};
-        day.apart = 500ms;
-        cr_expect_geq(simulateDay(day, Division::BySum).servedAfter, 0.75, "%d VMs", vms);
+        FleetScenario scenario = scenarioOf(vms);
+        scenario.restarts = {14s, 19s};
+        scenario.restartSpread = 500ms;
+        cr_expect_geq(simulateScenario(scenario, Division::BySum).servedAfter, 0.75, "%d VMs", vms);
     }
 }
 
 // Guards against subtracting the units of an old snapshot, of a zone whose writes the store
 // rejects, beside those of a fresh one: they had expired before the start.
-Test(spend_notes, units_of_two_zones_notes_are_not_added)
+Test(spend_notes, units_of_two_zones_snapshots_are_not_added)
 {
-    const double usable = usableInWindow(dayOf(1).limit, dayOf(1).policy);
-    SnapshotEntry noted;
-    noted.units[8] = static_cast<std::int64_t>(0.3 * usable);
-    StartupSnapshots notes = readNotes({{"a", noted}});
-    notes.zones.push_back({{"a", noted}});
-    cr_assert_float_eq(countedAtStart(notes, 7s), 0.7, 0.001);
+    const double usable = usableInWindow(scenarioOf(1).limit, scenarioOf(1).policy);
+    SnapshotEntry entry;
+    entry.units[8] = static_cast<std::int64_t>(0.3 * usable);
+    StartupSnapshots snapshots = readSnapshots({{"a", entry}});
+    snapshots.zones.push_back({{"a", entry}});
+    cr_assert_float_eq(assumedShare(snapshots, 7s), 0.7, 0.001);
 }
 
 // Guards against a snapshot that names less than valid permits of an earlier one allow.
-Test(spend_notes, a_note_names_what_permits_may_still_allow)
+Test(spend_notes, a_snapshot_names_what_valid_permits_allow)
 {
-    UsageSnapshotWriter noting;
-    updateWantedPercents(noting, {{"a", 90}}, start);
-    cr_assert(isWriteDue(noting, start));
-    cr_assert_eq(beginSnapshot(noting, start).at("a"), 90);
-    cr_assert(permitsOf(noting).percents.empty(), "the snapshot is not acknowledged yet");
-    endSnapshot(noting, true);
-    cr_assert_eq(shareAllowed(permitsOf(noting), "a", start + 1999ms), 0.9);
-    cr_assert_eq(shareAllowed(permitsOf(noting), "a", start + 2s), shareWithoutSnapshot);
-    updateWantedPercents(noting, {{"a", 60}}, start + 1s);
-    cr_assert_not(isWriteDue(noting, start + 999ms));
-    cr_assert_eq(permitsOf(noting).percents.at("a"), 60);
-    cr_assert_eq(beginSnapshot(noting, start + 1s).at("a"), 90);
-    endSnapshot(noting, true);
-    updateWantedPercents(noting, {{"a", 60}}, start + 2s);
-    cr_assert_eq(beginSnapshot(noting, start + 2s).at("a"), 60);
-    updateWantedPercents(noting, {{"a", 90}}, start + 2s);
-    endSnapshot(noting, false);
-    cr_assert_eq(permitsOf(noting).percents.at("a"), 60, "the last snapshot may be in the store");
-    updateWantedPercents(noting, {}, start + 3s);
-    cr_assert_not(isWriteDue(noting, start + 3s));
-    updateWantedPercents(noting, {}, start + 5s);
-    cr_assert(isWriteDue(noting, start + 5s), "the lower bound has expired");
-    cr_assert(beginSnapshot(noting, start + 5s).empty());
-    endSnapshot(noting, true);
-    cr_assert_not(isWriteDue(noting, start + 60s));
+    UsageSnapshotWriter writer;
+    updateWantedPercents(writer, {{"a", 90}}, start);
+    cr_assert(isWriteDue(writer, start));
+    cr_assert_eq(beginSnapshot(writer, start).at("a"), 90);
+    cr_assert(permitsOf(writer).percents.empty(), "the snapshot is not acknowledged yet");
+    endSnapshot(writer, true);
+    cr_assert_eq(shareAllowed(permitsOf(writer), "a", start + 1999ms), 0.9);
+    cr_assert_eq(shareAllowed(permitsOf(writer), "a", start + 2s), shareWithoutSnapshot);
+    updateWantedPercents(writer, {{"a", 60}}, start + 1s);
+    cr_assert_not(isWriteDue(writer, start + 999ms));
+    cr_assert_eq(permitsOf(writer).percents.at("a"), 60);
+    cr_assert_eq(beginSnapshot(writer, start + 1s).at("a"), 90);
+    endSnapshot(writer, true);
+    updateWantedPercents(writer, {{"a", 60}}, start + 2s);
+    cr_assert_eq(beginSnapshot(writer, start + 2s).at("a"), 60);
+    updateWantedPercents(writer, {{"a", 90}}, start + 2s);
+    endSnapshot(writer, false);
+    cr_assert_eq(permitsOf(writer).percents.at("a"), 60, "the last snapshot may be in the store");
+    updateWantedPercents(writer, {}, start + 3s);
+    cr_assert_not(isWriteDue(writer, start + 3s));
+    updateWantedPercents(writer, {}, start + 5s);
+    cr_assert(isWriteDue(writer, start + 5s), "the lower bound has expired");
+    cr_assert(beginSnapshot(writer, start + 5s).empty());
+    endSnapshot(writer, true);
+    cr_assert_not(isWriteDue(writer, start + 60s));
 }
 
 // Guards against a new writer whose snapshot hides what the previous writer had permitted.
-Test(spend_notes, who_takes_over_waits_or_names_everything)
+Test(spend_notes, a_new_writer_waits_or_names_everything)
 {
-    UsageSnapshotWriter noting;
+    UsageSnapshotWriter writer;
     const QuotaPolicy policy;
-    startSnapshotWriter(noting, {"a", "b"}, policy, start - 60s, start);
-    updateWantedPercents(noting, {{"a", 70}}, start + 1s);
-    cr_assert_not(isWriteDue(noting, start + 1s));
-    cr_assert(isWriteDue(noting, start + 2s));
-    startSnapshotWriter(noting, {"a", "b"}, policy, start - 1s, start);
-    updateWantedPercents(noting, {{"a", 70}}, start);
-    cr_assert(isWriteDue(noting, start));
-    cr_assert_eq(beginSnapshot(noting, start), (UsagePercents{{"a", 100}, {"b", 100}}));
+    startSnapshotWriter(writer, {"a", "b"}, policy, start - 60s, start);
+    updateWantedPercents(writer, {{"a", 70}}, start + 1s);
+    cr_assert_not(isWriteDue(writer, start + 1s));
+    cr_assert(isWriteDue(writer, start + 2s));
+    startSnapshotWriter(writer, {"a", "b"}, policy, start - 1s, start);
+    updateWantedPercents(writer, {{"a", 70}}, start);
+    cr_assert(isWriteDue(writer, start));
+    cr_assert_eq(beginSnapshot(writer, start), (UsagePercents{{"a", 100}, {"b", 100}}));
 }
