--- a/libs/residency/src/DemandTable.cpp
+++ b/libs/residency/src/DemandTable.cpp
@@ -9,9 +9,9 @@
 
 constexpr std::size_t firstCapacity = 64;
 constexpr double ticksPerSecond = 16;
-constexpr double shortestWindow = 5;
+constexpr double minWindow = 5;
 /** Prior odds that an adapter stays in demand over one mean gap between its requests. */
-const double staysAlive = 0.97;
+const double stayProbability = 0.97;
 
 std::uint32_t tickOf(const DemandTable &table, Instant now)
 {
@@ -87,7 +87,7 @@
 // every other keeps a small part of its rate, in case the shift did not affect it.
 void forget(DemandTable &table, Instant now)
 {
-    const double window = std::max(shortestWindow, toSeconds(now - table.missesRoseAt));
+    const double window = std::max(minWindow, toSeconds(now - table.missesRoseAt));
     const double kept = table.config.forgetFactor * window / std::max(window, table.slowWindow);
     const std::uint32_t rise = tickOf(table, table.missesRoseAt);
     table.slowTotal = 0;
@@ -170,8 +170,8 @@
     const double window =
         std::max(1.0, table.slowWindow * kept + table.config.slowSeconds * (1 - kept));
     const double rate = entry->slow * std::exp(-passed / table.config.slowSeconds) / window;
-    const double silent = staysAlive * std::exp(-rate * passed);
-    return rate * silent / (silent + 1 - staysAlive);
+    const double silent = stayProbability * std::exp(-rate * passed);
+    return rate * silent / (silent + 1 - stayProbability);
 }
 
 double fastRateOf(const DemandTable &table, AdapterId adapter, Instant now)
--- a/libs/residency/src/Forecast.cpp
+++ b/libs/residency/src/Forecast.cpp
@@ -25,9 +25,9 @@
 constexpr double trustedWindow = 300;
 /** Factor of an adapter's rate in the eviction cost while another target holds it too. */
 constexpr double spareCopyShare = 0.25;
-constexpr double leastWeight = 0.05;
+constexpr double minWeight = 0.05;
 /** A load that takes longer than this many expected load times means that the store is stalled. */
-constexpr int standstillFactor = 4;
+constexpr int stallFactor = 4;
 /** Part of the time to a deadline that the admitted loads may take. */
 constexpr double admissibleShare = 0.3;
 /** Waiting time that adds the weight of the waiting requests once more to their benefit. */
@@ -82,7 +82,7 @@
     const double fill =
         std::min(1.0, static_cast<double>(target.running) / std::max(1, target.maxBatch));
     const double exchange =
-        state.config.batchWeight / std::max(leastWeight, state.config.stallWeight);
+        state.config.batchWeight / std::max(minWeight, state.config.stallWeight);
     return rate - exchange * fillValue * fill;
 }
 
@@ -128,7 +128,7 @@
  * Rate above which an adapter is worth a slot: that of the adapter to evict; zero if the rates
  * cannot be trusted or a slot is free.
  */
-double residentRate(const PlacementState &state, const SlotChoice &slot, Instant now)
+double minWorthwhileRate(const PlacementState &state, const SlotChoice &slot, Instant now)
 {
     if (!ratesTrusted(state) || slot.evict.value == 0)
         return 0;
@@ -144,9 +144,9 @@
 {
     const double age = std::max(0.0, toSeconds(now - set.oldest()));
     const double rate = rateOf(state.demand, adapter, now);
-    const double coming = rate * toSeconds(expectedLoadTime(state)) * 10;
+    const double expected = rate * toSeconds(expectedLoadTime(state)) * 10;
     const double preference = hotRate > 0 && rate > 2 * hotRate ? hotPreference : 1;
-    return preference * (set.weight() * (1 + age / ageOfOneWaiterSeconds) + coming);
+    return preference * (set.weight() * (1 + age / ageOfOneWaiterSeconds) + expected);
 }
 
 struct DatedWant
@@ -177,7 +177,7 @@
     return AdapterId{};
 }
 
-AdapterId mostHelpful(const PlacementState &state, double hotRate, Instant now)
+AdapterId mostBeneficial(const PlacementState &state, double hotRate, Instant now)
 {
     AdapterId best;
     double highest = -1;
@@ -203,7 +203,7 @@
         return std::nullopt;
     AdapterId adapter = urgentLoad(state, now);
     if (adapter.value == 0)
-        adapter = mostHelpful(state, residentRate(state, *slot, now), now);
+        adapter = mostBeneficial(state, minWorthwhileRate(state, *slot, now), now);
     if (adapter.value == 0)
         return std::nullopt;
     return LoadChoice{adapter, *slot, false};
@@ -237,23 +237,23 @@
 
 // A load that takes many times the expected time means that the store is down or very slow. The
 // stall is expected to last as long again as it has lasted so far.
-Duration expectedStandstill(const PlacementState &state, Instant now)
+Duration expectedStall(const PlacementState &state, Instant now)
 {
     Duration longest{};
     for (const auto &[permit, load] : state.pending)
         longest = std::max(longest, Duration(now - load.startedAt));
-    const bool stands = longest > standstillFactor * expectedLoadTime(state);
-    return stands ? longest : Duration{};
+    const bool stalled = longest > stallFactor * expectedLoadTime(state);
+    return stalled ? longest : Duration{};
 }
 
-struct FreshWant
+struct NewWant
 {
     Instant deadline;
     double weight;
     AdapterId adapter;
 };
 
-bool heavierFirst(const FreshWant &a, const FreshWant &b)
+bool heavierFirst(const NewWant &a, const NewWant &b)
 {
     return a.weight != b.weight ? a.weight > b.weight : a.adapter < b.adapter;
 }
@@ -262,12 +262,12 @@
 // a stalled store. A new one is admitted if its load still ends in time after all admitted ones.
 std::vector<AdapterId> refuseHopeless(PlacementState &state, Instant now)
 {
-    std::vector<FreshWant> fresh;
+    std::vector<NewWant> newWants;
     std::size_t admitted = 0;
     std::vector<AdapterId> refused;
-    const Duration standstill = expectedStandstill(state, now);
+    const Duration stall = expectedStall(state, now);
     for (const auto &[adapter, set] : state.wants) {
-        const bool hopeless = standstill > Duration{} && now + standstill > set.deadline();
+        const bool hopeless = stall > Duration{} && now + stall > set.deadline();
         if (hopeless) {
             refused.push_back(adapter);
             continue;
@@ -279,16 +279,16 @@
         else if (set.admitted)
             ++admitted;
         else
-            fresh.push_back({set.deadline(), set.weight(), adapter});
+            newWants.push_back({set.deadline(), set.weight(), adapter});
     }
-    std::sort(fresh.begin(), fresh.end(), heavierFirst);
+    std::sort(newWants.begin(), newWants.end(), heavierFirst);
     const double loadSeconds = toSeconds(expectedLoadTime(state));
-    for (const FreshWant &want : fresh) {
+    for (const NewWant &want : newWants) {
         const auto ahead = static_cast<double>(admitted + state.pending.size());
-        const double room = toSeconds(want.deadline - now) * admissibleShare;
+        const double availableSeconds = toSeconds(want.deadline - now) * admissibleShare;
         // With nothing ahead it is always admitted: if one slow load made the policy refuse all
         // wants, no load would ever show that the store is fast again.
-        if (ahead > 0 && (ahead + 1) * loadSeconds > room) {
+        if (ahead > 0 && (ahead + 1) * loadSeconds > availableSeconds) {
             refused.push_back(want.adapter);
             continue;
         }
--- a/libs/residency/src/Placement.cpp
+++ b/libs/residency/src/Placement.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double loadTimeSmoothing = 0.2;
-constexpr double slowestCounted = 3; ///< cap of a measured load time, in expected load times
+constexpr double maxLoadTimeFactor = 3; ///< cap of a measured load time, in expected load times
 constexpr Duration prefetchPause = std::chrono::seconds(1);
 constexpr Duration declinedPause = std::chrono::milliseconds(100);
 
@@ -321,11 +321,11 @@
     ++state.counters.loadsDone;
     state.backoffs.erase(load.order.adapter);
     // A load that lasted through an outage of the store says nothing about the next one.
-    const double took = std::min(toSeconds(now - load.startedAt),
-                                 slowestCounted * toSeconds(expectedLoadTime(state)));
+    const double measured = std::min(toSeconds(now - load.startedAt),
+                                     maxLoadTimeFactor * toSeconds(expectedLoadTime(state)));
     state.loadSeconds = state.loadSeconds == 0
-        ? took
-        : state.loadSeconds + loadTimeSmoothing * (took - state.loadSeconds);
+        ? measured
+        : state.loadSeconds + loadTimeSmoothing * (measured - state.loadSeconds);
 }
 
 PlacementActions decide(PlacementState &state, Instant now)
--- a/libs/residency/src/PlacementSupport.cpp
+++ b/libs/residency/src/PlacementSupport.cpp
@@ -18,12 +18,12 @@
 std::optional<SlotChoice> freeSlot(const PlacementState &state, Instant now)
 {
     std::optional<SlotChoice> best;
-    int mostFree = 0;
+    int maxFree = 0;
     for (std::size_t index = 0; index < state.targets.size(); ++index) {
         const TargetView &target = state.targets[index];
-        if (!takesLoads(target, now) || target.freeSlots() <= mostFree)
+        if (!takesLoads(target, now) || target.freeSlots() <= maxFree)
             continue;
-        mostFree = target.freeSlots();
+        maxFree = target.freeSlots();
         best = SlotChoice{index, AdapterId{}};
     }
     return best;
--- a/libs/residency/src/SlotTable.cpp
+++ b/libs/residency/src/SlotTable.cpp
@@ -46,8 +46,8 @@
     for (const ReportedSlot &reported : report.resident) {
         OwnedSlot *slot = slotOf(table, reported.adapter.id());
         if (slot == nullptr) {
-            const bool leavingNow = table.loading.has_value();
-            if (leavingNow)
+            const bool isLoading = table.loading.has_value();
+            if (isLoading)
                 continue;
             addSlot(table, reported.adapter, reported.running, now);
             continue;
--- a/libs/residency/tests/Placing.cpp
+++ b/libs/residency/tests/Placing.cpp
@@ -28,9 +28,9 @@
     return view;
 }
 
-Want wantOf(int adapter, int waiting, Instant now, Duration patience)
+Want wantOf(int adapter, int waiting, Instant now, Duration maxWait)
 {
-    return Want{adapterOf(adapter), VmId{1}, waiting, now, now + patience, 1.0 * waiting, now};
+    return Want{adapterOf(adapter), VmId{1}, waiting, now, now + maxWait, 1.0 * waiting, now};
 }
 
 PlacementState threeTargets(const PlacementPolicy &policy, Instant now)
@@ -42,21 +42,21 @@
 }
 
 /** Checks a load command against the state before it was given. */
-void checkOrder(const std::vector<TargetView> &before, const LoadOrder &order)
+void checkCommand(const std::vector<TargetView> &before, const LoadOrder &order)
 {
     for (const TargetView &target : before) {
         if (target.target != order.target)
             continue;
         RC_ASSERT(target.usable && !target.leaving);
-        bool victimThere = order.evict.value == 0;
+        bool victimResident = order.evict.value == 0;
         for (const ResidentSlot &slot : target.resident) {
             RC_ASSERT(slot.adapter != order.adapter);
             if (slot.adapter != order.evict)
                 continue;
             RC_ASSERT(slot.pins == 0);
-            victimThere = true;
+            victimResident = true;
         }
-        RC_ASSERT(victimThere);
+        RC_ASSERT(victimResident);
         if (order.evict.value == 0)
             RC_ASSERT(target.freeSlots() > 0);
     }
@@ -66,27 +66,27 @@
 {
     Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(policy, now);
-    std::vector<LoadOrder> open;
-    const auto deeds = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
+    std::vector<LoadOrder> pendingCommands;
+    const auto events = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
         rc::gen::tuple(rc::gen::inRange(0, 7), rc::gen::inRange(1, 12), rc::gen::inRange(0, 3)));
-    for (const auto &[deed, adapter, other] : deeds) {
+    for (const auto &[event, adapter, other] : events) {
         now += std::chrono::milliseconds(700);
-        if (deed <= 1) {
+        if (event <= 1) {
             recordDemand(state, adapterOf(adapter), 1, 0, now);
             updateWant(state, wantOf(adapter, 1 + other, now, std::chrono::seconds(30)), now);
-        } else if (deed == 2 && !open.empty()) {
+        } else if (event == 2 && !pendingCommands.empty()) {
             const LoadOutcome outcome = static_cast<LoadOutcome>(other);
-            recordLoadResult(state, open.front().permit, outcome, now);
-            open.erase(open.begin());
-        } else if (deed == 3) { // requests pin or unpin the slots of a target
+            recordLoadResult(state, pendingCommands.front().permit, outcome, now);
+            pendingCommands.erase(pendingCommands.begin());
+        } else if (event == 3) { // requests pin or unpin the slots of a target
             TargetView view = state.targets[static_cast<std::size_t>(other)];
             for (ResidentSlot &slot : view.resident)
                 slot.pins = adapter % 2;
             view.loading.clear();
             updateTarget(state, view);
-        } else if (deed == 4) {
+        } else if (event == 4) {
             updateTarget(state, emptyTarget(other)); // restarted cold
-        } else if (deed == 5) {
+        } else if (event == 5) {
             TargetView view = state.targets[static_cast<std::size_t>(other)];
             view.leaving = adapter % 3 == 0;
             view.loading.clear();
@@ -95,8 +95,8 @@
         const std::vector<TargetView> before = state.targets;
         const PlacementActions actions = decide(state, now);
         for (const LoadOrder &order : actions.orders) {
-            checkOrder(before, order);
-            open.push_back(order);
+            checkCommand(before, order);
+            pendingCommands.push_back(order);
         }
         if (policy.loadsAtOnce > 0)
             RC_ASSERT(static_cast<int>(state.pending.size()) <= policy.loadsAtOnce);
@@ -107,7 +107,7 @@
 
 } // namespace
 
-Test(placement, orders_evict_only_idle_slots_and_keep_to_the_permits)
+Test(placement, commands_evict_only_idle_slots_and_keep_to_the_permits)
 {
     for (const char *name : {"forecast", "plain-good"}) {
         const PlacementPolicy *policy = findPlacementPolicy(name);
@@ -124,7 +124,7 @@
 
 // Guards against requests for a cold adapter that wait until their deadline and are refused then:
 // the store's queue has to be compared with the deadline when they arrive.
-Test(placement, what_cannot_come_in_time_is_refused_at_once)
+Test(placement, what_cannot_be_loaded_in_time_is_refused_at_once)
 {
     const Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
@@ -141,7 +141,7 @@
 
 // Guards against requests that wait until their deadlines while the store is down: a load is in
 // progress when the store stops, and the expected load time stays the usual one.
-Test(placement, while_the_store_stands_still_callers_are_told)
+Test(placement, requests_are_refused_while_the_store_is_stalled)
 {
     Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
@@ -149,21 +149,21 @@
     cr_assert_eq(decide(state, now).orders.size(), 1);
     const Instant deadline = now + std::chrono::seconds(30);
     std::size_t refused = 0;
-    Instant statusReportedAt{};
+    Instant refusedAt{};
     while (now < deadline && refused == 0) {
         now += std::chrono::milliseconds(100);
         Want again = wantOf(1, 1, now, deadline - now);
         updateWant(state, again, now);
         refused += decide(state, now).verdicts.size();
-        statusReportedAt = now;
+        refusedAt = now;
     }
     cr_assert_eq(refused, 1);
-    cr_assert_lt(statusReportedAt, deadline - std::chrono::seconds(10));
+    cr_assert_lt(refusedAt, deadline - std::chrono::seconds(10));
 }
 
 // Guards against refusing every request after an outage of the store: a load lasts through the
 // outage, its time is taken for that of the next one, and no load is tried any more.
-Test(placement, after_a_standstill_loads_are_tried_again)
+Test(placement, loads_are_tried_again_after_a_stall)
 {
     Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
@@ -183,7 +183,7 @@
 
 // Guards against a permit that is never returned, so that nothing is loaded any more: the owner
 // dies between the command and its result.
-Test(placement, a_lost_load_gives_its_permit_back)
+Test(placement, a_lost_load_returns_its_permit)
 {
     Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
@@ -226,7 +226,7 @@
 }
 
 // Guards against one broken adapter that keeps the store busy, without a back-off after failures.
-Test(placement, a_failing_load_backs_off_and_its_waiters_are_told)
+Test(placement, a_failing_load_backs_off_and_its_requests_are_refused)
 {
     Instant now = Instant{} + std::chrono::seconds(10);
     PlacementState state = threeTargets(*findPlacementPolicy("forecast"), now);
@@ -249,7 +249,7 @@
 
 // Guards against loading formerly popular adapters for minutes after a popularity shift, because
 // old rates outweigh present demand, and against shifts detected in steady demand.
-Test(demand, a_shift_is_seen_and_steady_demand_is_not_taken_for_one)
+Test(demand, a_shift_is_detected_and_steady_demand_is_not)
 {
     DemandTable table = makeDemandTable({}, Instant{});
     Instant now{};
--- a/libs/residency/tests/Slots.cpp
+++ b/libs/residency/tests/Slots.cpp
@@ -18,7 +18,7 @@
 }
 
 /** A minimal model of the engine: what is in its slots and what runs there. */
-struct TrueEngine
+struct EngineModel
 {
     std::uint64_t epoch = 1;
     std::map<int, int> running; ///< by resident adapter
@@ -35,12 +35,12 @@
     }
 };
 
-struct HeldRun
+struct PinnedRequest
 {
     int adapter;
     SlotPin pin;
     std::uint64_t epoch;
-    bool hopBroken = false;
+    bool connectionBroken = false;
 };
 
 } // namespace
@@ -53,17 +53,17 @@
     cr_assert(rc::check("slot table", [] {
         SlotTable table;
         table.slots = 3;
-        TrueEngine engine;
+        EngineModel engine;
         Instant now = Instant{} + std::chrono::seconds(1);
         applyReport(table, engine.report(now), now);
-        std::vector<HeldRun> runs;
+        std::vector<PinnedRequest> runs;
         std::vector<SlotReport> inTransit;
-        const auto deeds = *rc::gen::container<std::vector<std::pair<int, int>>>(
+        const auto events = *rc::gen::container<std::vector<std::pair<int, int>>>(
             rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange(0, 6)));
-        for (const auto &[deed, number] : deeds) {
+        for (const auto &[event, number] : events) {
             now += std::chrono::milliseconds(10);
             const AdapterId id = adapterOf(number).id();
-            if (deed <= 1) { // a request
+            if (event <= 1) { // a request
                 const std::optional<SlotPin> held = pin(table, id);
                 if (held && !engine.running.contains(number)) {
                     unpin(table, *held, true); // the engine answers "not resident"
@@ -72,18 +72,18 @@
                     ++engine.running[number];
                     runs.push_back({number, *held, engine.epoch});
                 }
-            } else if (deed == 2 && !runs.empty()) { // a request ends
-                HeldRun run = runs.back();
+            } else if (event == 2 && !runs.empty()) { // a request ends
+                PinnedRequest run = runs.back();
                 runs.pop_back();
                 if (run.epoch == engine.epoch)
                     --engine.running[run.adapter];
-                if (!run.hopBroken)
+                if (!run.connectionBroken)
                     unpin(table, run.pin, true);
-            } else if (deed == 3 && !runs.empty() && !runs.back().hopBroken) {
+            } else if (event == 3 && !runs.empty() && !runs.back().connectionBroken) {
                 // The owner loses the connection; the engine goes on running it.
-                runs.back().hopBroken = true;
+                runs.back().connectionBroken = true;
                 unpin(table, runs.back().pin, false);
-            } else if (deed == 4 && engine.loading < 0) { // a load, evicting the first idle slot
+            } else if (event == 4 && engine.loading < 0) { // a load, evicting the first idle slot
                 AdapterId evict;
                 int evicted = -1;
                 for (const auto &[adapter, count] : engine.running) {
@@ -101,17 +101,17 @@
                     }
                     engine.loading = number;
                 }
-            } else if (deed == 5 && engine.loading >= 0) { // the load ends
+            } else if (event == 5 && engine.loading >= 0) { // the load ends
                 engine.running.emplace(engine.loading, 0);
                 engine.loading = -1;
                 endLoad(table, true, now);
-            } else if (deed == 6) { // the engine restarts cold
+            } else if (event == 6) { // the engine restarts cold
                 ++engine.epoch;
                 engine.running.clear();
                 if (engine.loading >= 0)
                     endLoad(table, false, now);
                 engine.loading = -1;
-            } else if (deed == 7) {
+            } else if (event == 7) {
                 applyReport(table, engine.report(now), now);
             }
             RC_ASSERT(static_cast<int>(table.resident.size()) <= table.slots + 1);
@@ -122,7 +122,7 @@
 // Guards against evicting an adapter under a running request after an engine's restart: request R1
 // runs, the engine restarts, the adapter is loaded again, R2 is dispatched, and the end of R1
 // releases the pin of R2.
-Test(slots, a_pin_of_an_earlier_stay_does_not_count_for_the_next)
+Test(slots, a_pin_of_an_earlier_load_does_not_count_for_the_next)
 {
     SlotTable table;
     table.slots = 1;
