--- a/libs/routing/src/ResidentDirectory.cpp
+++ b/libs/routing/src/ResidentDirectory.cpp
@@ -65,8 +65,8 @@
 bool ResidentDirectory::apply(const TargetStatus &status)
 {
     const EntryPtr entry = this->findOrAdd(status.target);
-    std::vector<AdapterId> gone;
-    std::vector<AdapterId> come;
+    std::vector<AdapterId> removed;
+    std::vector<AdapterId> added;
     {
         const std::lock_guard guard(entry->mutex);
         if (status.version <= entry->status.version && entry->status.owner.value != 0)
@@ -77,8 +77,8 @@
             };
         };
         std::copy_if(entry->status.resident.begin(), entry->status.resident.end(),
-                     std::back_inserter(gone), missingFrom(status.resident));
-        come = status.resident;
+                     std::back_inserter(removed), missingFrom(status.resident));
+        added = status.resident;
         entry->status = status;
         entry->running.store(status.running, std::memory_order_relaxed);
         entry->sentSinceReport.store(0, std::memory_order_relaxed);
@@ -87,9 +87,9 @@
         entry->sameZone = status.zone == this->ownZone;
         entry->owner = status.owner.value;
     }
-    for (const AdapterId adapter : gone)
+    for (const AdapterId adapter : removed)
         this->unlink(adapter, entry);
-    for (const AdapterId adapter : come)
+    for (const AdapterId adapter : added)
         this->link(adapter, entry);
     return true;
 }
@@ -103,12 +103,12 @@
         const std::unique_lock guard(this->targetsMutex);
         this->targets.erase(target);
     }
-    std::vector<AdapterId> gone;
+    std::vector<AdapterId> removed;
     {
         const std::lock_guard guard(entry->mutex);
-        gone.swap(entry->status.resident);
+        removed.swap(entry->status.resident);
     }
-    for (const AdapterId adapter : gone)
+    for (const AdapterId adapter : removed)
         this->unlink(adapter, entry);
 }
 
--- a/libs/routing/tests/Directory.cpp
+++ b/libs/routing/tests/Directory.cpp
@@ -38,30 +38,30 @@
 } // namespace
 
 // Guards against routes that differ from those of a plain map of all targets' newest reports.
-Test(directory, agrees_with_a_naive_map_on_any_order_of_news)
+Test(directory, agrees_with_a_plain_map_in_any_order_of_reports)
 {
     cr_assert(rc::check("directory", [] {
         ResidentDirectory directory("zone");
-        std::map<std::uint64_t, TargetStatus> naive;
-        const auto news = *rc::gen::container<
+        std::map<std::uint64_t, TargetStatus> reference;
+        const auto reports = *rc::gen::container<
             std::vector<std::tuple<int, int, int, std::vector<std::uint64_t>, int>>>(rc::gen::tuple(
             rc::gen::inRange(1, 6), rc::gen::inRange(1, 4), rc::gen::inRange(1, 6),
             rc::gen::container<std::vector<std::uint64_t>>(rc::gen::inRange<std::uint64_t>(1, 10)),
             rc::gen::inRange(0, 9)));
-        for (const auto &[target, token, change, adapters, running] : news) {
+        for (const auto &[target, token, change, adapters, running] : reports) {
             const auto id = static_cast<std::uint64_t>(target);
             const TargetStatus status =
                 statusOf(id, static_cast<std::uint64_t>(token), static_cast<std::uint64_t>(change),
                          adapters, running);
-            const auto known = naive.find(id);
-            const bool newer = known == naive.end() || known->second.version < status.version;
+            const auto known = reference.find(id);
+            const bool newer = known == reference.end() || known->second.version < status.version;
             RC_ASSERT(directory.apply(status) == newer);
             if (newer)
-                naive[id] = status;
+                reference[id] = status;
         }
         for (std::uint64_t adapter = 1; adapter < 10; ++adapter) {
             int least = 1000;
-            for (const auto &[id, status] : naive) {
+            for (const auto &[id, status] : reference) {
                 for (const AdapterId resident : status.resident) {
                     if (resident.value == adapter)
                         least = std::min(least, status.running);
@@ -71,14 +71,14 @@
                 directory.choose(AdapterId{adapter}, policy, 1, 0);
             RC_ASSERT(route.has_value() == (least != 1000));
             if (route)
-                RC_ASSERT(naive.at(route->target.value).running == least);
+                RC_ASSERT(reference.at(route->target.value).running == least);
         }
     }));
 }
 
 // Guards against routing to a leaving target: the VM list marks it, and a later report of its owner
 // without the mark must not clear it.
-Test(directory, a_leaving_target_gets_nothing_new_whatever_its_owner_says)
+Test(directory, a_leaving_target_gets_nothing_new_whatever_its_owner_reports)
 {
     ResidentDirectory directory("zone");
     directory.apply(statusOf(1, 1, 1, {5}, 0));
@@ -108,7 +108,7 @@
     cr_assert_eq(sent[2], 10);
 }
 
-Test(directory, a_bounce_removes_the_stale_entry_until_newer_news)
+Test(directory, a_failed_attempt_removes_the_stale_entry_until_a_newer_report)
 {
     ResidentDirectory directory("zone");
     directory.apply(statusOf(1, 1, 1, {5}, 0));
