--- a/libs/quota/tests/Classes.cpp
+++ b/libs/quota/tests/Classes.cpp
@@ -93,6 +93,7 @@
     }));
 }
 
+// Guards against shares that do not go to the first classes first, above the minimum of all.
 Test(classes, the_first_classes_go_first)
 {
     const ClassDemand demand{{100, 100, 400, 400}, {10, 10, 40, 40}};
@@ -104,6 +105,7 @@
                        "two; 100 are left for 400");
 }
 
+// Guards against a wrong class by units or rank, as for the first call or ranks out of range.
 Test(classes, small_calls_are_defined_by_the_mean_of_all_vms)
 {
     WorkspaceUse use;
--- a/libs/quota/tests/Limits.cpp
+++ b/libs/quota/tests/Limits.cpp
@@ -57,6 +57,7 @@
 
 } // namespace
 
+// Guards against charging a call the wrong units, as when it does not state its tokens.
 Test(limits, a_call_counts_its_tokens_or_what_is_configured_or_one)
 {
     WorkspaceLimit limit = limitOf(1000);
@@ -66,6 +67,7 @@
     cr_assert_eq(costOf(limit, 9190), 1);
 }
 
+// Guards against usage that expires before its window has passed, or never.
 Test(limits, usage_expires_with_its_window)
 {
     const QuotaPolicy policy = testPolicy();
@@ -212,6 +214,7 @@
     cr_expect_leq(simulateScenario(scenario, Division::BySum).maxOfBound, 1.0);
 }
 
+// Guards against usage by a former, higher limit more than a window after it was lowered.
 Test(limits, a_lowered_limit_binds_within_a_window)
 {
     for (const double rate : {200000.0, 887000.0}) {
@@ -222,6 +225,7 @@
     }
 }
 
+// Guards against admitting a call that is larger than the limit, or refusing it without a delay.
 Test(limits, what_can_never_fit_is_refused)
 {
     const WorkspaceLimit limit = limitOf(1000);
@@ -238,6 +242,7 @@
     }
 }
 
+// Guards against refusing calls of a workspace without a limit.
 Test(limits, no_limit_admits_all)
 {
     UsageWindow record;
@@ -295,6 +300,8 @@
     cr_assert_eq(size.known, 70);
 }
 
+// Guards against counting too few VMs while not all are reachable yet after a common start, and
+// against counting VMs that are only on the list once reachable ones were counted.
 Test(limits, the_vm_list_counts_until_vms_are_reachable)
 {
     FleetSize size;
--- a/libs/quota/tests/UsageSnapshots.cpp
+++ b/libs/quota/tests/UsageSnapshots.cpp
@@ -157,6 +157,7 @@
     }));
 }
 
+// Guards against assuming too much or too little usage after a start, with and without snapshots.
 Test(spend_notes, assumed_usage_follows_from_the_snapshots)
 {
     const FleetScenario scenario = scenarioOf(1);
