--- a/libs/residency/tests/Placing.cpp
+++ b/libs/residency/tests/Placing.cpp
@@ -107,6 +107,8 @@
 
 } // namespace
 
+// Guards against evicting a pinned adapter, overfilling a target, loading on one that takes no
+// work, and more concurrent loads than the policy allows, in random sequences of events.
 Test(placement, commands_evict_only_idle_slots_and_keep_to_the_permits)
 {
     for (const char *name : {"forecast", "plain-good"}) {
@@ -116,6 +118,7 @@
     }
 }
 
+// Guards against a policy that the linker drops, so that it is not found by its name.
 Test(placement, three_policies_registered_themselves)
 {
     cr_assert_eq(placementPolicies().size(), 3);
@@ -270,6 +273,7 @@
     cr_assert_gt(rateOf(table, adapterOf(1003), now), rateOf(table, adapterOf(3), now) * 3);
 }
 
+// Guards against a demand table that takes more than 4 MiB for 67,000 adapters.
 Test(demand, sixty_seven_thousand_adapters_take_few_megabytes)
 {
     DemandTable table = makeDemandTable({}, Instant{});
