--- a/libs/routing/tests/Directory.cpp
+++ b/libs/routing/tests/Directory.cpp
@@ -108,6 +108,8 @@
     cr_assert_eq(sent[2], 10);
 }
 
+// Guards against sending further requests to a target that turned out not to hold the adapter, and
+// against ignoring it after a newer report names the adapter again.
 Test(directory, a_failed_attempt_removes_the_stale_entry_until_a_newer_report)
 {
     ResidentDirectory directory("zone");
