--- a/libs/quota/include/quota/Admission.h
+++ b/libs/quota/include/quota/Admission.h
@@ -14,13 +14,14 @@
 {
     WorkspaceUse usage; ///< of the reachable VMs, including this one
     int reachableVms = 1; ///< reachable VMs, including this one
-    int knownVms = 1;
+    int knownVms = 1; ///< VMs that may admit calls, reachable or not; see FleetSize
     Duration updateAge{}; ///< mean age of the state updates behind `usage`
     double allowedShare = 1; ///< part of the usable units of a window; see shareAllowed()
 
     bool operator==(const FleetUsage &) const = default;
 };
 
+/** Whether a call is admitted, and the values behind that. */
 struct QuotaDecision
 {
     bool admitted = false;
--- a/libs/quota/include/quota/FleetSize.h
+++ b/libs/quota/include/quota/FleetSize.h
@@ -32,6 +32,7 @@
     auto operator<=>(const VmCount &) const = default;
 };
 
+/** Applies an observation of the number of VMs. */
 void updateFleetSize(FleetSize &size, const VmCount &count, Instant now) noexcept;
 
 } // namespace monsoonbay
--- a/libs/quota/include/quota/UsageSnapshot.h
+++ b/libs/quota/include/quota/UsageSnapshot.h
@@ -14,18 +14,16 @@
 /** Part of the usable units of a window that is admitted without a snapshot in the store. */
 constexpr double shareWithoutSnapshot = 0.5;
 
-/** How long a snapshot permits more than `shareWithoutSnapshot`, from the start of the write
- * request. */
+/** How long a snapshot permits more than that share, from the start of the write request. */
 constexpr Duration permitLifetime = std::chrono::seconds(2);
 
-/** All usable units of a window, in the percent of snapshots and permits. */
+/** Stands for all usable units of a window in the percents of snapshots and permits. */
 constexpr int allPercent = 100;
 
 /** What a snapshot holds of one workspace. */
 struct SnapshotEntry
 {
-    int percent =
-        allPercent; ///< of the usable units of a window; an upper bound until the next snapshot
+    int percent = allPercent; ///< of the usable units; an upper bound until the next snapshot
     UnitsByAge units{}; ///< admitted by all reachable VMs when the snapshot was written
 
     auto operator<=>(const SnapshotEntry &) const = default;
@@ -45,9 +43,9 @@
 };
 
 /**
- * Another VM of the zone, which is running, read `peerSnapshots` when it started. If it restarted
- * together with this one and read earlier, its snapshots replace those of this VM, which may have
- * been written after the restart.
+ * Another running VM of the zone read `peerSnapshots` when it started. If that was less than a
+ * window ago and earlier than this VM read its own, both may be part of one restart of all VMs.
+ * Those of the peer are then of before the restart, and replace the own ones, which may not be.
  */
 void adoptSnapshots(StartupSnapshots &own, const StartupSnapshots &peerSnapshots,
                     const QuotaPolicy &policy, Instant now);
--- a/libs/quota/include/quota/UsageSnapshotWriter.h
+++ b/libs/quota/include/quota/UsageSnapshotWriter.h
@@ -56,13 +56,16 @@
 void startSnapshotWriter(UsageSnapshotWriter &writer, const std::vector<std::string> &workspaces,
                          const QuotaPolicy &policy, Instant startedAt, Instant now);
 
+/** Sets the percents that the workspaces need now. */
 void updateWantedPercents(UsageSnapshotWriter &writer, UsagePercents wanted, Instant now);
 
+/** True if a snapshot should be written now. */
 bool isWriteDue(const UsageSnapshotWriter &writer, Instant now);
 
 /** Begins to write a snapshot; returns the percents that it has to name. */
 UsagePercents beginSnapshot(UsageSnapshotWriter &writer, Instant now);
 
+/** Ends the write; `acknowledged`: the store has confirmed it. */
 void endSnapshot(UsageSnapshotWriter &writer, bool acknowledged);
 
 /** The permits to report to the zone's VMs. */
--- a/libs/quota/include/quota/UsageWindow.h
+++ b/libs/quota/include/quota/UsageWindow.h
@@ -29,12 +29,14 @@
 void recordRequested(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
                      Instant now, CallClass callClass = CallClass::Rank2);
 
+/** Records the usage of an admitted call. */
 void recordUsage(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant now);
 
 /** Takes back the usage of a call that was admitted at `admittedAt` but has not run. */
 void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
               Instant admittedAt, Instant now);
 
+/** Advances the window to `now` and sums it up. */
 WorkspaceUse usageOf(UsageWindow &record, const QuotaPolicy &policy, Instant now);
 
 /** Units a second that were requested, as this VM reported them `before` ago. */
--- a/libs/quota/include/quota/WorkspaceUse.h
+++ b/libs/quota/include/quota/WorkspaceUse.h
@@ -14,9 +14,8 @@
 struct WorkspaceUse
 {
     std::int64_t unitsInWindow = 0; ///< units of admitted calls in the window
-    std::int64_t requestedPerSecond = 0; ///< units of all calls, admitted or not
-    CountsByClass
-        requestedByClass{}; ///< parts of requestedPerSecond; the rest belongs to the last class
+    std::int64_t requestedPerSecond = 0; ///< demand: units of all calls, admitted or not
+    CountsByClass requestedByClass{}; ///< parts of it by class; the rest is of the last class
     CountsByClass callsInWindowByClass{}; ///< all calls in the window, admitted or not
     std::int64_t requestedInWindow = 0; ///< units of these calls
 
--- a/libs/quota/tests/FleetModel.h
+++ b/libs/quota/tests/FleetModel.h
@@ -49,8 +49,7 @@
     Duration rejectedUntil = std::chrono::seconds(30);
     double rateFactor = 1; ///< factor of the rate from 18 s on
     std::vector<CallsOfKind> kinds; ///< empty: calls of one class and of many sizes
-    std::size_t burstOf =
-        0; ///< kind whose calls are multiplied by `burst` from `hotFromSecond` to 24 s
+    std::size_t burstOf = 0; ///< kind whose calls are multiplied by `burst` in the hot time
     double burst = 1;
     int vmsWithoutClasses = 0; ///< VMs that report no classes
     bool oneClass = false; ///< all calls are treated as one class
--- a/libs/quota/tests/UsageSnapshots.cpp
+++ b/libs/quota/tests/UsageSnapshots.cpp
@@ -54,9 +54,9 @@
     return scenario;
 }
 
-StartupSnapshots readSnapshots(UsageSnapshot note)
+StartupSnapshots readSnapshots(UsageSnapshot snapshot)
 {
-    return {true, start, {std::move(note)}};
+    return {true, start, {std::move(snapshot)}};
 }
 
 double assumedShare(const StartupSnapshots &snapshots, Duration after)
