--- a/libs/residency/include/residency/Placement.h
+++ b/libs/residency/include/residency/Placement.h
@@ -120,7 +120,7 @@
 enum class LoadOutcome {
     Loaded,
     Declined, ///< by the owner: slot pinned, no lease, target gone
-    Failed, ///< in the engine
+    Failed, ///< in the engine, or without a result before the timeout
 };
 
 /** A load that was commanded and has not ended. */
