--- a/libs/residency/include/residency/Placement.h
+++ b/libs/residency/include/residency/Placement.h
@@ -23,7 +23,7 @@
     double loadsPerSecond = 2;
     double storeShare = 1; ///< share of the store's rate on this side of a partition
     Duration minResidency = std::chrono::seconds(5);
-    Duration wantLifetime = std::chrono::seconds(2); ///< wants that are not repeated expire
+    Duration wantLifetime = std::chrono::seconds(2); ///< wants that are not resent expire
     Duration loadTimeout = std::chrono::seconds(60);
     Duration firstBackoff = std::chrono::milliseconds(500);
     Duration maxBackoff = std::chrono::seconds(30);
@@ -63,7 +63,7 @@
 };
 
 /**
- * Requests of one entry VM that wait for an adapter that is not resident. The VM repeats its want
+ * Requests of one entry VM that wait for an adapter that is not resident. The VM resends its want
  * while requests wait.
  */
 struct Want
@@ -151,7 +151,7 @@
 
 /**
  * Soft state of the coordinator, which grants the load permits on one side of a partition. It need
- * not be persisted: owners repeat the state of their targets, entry VMs repeat their wants.
+ * not be persisted: owners resend the state of their targets, entry VMs resend their wants.
  */
 struct PlacementState
 {
