--- a/libs/serving/benchmark/Choices.cpp
+++ b/libs/serving/benchmark/Choices.cpp
@@ -1,4 +1,4 @@
-// A decision is on the way of every call of a VM with a tenth of a core.
+// Every call waits for a choice of an engine, on VMs that have a tenth of a core.
 
 #include <algorithm>
 #include <chrono>
@@ -15,7 +15,7 @@
 constexpr int engineCount = 160;
 constexpr int adapterSlots = 7;
 
-/** Calls for adapters of which most are at some engine; time of the slowest in a hundred, us. */
+/** Calls for adapters most of which are resident somewhere; reports the 99th percentile, us. */
 void choose(benchmark::State &state, double shortestObjectiveMs)
 {
     std::mt19937 random(3);
--- a/libs/serving/include/serving/CallEvidence.h
+++ b/libs/serving/include/serving/CallEvidence.h
@@ -10,11 +10,15 @@
 
 namespace monsoonbay {
 
-/** What one VM saw become of calls at a target: it ended under them, or they were answered. */
+/**
+ * What one VM observed about calls at a target: it crashed (its process ended while they ran), or
+ * they were answered.
+ */
 struct CallEvidence
 {
-    std::string target; ///< that ended; empty: the calls were answered
-    std::int64_t nextStartTime = 0; ///< its start after that end, ms by its own clock; 0: not known
+    std::string target; ///< that crashed; empty: the calls were answered
+    std::int64_t nextStartTime =
+        0; ///< of its start after the crash, ms by its own clock; 0: not known
     std::vector<CallIdentity> calls;
     Instant at{};
 
--- a/libs/serving/include/serving/ChangeLog.h
+++ b/libs/serving/include/serving/ChangeLog.h
@@ -8,13 +8,13 @@
 
 namespace monsoonbay {
 
-/** Numbers the changes of all logs of a VM, so that one number tells what a reader has seen. */
+/** Sequence number shared by all change logs of a VM, so that one number is a reader's position. */
 struct ChangeCounter
 {
     std::uint64_t last = 0;
 };
 
-/** Values by key, each with the number of its last change: readers ask for what is newer. */
+/** Values by key, each with the sequence number of its last change; readers get what is newer. */
 template <typename Key, typename Value> class ChangeLog
 {
 public:
@@ -24,14 +24,14 @@
         std::uint64_t changedAt = 0;
     };
 
-    /** Null if the key was never set. */
+    /** Null if the key is absent. */
     const Value *find(const Key &key) const
     {
         const auto found = this->entries.find(key);
         return found == this->entries.end() ? nullptr : &found->second.value;
     }
 
-    /** Sets a value; false, and no change, if it is what was there. */
+    /** Sets a value; returns false and counts no change if it equals the current one. */
     bool set(const Key &key, Value value, ChangeCounter &counter)
     {
         const auto [found, added] = this->entries.try_emplace(key);
@@ -52,13 +52,13 @@
         return this->entries;
     }
 
-    /** Calls `visit(key, value)` for all that changed after `seen`. */
+    /** Calls `visit(key, value)` for all values that changed after `seen`. */
     template <typename Visit> void since(std::uint64_t seen, Visit visit) const
     {
         this->between(seen, std::numeric_limits<std::uint64_t>::max(), visit);
     }
 
-    /** Calls `visit(key, value)` for all that changed after `seen`, and not after `through`. */
+    /** Calls `visit(key, value)` for all values whose last change is in (`seen`, `through`]. */
     template <typename Visit>
     void between(std::uint64_t seen, std::uint64_t through, Visit visit) const
     {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Adds the numbers of all changes after `seen`, in no order. */
+    /** Appends the sequence numbers of all last changes after `seen`, unordered. */
     void numbersSince(std::uint64_t seen, std::vector<std::uint64_t> &numbers) const
     {
         for (const auto &[key, entry] : this->entries) {
--- a/libs/serving/include/serving/EngineChoice.h
+++ b/libs/serving/include/serving/EngineChoice.h
@@ -11,35 +11,35 @@
 
 namespace monsoonbay {
 
-/** Versions of the adapters that an engine holds, by adapter key. */
+/** Versions of an engine's resident adapters, by adapter key. */
 using ResidentVersions = std::unordered_map<std::string, std::int64_t>;
 
-/** What a VM knows of one engine when it chooses where a call goes. */
+/** What a VM knows about one engine when it chooses an engine for a call. */
 struct EngineView
 {
     std::string id;
-    std::uint64_t hash = 0; ///< of the id, for the order of homes
+    std::uint64_t hash = 0; ///< of the id, for rendezvous hashing
     int slots = 1;
     double kvTokens = 0;
     const ResidentVersions *resident = nullptr; ///< not owned; null: none
-    double waitingTokens = 0; ///< prompt tokens sent by all VMs that have no first event yet
-    double heldTokens = 0; ///< tokens in memory for all running calls
-    int runs = 0; ///< calls under way, of all VMs
-    int shortObjectiveRuns = 0; ///< those of the route with the least objective among them
-    double cachedTokens = 0; ///< of this call's prompt that the engine need not read again
+    double waitingTokens = 0; ///< prompt tokens of all VMs' calls that have no first event yet
+    double heldTokens = 0; ///< KV cache tokens of all running calls
+    int runs = 0; ///< running calls of all VMs
+    int shortObjectiveRuns = 0; ///< those of the routes with the shortest objective
+    double cachedTokens = 0; ///< of this call's prompt, already in the engine's cache
     bool usable = true; ///< neither leaving nor ejected
-    bool hasModel = true; ///< the base model is there; without it nothing runs
-    bool warm = false; ///< it held the adapter lately and loads it fast again
+    bool hasModel = true; ///< the base model is loaded; without it nothing runs
+    bool warm = false; ///< it held the adapter recently and can reload it fast
     double loadMs = 0; ///< expected time of a load of the adapter there
     double fetchMs = 0; ///< expected time of a load from the weight store
     double incomingMs =
-        -1; ///< until a load of the adapter there is done; below 0: none is waited for
-    int idleSlots = 1; ///< adapter slots that no call uses now
-    bool hasHolder = false; ///< some VM may order it now
-    double jitterMs = 0; ///< drawn for this call, up to the age of what is known of the load there
+        -1; ///< expected time to the end of a load already under way; below 0: none to wait for
+    int idleSlots = 1; ///< adapter slots that no running call uses
+    bool hasHolder = false; ///< some VM holds its lease and may send it commands now
+    double jitterMs = 0; ///< random cost of this call there, at most the age of the known load
 };
 
-/** What a route's callers are promised, as far as the choice of an engine depends on it. */
+/** Latency objectives of a route that the choice of an engine depends on. */
 struct EngineObjectives
 {
     double firstEventMs = 1000; ///< until the first event
@@ -48,7 +48,7 @@
     auto operator<=>(const EngineObjectives &) const = default;
 };
 
-/** What a call needs of an engine. */
+/** What a call requires of an engine. */
 struct EngineNeed
 {
     std::string adapter; ///< key; empty: the base model alone
@@ -56,16 +56,16 @@
     double promptTokens = 0;
     double outputTokens = 0;
     EngineObjectives objectives;
-    /** Least objective for the first event among the service's routes; 0: all have the same. */
+    /** Shortest first-event objective among the service's routes; 0: all routes have the same. */
     double shortestObjectiveMs = 0;
-    double stateAgeMs = 0; ///< age of what is known of the engines' load
+    double stateAgeMs = 0; ///< age of what is known about the engines' load
     bool mayCopyEarly = true; ///< false once an engine has declined a load for this call
 };
 
 enum class EngineStep : std::uint8_t {
-    Send, ///< the adapter is there
-    Load, ///< have it loaded there, then send
-    Full, ///< no engine has room
+    Send, ///< the adapter is resident
+    Load, ///< have the adapter loaded there, then send
+    Full, ///< no engine has capacity
     None, ///< no usable engine at all
 };
 
@@ -77,78 +77,84 @@
     auto operator<=>(const EngineChoice &) const = default;
 };
 
-/** What long prompts leave to calls with a shorter objective; see ForecastChoice.h. */
+/** Where long prompts go, in favour of calls with a shorter objective; see chooseByForecast(). */
 enum class LongPromptPolicy : std::uint8_t {
-    Unrestricted, ///< nothing: their own forecast decides
-    FewestShortRuns, ///< among engines that meet their objective, those where fewer such calls run
-    ReservedEngines, ///< one engine in four, while others meet their objective
+    Unrestricted, ///< anywhere: only their own forecast decides
+    FewestShortRuns, ///< of the engines that meet their objective, one with the fewest such calls
+    ReservedEngines, ///< not to one engine in four, while others meet their objective
 };
 
 /**
- * Figures that the choice weighs by. What a place away from an adapter's home costs is a load from
- * the weight store, now or later, so these waits are measured by the expected time of one. As
- * shares of the objective instead, which is half as long on some deployments, callers' benefit fell
- * from 0.694 to 0.677 of what is owed (mean of five days with trouble, two seeds each).
+ * Weights of the cost function. A call away from the adapter's preferred engine costs a load from
+ * the weight store, now or later, so the tolerated waits are multiples of the expected time of such
+ * a load. As shares of the objective instead, which is half as long on some deployments, callers'
+ * benefit fell from 0.694 to 0.677 of what is owed (mean of five days with faults, two seeds each).
  */
 struct EngineWeights
 {
-    /** Prompt tokens an engine reads in a ms; the users' sheet of their engines says 38.4. */
+    /** Prefill rate of an engine; the users' data sheet of their engines gives 38.4. */
     double promptTokensPerMs = 38.4;
     /**
-     * Fetching weights anew is paid for, so an engine that held the adapter lately is taken if it
-     * costs at most this many loads more.
+     * An engine that held the adapter recently is preferred if it costs at most this many load
+     * times more, because fetching the weights again has to be paid for.
      */
     double maxWarmExtraLoads = 1.5;
-    /** What one more running call costs the others, ms: it lengthens each step a little. */
+    /** Cost of one more running call to the others, ms: it lengthens each step a little. */
     double runPenaltyMs = 4;
     /**
-     * A first event expected within this share of the objective is good enough; later than that, a
-     * second copy of the adapter is weighed. With 0.6, a tenth more adapters came from the store,
-     * which cost callers more than the late calls it saved.
+     * A first event expected within this share of the objective is early enough; beyond it, a
+     * second copy of the adapter is considered. With 0.6, a tenth more adapters were fetched from
+     * the store, which cost callers more than the late calls it saved.
      */
     double onTimeShare = 0.85;
-    /** A second copy displaces another adapter: it must save this many loads' time. */
+    /** A second copy evicts another adapter, so it has to save this many load times. */
     double copyExtraLoads = 0.6;
     /**
-     * Prompt tokens that are read between two events of the running streams without a pause over
-     * the objective take this share of it: each of the steps between also makes a token.
+     * Share of the pause objective that prefill may take between two events of the running streams
+     * without exceeding it: each of the steps in between also generates a token.
      */
     double pauseShare = 0.52;
-    /** What it costs to pass that once over for each running stream, ms. */
+    /** Cost per running stream, ms, if the prefill is twice as long as that share allows. */
     double pausePenaltyMs = 10;
-    /** A home is left for the next one if it is behind the least busy engine by so many loads. */
+    /** A preferred engine is passed over if it costs more than this many load times extra. */
     double maxSpillLoads = 1.7;
-    /** Part of the engine's memory that may be filled by running calls. */
+    /** Share of the engine's KV cache that running calls may fill. */
     double memoryShare = 0.9;
     LongPromptPolicy longPrompts = LongPromptPolicy::Unrestricted;
 
     auto operator<=>(const EngineWeights &) const = default;
 };
 
-/** Slots that have to be idle for a second copy: with fewer, it would keep out another adapter. */
+/** Idle slots that a second copy requires: with fewer, it would keep out another adapter. */
 constexpr int idleSlotsForCopy = 2;
 
-/** Expected wait at this engine before the call's own prompt is read, ms. */
+/** Expected wait at this engine before the prefill of the call's own prompt, ms. */
 double expectedWaitMs(const EngineView &engine, const EngineWeights &weights) noexcept;
 
-/** Cost of the call at this engine, ms: its first event, a load if needed, and others' pauses. */
+/**
+ * Cost of the call at this engine, ms: time to its first event, a load if needed, and the pauses
+ * that it causes in other streams.
+ */
 double expectedCostMs(const EngineView &engine, const EngineNeed &need,
                       const EngineWeights &weights);
 
-/** What running streams are expected to lose by the call at this engine, as a cost in ms. */
+/**
+ * Cost, ms, of the pauses that the call is expected to cause in the running streams of this engine.
+ * `there`: the adapter is resident.
+ */
 double expectedPausesMs(const EngineView &engine, const EngineNeed &need,
                         const EngineWeights &weights, bool there) noexcept;
 
-/** True if the engine has a request slot and memory left for the call. */
+/** True if the engine has a free request slot, and no other running call or enough KV cache. */
 bool hasCapacity(const EngineView &engine, const EngineNeed &need,
                  const EngineWeights &weights) noexcept;
 
-/** True if the engine has the adapter in the version that the call needs. */
+/** True if the engine has the adapter in the required version or a later one. */
 bool hasAdapter(const EngineView &engine, const EngineNeed &need);
 
 /**
- * Chooses among `engines`, leaving out the ids in `tried`; by ForecastChoice.h where the routes of
- * the service have different objectives.
+ * Chooses among `engines`, except those whose ids are in `tried`; by chooseByForecast() if the
+ * routes of the service have different objectives.
  */
 EngineChoice chooseEngine(const std::vector<EngineView> &engines, const EngineNeed &need,
                           const std::vector<std::string> &tried, const EngineWeights &weights);
--- a/libs/serving/include/serving/EngineLog.h
+++ b/libs/serving/include/serving/EngineLog.h
@@ -11,34 +11,33 @@
 
 namespace monsoonbay {
 
-/** What changed of an engine's record since a reader last heard of it, or the whole record. */
+/** Changes of an engine's record since a reader's last update (a delta), or the whole record. */
 struct EngineChange
 {
-    EngineRecord
-        record; ///< if it is not whole: of `resident`, what was added or has other versions
+    EngineRecord record; ///< in a delta, `resident` has only new adapters and changed versions
     bool isSnapshot = true;
-    bool sameHeader = false; ///< holder, start and models are those that the reader knows
-    std::vector<std::string> removed; ///< adapters that are no longer there
-    std::uint64_t digest = 0; ///< of head and slots as they have to be then
+    bool sameHeader = false; ///< holder, start time and models are unchanged, and left out
+    std::vector<std::string> removed; ///< adapters that are no longer resident
+    std::uint64_t digest = 0; ///< digestOf() the record with the changes applied
 
     bool operator==(const EngineChange &) const = default;
 };
 
-/** Digest of what a change does not always tell: holder, start, models and residents. */
+/** Digest of the fields that a delta may leave out: holder, start time, models and residents. */
 std::uint64_t digestOf(const EngineRecord &record);
 
 /**
- * The record that a change makes of the known one; nothing if the reader knows another one than the
- * change is of, and has to be told the whole.
+ * Applies a change to the known record; nullopt if the change was made for another one, so that the
+ * reader has to be sent the whole record.
  */
 std::optional<EngineRecord> applyDocumentDelta(const EngineRecord *known,
                                                const EngineChange &change);
 
 /**
- * Engines' records, each with the number of its last change, and with those of its slots.
+ * Engines' records, with the sequence numbers of the last changes of each record and its slots.
  *
- * A record has a slot for each adapter, and loads change one at a time: told whole to all VMs each
- * time, they take most of a relay's link.
+ * A record has a slot for each adapter, and a load changes one of them. If whole records were sent
+ * to all VMs each time, they would take most of a relay's bandwidth.
  */
 class EngineLog
 {
@@ -50,7 +49,7 @@
         return this->records.find(target);
     }
 
-    /** Sets a record; false, and no change, if it is what was there. */
+    /** Sets a record; returns false and counts no change if it equals the current one. */
     bool set(const std::string &target, EngineRecord record, ChangeCounter &counter);
     void erase(const std::string &target);
 
@@ -75,16 +74,16 @@
         this->records.numbersSince(seen, numbers);
     }
 
-    /** What changed of a known record after `seen`. */
+    /** Changes of a record after `seen`; `target` has to be in the log. */
     EngineChange changeSince(const std::string &target, std::uint64_t seen) const;
 
 private:
-    /** Numbers of the last changes of parts of one record. */
+    /** Sequence numbers of the last changes of parts of one record. */
     struct Parts
     {
-        std::uint64_t wholeSince = 0; ///< who has seen less is told the whole record
-        std::uint64_t head = 0;
-        std::uint64_t digest = 0; ///< of the record, as each reader is told it
+        std::uint64_t wholeSince = 0; ///< readers that have seen less get the whole record
+        std::uint64_t head = 0; ///< holder, start time and models
+        std::uint64_t digest = 0; ///< of the current record, sent with every delta
         std::map<std::string, std::uint64_t> there; ///< by adapter
         std::map<std::string, std::uint64_t> gone;
     };
--- a/libs/serving/include/serving/EventStream.h
+++ b/libs/serving/include/serving/EventStream.h
@@ -8,25 +8,25 @@
 namespace monsoonbay {
 
 /**
- * Cuts a text/event-stream into whole events, so that a caller never gets a part of one. An event
- * ends with an empty line; lines end with LF or CRLF.
+ * Splits a text/event-stream into complete events, so that a caller never gets part of one. An
+ * event ends with an empty line; lines end with LF or CRLF.
  */
 struct EventStream
 {
-    std::string pending; ///< bytes after the last whole event
-    std::optional<std::uint64_t> lastId; ///< of the last whole event given out
+    std::string pending; ///< bytes after the last complete event
+    std::optional<std::uint64_t> lastId; ///< of the last event returned that has one
 };
 
-/** Takes bytes as they arrive; returns the whole events that can be passed on now. */
+/** Appends received bytes; returns the complete events that can be forwarded now. */
 std::string takeEvents(EventStream &stream, std::string_view bytes);
 
-/** True if an end of the stream here would be one inside an event. */
+/** True if the stream would be cut inside an event if it ended here. */
 bool isInsideEvent(const EventStream &stream) noexcept;
 
-/** Begins the answer of a further run that goes on after `lastId`; what is pending is dropped. */
+/** Prepares for the answer of another run that continues after `lastId`; drops pending bytes. */
 void restartEvents(EventStream &stream);
 
-/** The id of one whole event; nothing if it has none. */
+/** The id of one complete event; nullopt if it has none. */
 std::optional<std::uint64_t> eventId(std::string_view event);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/HostCopies.h
+++ b/libs/serving/include/serving/HostCopies.h
@@ -8,41 +8,39 @@
 namespace monsoonbay {
 
 /**
- * How long an engine keeps the weights of an adapter in its memory after they left their slot,
- * counted in loads there; the engines of a service are alike. Learnt from loads that turned out
- * fast or not.
+ * How long an engine keeps the weights of an adapter in host memory after they left their slot,
+ * counted in loads there; the same for all engines of a service. Learnt from whether loads turned
+ * out to be fast.
  */
 struct HostRetention
 {
-    double retainedLoads =
-        128; ///< a first guess; left within some dozens of retainedLoads, both ways
+    double retainedLoads = 128; ///< initial guess; some dozens of loads correct it either way
 
     auto operator<=>(const HostRetention &) const = default;
 };
 
-/** Adapters that an engine held, and how long ago. */
+/** Adapters that an engine held, and how long ago they were loaded or evicted. */
 struct HostCopies
 {
-    std::unordered_map<std::string, std::uint64_t>
-        touchNumbers; ///< number of the touch, by adapter
+    std::unordered_map<std::string, std::uint64_t> touchNumbers; ///< last touch, by adapter
     std::uint64_t touches = 0;
 
     bool operator==(const HostCopies &) const = default;
 };
 
-/** The adapter came into a slot of the engine, or left it. */
+/** To be called when the adapter was loaded into a slot of the engine, or evicted from it. */
 void recordTouch(HostCopies &copies, const std::string &adapter);
 
 /** Loads at the engine since the adapter was last touched; below 0: it never was. */
 double loadsSinceTouch(const HostCopies &copies, const std::string &adapter);
 
-/** True if the engine is believed to keep the adapter in its memory. */
+/** True if the engine is expected to have the adapter in host memory. */
 bool hasHostCopy(const HostCopies &copies, const std::string &adapter, const HostRetention &memory);
 
-/** A copy was gone so many loads after it was touched, though it was believed to be there. */
+/** The expected copy was missing this many loads after the last touch. */
 void shortenRetention(HostRetention &memory, double loads) noexcept;
 
-/** A copy was there after so many loads. */
+/** A copy was found this many loads after the last touch. */
 void lengthenRetention(HostRetention &memory, double loads) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PartitionLease.h
+++ b/libs/serving/include/serving/PartitionLease.h
@@ -10,79 +10,79 @@
 
 namespace monsoonbay {
 
-/** A partition that a VM ordered until it gave it up. */
+/** A partition that a VM gave up after it could send commands to its engines. */
 struct PartitionRelease
 {
     int partition = 0;
-    std::int64_t generation = 0; ///< the last in which that VM held it
-    Instant at{}; ///< no order of that VM after this
+    std::int64_t generation = 0; ///< last generation in which that VM held it
+    Instant at{}; ///< that VM sends no command after this
 
     auto operator<=>(const PartitionRelease &) const = default;
 };
 
-/** The last note in the store of who orders a partition. */
+/** The store's latest record of the VM that sends commands to the engines of a partition. */
 struct HolderRecord
 {
     std::string vm;
-    std::int64_t generation = 0; ///< in which that VM noted it
+    std::int64_t generation = 0; ///< in which that VM added the record
 
     auto operator<=>(const HolderRecord &) const = default;
 };
 
-/** All such notes of a zone, as one read saw them. */
+/** The holder records of all partitions of a zone, from one read. */
 struct HolderRecords
 {
     std::map<int, HolderRecord> byPartition; ///< by partition
-    std::uint64_t logEnd = 0; ///< a note is added only if none was added since
+    std::uint64_t logEnd = 0; ///< log position: a record is added only if none was added since
 
     auto operator<=>(const HolderRecords &) const = default;
 };
 
-/** A note that a VM is about to add: it orders this partition. */
+/** A holder record that a VM is about to add for a partition. */
 struct HolderClaim
 {
     int partition = 0;
     std::int64_t acquiredIn = 0;
-    bool resumes = false; ///< nobody has ordered since this VM did
+    bool resumes = false; ///< no other VM has sent commands since this one did
 
     auto operator<=>(const HolderClaim &) const = default;
 };
 
 /**
- * The right of a VM to give orders to the engines of some partitions.
+ * The right of a VM to send commands to the engines of some partitions.
  *
- * A partition is dealt by the platform's store to one member of a group. Its holder orders from
- * `activeFrom` until the lease ends, by a clock that counts through a pause of the VM. While the
- * store is away the lease goes on as long as all VMs that could have been dealt its partitions say
- * that they cannot reach the store either.
+ * The platform's store assigns a partition to one member of a group. The holder may send commands
+ * from `activeFrom` until the lease ends, by a clock that also counts while the VM is paused. While
+ * the store is unreachable, the lease is extended as long as all VMs that could have been assigned
+ * its partitions report that they cannot reach the store either.
  */
 struct PartitionLease
 {
-    std::int64_t generation = 0; ///< also the fencing token of orders
-    Instant until{}; ///< the store deals anew after this
-    Instant extendedUntil{}; ///< by the word of the other VMs; may be later than `until`
-    std::map<int, Instant> activeFrom; ///< by partition held
-    std::map<int, std::int64_t> acquiredIn; ///< generation that brought each partition held
-    std::set<int> recordsRead; ///< partitions held whose notes were read since they were gained
-    std::set<int> recorded; ///< partitions held for which this VM has noted that it orders them
-    std::vector<PartitionRelease> releases; ///< of this VM, to be told to the others
+    std::int64_t generation = 0; ///< also the fencing token of commands
+    Instant until{}; ///< the store may reassign the partitions after this
+    Instant extendedUntil{}; ///< by the reports of the other VMs; may be later than `until`
+    std::map<int, Instant> activeFrom; ///< when commands may begin, by held partition
+    std::map<int, std::int64_t> acquiredIn; ///< generation of acquisition, by held partition
+    std::set<int> recordsRead; ///< held partitions whose records were read since acquired
+    std::set<int> recorded; ///< held partitions for which this VM has added its record
+    std::vector<PartitionRelease> releases; ///< of this VM, to be reported to the others
 
     bool operator==(const PartitionLease &) const = default;
 };
 
-/** Times that keep two holders apart. */
+/** Times that keep two holders from sending commands at the same time. */
 struct LeaseTiming
 {
-    Duration ttl = std::chrono::milliseconds(2000); ///< silence after which the store deals anew
-    Duration margin = std::chrono::milliseconds(300); ///< an order is under way this long at most
-    Duration handoverGap = std::chrono::milliseconds(3000); ///< between the orders of two holders
-    /** The word of another VM counts this long; news come five times as often. */
+    Duration ttl = std::chrono::milliseconds(2000); ///< silence after which the store reassigns
+    Duration margin = std::chrono::milliseconds(300); ///< longest time that a command is in flight
+    Duration handoverGap = std::chrono::milliseconds(3000); ///< between the commands of two holders
+    /** The report of another VM is valid this long; state updates are five times as frequent. */
     Duration peerStateTtl = std::chrono::milliseconds(1000);
 
     auto operator<=>(const LeaseTiming &) const = default;
 };
 
-/** What the store answered when the lease was renewed. */
+/** The store's answer to a renewal of the lease. */
 struct LeaseGrant
 {
     std::int64_t generation = 0;
@@ -91,49 +91,52 @@
     auto operator<=>(const LeaseGrant &) const = default;
 };
 
-/** What another VM that may be dealt the same partitions said last. */
+/** Last report of another VM that may be assigned the same partitions. */
 struct PeerLeaseState
 {
     Instant receivedAt{};
-    std::int64_t generation = 0; ///< newest that it knows
+    std::int64_t generation = 0; ///< newest generation that it knows
     bool storeUnreachable = false; ///< its own last renewal failed
 
     auto operator<=>(const PeerLeaseState &) const = default;
 };
 
-/** Takes an answer to a renewal that was sent at `sentAt` and arrived at `now`. */
+/** Applies the answer to a renewal that was sent at `sentAt` and answered at `now`. */
 void renewLease(PartitionLease &lease, const LeaseGrant &grant, const LeaseTiming &timing,
                 Instant sentAt, Instant now);
 
-/** The last renewal failed: lets the lease go on if all mates allow it, or drops it in time. */
+/** After a failed renewal: extends the lease if all peers allow it, and drops it once it ended. */
 void extendLease(PartitionLease &lease, const std::vector<PeerLeaseState> &mates,
                  const LeaseTiming &timing, Instant now);
 
-/** Gives up all rights at once. */
+/** Gives up all partitions at once. */
 void dropLease(PartitionLease &lease, Instant now);
 
-/** Another VM has told that it gave up a partition: the wait for it may be shorter. */
+/** Another VM reports that it gave up a partition, which may shorten the wait for it. */
 void applyRelease(PartitionLease &lease, const PartitionRelease &release,
                   const LeaseTiming &timing);
 
-/** True if the notes in the store are to be read, and perhaps one to be added. */
+/** True if the holder records in the store have to be read, and perhaps one added. */
 bool isWriteDue(const PartitionLease &lease, Instant now) noexcept;
 
-/** What `vm` may note now; call with notes that were read after the lease was last renewed. */
+/**
+ * The records that `vm` may add now, by records that were read after the lease was last renewed.
+ * Restarts the wait for a partition that was reassigned in between.
+ */
 std::vector<HolderClaim> claimsToRecord(PartitionLease &lease, const HolderRecords &notes,
                                         const std::string &vm, const LeaseTiming &timing,
                                         Instant now);
 
-/** The store has added these notes, and no other since the read that they rest on. */
+/** The store has added these records, and no other since the read that they are based on. */
 void confirmClaims(PartitionLease &lease, const std::vector<HolderClaim> &claims, Instant now);
 
-/** True if no partition held has to be waited for any more. */
+/** True if this VM holds a partition and may send commands for every one that it holds. */
 bool isFullyActive(const PartitionLease &lease, Instant now) noexcept;
 
-/** Ask directly before each order. */
+/** True if this VM may send a command to the partition now; check directly before each command. */
 bool mayCommand(const PartitionLease &lease, int partition, Instant now) noexcept;
 
-/** The partition that an engine belongs to. */
+/** The partition of an engine. */
 int partitionOf(std::uint64_t targetHash, int partitions) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/src/CallIdentity.cpp
+++ b/libs/serving/src/CallIdentity.cpp
@@ -7,8 +7,8 @@
 
 namespace monsoonbay {
 
-// Each part is hashed with the hash of those before it as the seed, so that no text has to be put
-// together and "ab" + "c" differs from "a" + "bc".
+// Each part is hashed with the hash of the previous parts as the seed. This needs no concatenated
+// copy, and ("ab", "c") gets another hash than ("a", "bc").
 CallIdentity identifyCall(std::string_view method, std::string_view host, std::string_view path,
                           std::string_view body, std::string_view caller) noexcept
 {
--- a/libs/serving/src/EngineChoice.cpp
+++ b/libs/serving/src/EngineChoice.cpp
@@ -16,11 +16,11 @@
 }
 
 /**
- * Index of the engine with the least cost that `accepts`; nothing if none does.
+ * Index of the cheapest engine that `accepts` admits; nullopt if there is none.
  *
- * What is known of the load is as old as the news. With many VMs all of them would send their calls
- * to the engine that looked best a moment ago, and then all to the next one; two engines that
- * differ by less than what can have changed since are as good as each other, so chance chooses.
+ * The known load is as old as the last state updates. Without a random part, all VMs would send
+ * their calls to the engine that looked best a moment ago, and then all to the next one. Engines
+ * that differ by less than what can have changed since are equally good, so `jitterMs` decides.
  */
 template <typename Accepts>
 std::optional<std::size_t> leastCost(const std::vector<EngineView> &engines, const EngineNeed &need,
@@ -93,7 +93,7 @@
         return true;
     if (engine.resident == nullptr)
         return false;
-    // A map of so few entries is searched from end to end by find(), which compares all keys.
+    // For so few entries, find() compares the keys of the whole map; a bucket has fewer.
     const ResidentVersions &resident = *engine.resident;
     const std::size_t bucket = resident.bucket(need.adapter);
     return std::any_of(resident.begin(bucket), resident.end(bucket), [&need](const auto &held) {
--- a/libs/serving/src/EngineLog.cpp
+++ b/libs/serving/src/EngineLog.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Adapters that left are remembered for readers that report seldom; some readers hear more. */
+/** Limit of remembered removals per record; readers that miss older ones get the whole record. */
 constexpr std::size_t maxRemoved = 64;
 
 bool hasSameHeader(const EngineRecord &left, const EngineRecord &right)
@@ -21,7 +21,7 @@
 
 } // namespace
 
-// Sums do not depend on the order of the slots, which differs between VMs.
+// A sum does not depend on the order of the residents, which differs between VMs.
 std::uint64_t digestOf(const EngineRecord &record)
 {
     std::uint64_t digest =
@@ -104,7 +104,7 @@
     this->parts.erase(target);
 }
 
-// A relay tells some thousand changes a second: what a change does not tell is not copied.
+// A relay sends some thousand changes a second, so fields that a delta leaves out are not copied.
 EngineChange EngineLog::changeSince(const std::string &target, std::uint64_t seen) const
 {
     EngineChange change;
--- a/libs/serving/src/EngineRecord.cpp
+++ b/libs/serving/src/EngineRecord.cpp
@@ -2,8 +2,8 @@
 
 namespace monsoonbay {
 
-// The same revision may come again with another word on whether its holder lives: a relay marks
-// the engines of a VM that fell silent, and takes that back when it is heard again.
+// The same revision may arrive again with another value of `holderLive`: a relay clears it for the
+// engines of a VM that fell silent, and sets it again when that VM reports again.
 bool mayReplaceRecord(const EngineRecord &known, const EngineRecord &offered) noexcept
 {
     const StartOrder age = compareStarts(known.startTime, offered.startTime);
--- a/libs/serving/src/EventStream.cpp
+++ b/libs/serving/src/EventStream.cpp
@@ -17,7 +17,7 @@
     return text;
 }
 
-/** Length of the first event of `text`, its empty line included; 0: it has not all come. */
+/** Length of the first event of `text`, including its empty line; 0: it is incomplete. */
 std::size_t firstEventLength(std::string_view text)
 {
     std::size_t line = 0;
@@ -54,8 +54,8 @@
     return std::nullopt;
 }
 
-// A run that goes on after a break may begin with events that the caller has already; they are
-// left out here, as a caller would otherwise see a part of its answer twice.
+// A run that continues a broken stream may begin with events that the caller already has. They are
+// dropped here, as the caller would otherwise see a part of its answer twice.
 std::string takeEvents(EventStream &stream, std::string_view bytes)
 {
     stream.pending.append(bytes);
--- a/libs/serving/src/ForecastChoice.cpp
+++ b/libs/serving/src/ForecastChoice.cpp
@@ -11,23 +11,23 @@
 
 namespace {
 
-/** Engines up to which a decision allocates nothing. */
+/** Number of engines up to which a decision allocates no memory. */
 constexpr std::size_t inlineEngines = 256;
 
-/** What an engine may do for the call. */
+/** What an engine can do for the call. */
 enum class EngineUse : std::uint8_t {
     None,
-    Send, ///< it has the adapter
-    Load, ///< the adapter may be loaded there
+    Send, ///< the adapter is resident
+    Load, ///< the adapter can be loaded there
 };
 
 struct EngineFigures
 {
     EngineUse use = EngineUse::None;
-    bool meets = false; ///< the call's objective
-    double forecast = 0; ///< of the first event, ms
+    bool meets = false; ///< the forecast meets the call's objective
+    double forecast = 0; ///< time to the first event, ms
     double cost = 0; ///< see expectedCostMs()
-    int yielding = 0; ///< of a long prompt to quick calls; engines with less go first
+    int yielding = 0; ///< rank of the engine for a long prompt, by EngineWeights::longPrompts
 };
 
 using Figures = boost::container::small_vector<EngineFigures, inlineEngines>;
@@ -38,9 +38,9 @@
         && std::find(tried.begin(), tried.end(), engine.id) == tried.end();
 }
 
-/** A prompt whose reading takes more than this share of the least objective is a long one. */
+/** A prompt is long if its prefill takes more than this share of the shortest objective. */
 constexpr double longShare = 0.25;
-/** Long prompts keep off one engine in so many. */
+/** With LongPromptPolicy::ReservedEngines, long prompts avoid one engine in this many. */
 constexpr std::uint64_t apartOneIn = 4;
 
 bool isLong(const EngineNeed &need, const EngineWeights &weights)
@@ -59,8 +59,8 @@
 }
 
 /**
- * hasAdapter() for one need at many engines. Maps of the same size keep a key in the same bucket,
- * so it is hashed only once for all of them.
+ * hasAdapter() for one call at many engines. Maps with the same bucket count keep a key in the same
+ * bucket, so the key is hashed only once for all of them.
  */
 class AdapterSearch
 {
@@ -110,7 +110,7 @@
     return figures;
 }
 
-/** True if the first goes before the second; what meets the objective before what does not. */
+/** True if `one` is the better choice: by the objective first, then by rank, then by cost. */
 bool isBetter(const EngineFigures &one, double oneCost, const EngineFigures &other,
               double otherCost) noexcept
 {
@@ -122,8 +122,8 @@
 }
 
 /**
- * The engine of this use that costs least among those that meet the objective, or among all if none
- * does. What can have changed since the news decides among engines of one group only.
+ * The cheapest engine of this use among those that meet the objective, or among all if none does.
+ * `jitterMs` decides only between engines that both meet it, or both do not.
  */
 template <typename Accepts>
 std::optional<std::size_t> leastCost(const std::vector<EngineView> &engines, const Figures &figures,
@@ -143,9 +143,9 @@
     return best;
 }
 
-// The order of homes of HomeOrder.h, among the engines that meet the objective with the load if
-// there are any. A home or a copy may be that many loads behind the least busy engine only as long
-// as this does not make the call late: for an objective of 500 ms one load is half of it.
+// The order of PreferredEngine.h, among the engines that meet the objective with the load if there
+// are any. A preferred engine or a copy may cost that many load times more than the least busy
+// engine only if the call is still on time: one load is half of an objective of 500 ms.
 std::optional<std::size_t> firstHome(const std::vector<EngineView> &engines, const Figures &figures,
                                      const EngineNeed &need, const EngineWeights &weights)
 {
@@ -172,14 +172,15 @@
 }
 
 /**
- * Part of the objective up to which the age of the news counts. With news that are older than the
- * objective, each call would otherwise order a copy, also beside an engine that looks idle.
+ * Share of the objective that limits the age of state updates in mayBeLate(). If updates are older
+ * than the objective, each call would otherwise load a copy, even next to an engine that looks
+ * idle.
  */
 constexpr double newsShare = 0.5;
 
-// A queue can grow by the age of the news before this VM hears of it. Once it is known to make
-// calls late, those on their way there are late as well, for a load lasts as long as the objective
-// of a short call.
+// A queue can grow for as long as the state updates are old before this VM learns of it. Once it is
+// known to make calls late, a copy is too late for those already on their way there, as a load
+// takes as long as the objective of a short call.
 bool mayBeLate(const EngineFigures &stay, const EngineNeed &need)
 {
     if (!need.mayCopyEarly)
@@ -188,14 +189,14 @@
     return stay.forecast + std::min(need.stateAgeMs, newsShare * objective) > objective;
 }
 
-/** A copy is weighed by cost, as without forecasts: others' pauses count before the call is late.
+/** A copy is also considered by cost, as without forecasts, so that pauses of other streams count.
  */
 bool isCostly(const EngineFigures &stay, const EngineNeed &need, const EngineWeights &weights)
 {
     return stay.cost > weights.onTimeShare * need.objectives.firstEventMs;
 }
 
-/** True if the adapter is to be loaded at `home` although `stay` has it. */
+/** True if the adapter should be loaded at `home` although `stay` has it. */
 bool copyPays(const EngineFigures &stay, const EngineFigures &home, const EngineView &homeView,
               const EngineNeed &need, const EngineWeights &weights)
 {
--- a/libs/serving/src/HarmfulCalls.cpp
+++ b/libs/serving/src/HarmfulCalls.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 /**
- * VMs see one end at the same moment, but for the time that their word is under way; a target that
- * was started anew at once runs calls again after this.
+ * Observations of a target within this time are of the same crash: VMs see it at the same moment,
+ * but for the delay of their reports, and a target restarted at once takes longer to run calls.
  */
 constexpr Duration sameEnd = std::chrono::milliseconds(200);
 
-/** The end of one target, with all calls that any VM had under way there. */
+/** A crash of one target, with the calls that any VM had running there. */
 struct TargetEnd
 {
     Instant at{};
@@ -24,7 +24,7 @@
     bool explained = false;
 };
 
-/** When calls were last answered: by the content, and by content and caller. */
+/** When calls were last answered, by content, and by content and caller. */
 struct Answers
 {
     std::map<std::uint64_t, Instant> byContent;
@@ -47,7 +47,7 @@
     return answers;
 }
 
-/** The end that a piece of evidence tells of, of those of the same target; null: of none yet. */
+/** The crash that a piece of evidence is about, among those of the same target; null: a new one. */
 TargetEnd *findEnd(std::vector<TargetEnd *> &ofTarget, const CallEvidence &item)
 {
     for (TargetEnd *end : ofTarget) {
@@ -73,7 +73,7 @@
             < std::tie(b->target, b->at, b->nextStartTime);
     });
     std::vector<TargetEnd> ends;
-    ends.reserve(ordered.size()); // the places of ends are kept below
+    ends.reserve(ordered.size()); // `ofTarget` keeps pointers to elements
     std::vector<TargetEnd *> ofTarget;
     const std::string *target = nullptr;
     for (const CallEvidence *item : ordered) {
@@ -99,10 +99,10 @@
     return answered != answers.end() && answered->second + answerClearsFor >= end;
 }
 
-/** Ends, by their places in the list of all, that a call could explain. */
+/** Crashes that a call could explain, as indices into the list of all crashes. */
 using Explained = std::vector<std::size_t>;
 
-/** What each call could explain, by one caller's calls and by calls of all callers. */
+/** Crashes that each call could explain, for one caller's calls and for those of all callers. */
 struct Candidates
 {
     std::map<CallIdentity, Explained> byCall;
@@ -130,7 +130,7 @@
     return candidates;
 }
 
-/** The most ends that one call explains; empty: none explains any. */
+/** The largest set of crashes that one call explains; empty: none explains any. */
 Explained mostExplained(const Candidates &candidates)
 {
     Explained most;
@@ -145,7 +145,7 @@
     return most;
 }
 
-/** All calls that explain just these ends; one caller's calls rather than those of all callers. */
+/** Calls that explain exactly these crashes; by content alone only if no caller's call does. */
 std::vector<HarmfulCall> explaining(const Candidates &candidates, const Explained &ends,
                                     Instant firstCrashAt)
 {
@@ -180,9 +180,10 @@
 
 } // namespace
 
-// Each end breaks off many calls, and only one of them is to blame. Counted each for itself, calls
-// that were under way beside a harmful one again and again would be turned away with it. Where two
-// calls explain the same ends, the next end or an answer tells them apart; so it is waited for.
+// A crash breaks off many calls, and only one of them is the cause. If crashes were counted for
+// each call by itself, calls that repeatedly ran next to a harmful one would be refused with it.
+// If two calls explain the same crashes, the next crash or an answer tells them apart, so the
+// verdict waits for it.
 HarmfulCalls findHarmfulCalls(const std::vector<const CallEvidence *> &evidence)
 {
     HarmfulCalls verdict;
--- a/libs/serving/src/HostCopies.cpp
+++ b/libs/serving/src/HostCopies.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/** Touches that are remembered; an engine that keeps more copies is only counted on for these. */
+/** Touches that are remembered; older copies are not counted on, even if an engine keeps them. */
 constexpr std::uint64_t maxRemembered = 1024;
 
-/** Of what a surprise shows to be too long, this share is taken off at once. */
+/** Share of the excess that a missing copy takes off the retention at once. */
 constexpr double shortenShare = 0.5;
 constexpr double leastLoads = 4;
 
-/** Only a copy found near the end of the time tells that it may be longer. */
+/** Only a copy found after this share of the retention shows that it may be longer. */
 constexpr double nearEnd = 0.8;
 constexpr double longerBy = 1.02;
 
-/** Each load brings an adapter into a slot and, once all are taken, another one out of it. */
+/** Each load brings an adapter into a slot and, once all slots are in use, evicts another. */
 constexpr double touchesPerLoad = 2;
 
 } // namespace
--- a/libs/serving/src/PartitionLease.cpp
+++ b/libs/serving/src/PartitionLease.cpp
@@ -11,7 +11,7 @@
     return std::max(lease.until, lease.extendedUntil);
 }
 
-/** Until when the mates' words let the lease go on; zero: they do not. */
+/** Until when the peers' reports extend the lease; zero: they do not. */
 Instant endByWords(const PartitionLease &lease, const std::vector<PeerLeaseState> &mates,
                    const LeaseTiming &timing, Instant now)
 {
@@ -25,10 +25,10 @@
     return end;
 }
 
-/** Releases older than this no longer shorten anybody's wait. */
+/** Releases older than this no longer shorten the wait of any VM. */
 constexpr Duration releaseTold = std::chrono::seconds(8);
 
-/** Notes what is given up, as far as this VM ordered it until now. */
+/** Adds releases for partitions that are given up, if commands could be sent to them until now. */
 void release(PartitionLease &lease, const std::map<int, Instant> &keeps, Instant now)
 {
     std::erase_if(lease.releases,
@@ -41,7 +41,7 @@
     }
 }
 
-/** Until the former holder of a partition, whoever it was, orders no more and time has passed. */
+/** Time after which no former holder of a partition sends commands and the gap has passed. */
 Duration waitAfterDeal(const LeaseTiming &timing)
 {
     return timing.ttl + timing.peerStateTtl + timing.handoverGap;
@@ -49,14 +49,16 @@
 
 } // namespace
 
-// The former holder of a partition may not know yet that it was dealt anew: it learns that at its
-// next renewal, and if that fails it orders on until its lease ends, `ttl` after it sent its last
-// successful renewal. Only `apart` after that may another VM order, or the engine would see two
-// holders take turns. Which of these happened cannot be told from here, so the longest is waited.
+// The former holder of a partition may not know yet that it was reassigned. It learns that at its
+// next renewal; if that fails, it sends commands until its lease ends, `ttl` after it sent its last
+// successful renewal. Another VM may send commands only `handoverGap` after that, or the engine
+// would get commands of two holders in turn. Which of these happened cannot be known here, so the
+// wait is the longest one.
 //
-// Before its first order in a partition each VM adds a note of it to the store, on the condition
-// that no other note was added since it read them. So the last note names the last VM that can have
-// ordered, and a VM that finds its own name there need not wait: see claimsToRecord().
+// Before its first command in a partition each VM adds a holder record to the store, on the
+// condition that no other record was added since it read them. So the last record names the last VM
+// that can have sent commands, and a VM that finds its own name there need not wait: see
+// claimsToRecord().
 void renewLease(PartitionLease &lease, const LeaseGrant &grant, const LeaseTiming &timing,
                 Instant sentAt, Instant now)
 {
@@ -85,11 +87,11 @@
     lease.extendedUntil = Instant{};
 }
 
-// The store deals a partition to another VM only when that VM renews, and a mate that says it
-// cannot reach the store has not. Should it reach the store right after its word, it waits `ttl`,
-// `peerStateTtl` and `apart` before it orders, while this VM stops at the latest `peerStateTtl`
-// after the word. A pause of this VM shows as old words, and the lease is dropped at the first
-// look.
+// The store assigns a partition to another VM only when that VM renews, and a peer that reports
+// that it cannot reach the store has not renewed. If it reaches the store right after its report,
+// it waits for `ttl`, `peerStateTtl` and `handoverGap` before it sends commands, while this VM
+// stops at the latest `peerStateTtl` after the report. After a pause of this VM all reports are
+// old, so the lease is dropped at the first check.
 void extendLease(PartitionLease &lease, const std::vector<PeerLeaseState> &mates,
                  const LeaseTiming &timing, Instant now)
 {
@@ -111,9 +113,9 @@
     lease.extendedUntil = Instant{};
 }
 
-// The word of a former holder replaces the wait for the end of its lease, not the time that has to
-// pass between two holders. It only counts if that VM held the partition right before this one: a
-// holder in between would have a generation of its own.
+// The release by a former holder replaces the wait for the end of its lease, not the gap between
+// two holders. It counts only if that VM held the partition right before this one: a holder in
+// between would have a generation of its own.
 void applyRelease(PartitionLease &lease, const PartitionRelease &release, const LeaseTiming &timing)
 {
     const auto held = lease.activeFrom.find(release.partition);
@@ -135,12 +137,12 @@
     });
 }
 
-// Symptom without the notes: after a restart, and each time the store deals anew, engines got no
-// orders for 3 to 6 s although the VM that had ordered them was back and held them again. Nobody
-// can have ordered since the last note, as the note comes before the order and is only added where
-// no other was. Another VM's note of a later generation than the one that brought the partition
-// shows that it has moved on since: this VM learns so at its next renewal, or has been dealt it
-// once more without having noticed, and waits anew.
+// Without the holder records, engines got no commands for 3 to 6 s after a restart, and after each
+// reassignment by the store, although the VM that had sent them commands was back and held them
+// again. No VM can have sent commands since the last record, as a record is added before the first
+// command, and only if no other was. A record of another VM with a later generation than the one in
+// which the partition was acquired shows that it was reassigned since: this VM learns that at its
+// next renewal, or has been assigned it once more without noticing, and waits again.
 std::vector<HolderClaim> claimsToRecord(PartitionLease &lease, const HolderRecords &notes,
                                         const std::string &vm, const LeaseTiming &timing,
                                         Instant now)
@@ -173,7 +175,7 @@
         return;
     for (const HolderClaim &claim : claims) {
         const auto gained = lease.acquiredIn.find(claim.partition);
-        // The answer may come after the partition was lost and gained again.
+        // The answer may arrive after the partition was lost and acquired again.
         if (gained == lease.acquiredIn.end() || gained->second != claim.acquiredIn)
             continue;
         lease.recorded.insert(claim.partition);
--- a/libs/serving/src/PreferredEngine.h
+++ b/libs/serving/src/PreferredEngine.h
@@ -9,13 +9,14 @@
 namespace monsoonbay {
 
 /**
- * The first home of an adapter among the engines, by index, that `isCandidate`; `warm` goes before
- * all if it costs little more than the least.
+ * Index of the adapter's preferred engine among the candidates; nullopt if there is none. `warm` is
+ * preferred to all others if it costs little more than the cheapest.
  *
- * Each adapter has an order of homes that all VMs agree on without a message. Loading at the first
- * home that is not far behind the least busy engine keeps an adapter's calls, its host copies and
- * the cached beginnings of its prompts together, also when it comes back later. An engine that held
- * the adapter lately goes first: loading it there is fast and fetches no weights.
+ * Rendezvous hashing gives each adapter an order of engines that all VMs agree on without a
+ * message. Loading at the first of them that is not much more expensive than the cheapest keeps an
+ * adapter's calls, its copies in host memory and the cached prefixes of its prompts together, also
+ * when the adapter comes back later. An engine that held the adapter recently goes first: a load
+ * there is fast and fetches no weights.
  */
 template <typename Candidate, typename Cost>
 std::optional<std::size_t>
--- a/libs/serving/tests/Declines.cpp
+++ b/libs/serving/tests/Declines.cpp
@@ -11,7 +11,8 @@
 
 const Instant start = Instant{} + 1000s;
 
-// Guards against a mark that outlives its holder, or that lets calls ask again at once.
+// Guards against a mark that stays when the holder of the lease changes, or that ends at once, so
+// that calls repeat a declined request for a load.
 Test(declines, marks_last_until_the_forecast_and_never_over_a_second)
 {
     cr_assert(rc::check("marks", [] {
@@ -20,7 +21,7 @@
         const Duration after = std::chrono::milliseconds(*rc::gen::inRange(0, 2'000));
         const Duration begin = std::chrono::milliseconds(*rc::gen::inRange(20, 2'000));
         const LoadBackoff mark = backoffAfter({reason, retryIn}, start);
-        // The naive version: as long as was said, from 20 ms to a second, 250 ms if nothing was.
+        // Reference: the announced time, limited to 20 ms to 1 s, or 250 ms if none was announced.
         Duration wait = retryIn == Duration::zero() ? Duration(250ms) : retryIn;
         wait = std::min<Duration>(std::max<Duration>(wait, 20ms), 1s);
         bool asked = after >= wait || reason == DeclineReason::NotHolder;
@@ -30,7 +31,7 @@
     }));
 }
 
-// Guards against a value of a later version that is taken as an index.
+// Guards against using an unknown value, sent by a later software version, as an array index.
 Test(declines, reasons_that_are_not_known_count_as_not_said)
 {
     cr_assert(declineReasonOf(3) == DeclineReason::EngineSilent);
@@ -39,7 +40,7 @@
     cr_assert_eq(reasonName(DeclineReason::NoSlot), "no slot");
 }
 
-// Guards against a forecast for a slot whose calls nobody knows the end of.
+// Guards against a forecast for a slot with running calls or a load, whose end is unknown.
 Test(declines, a_slot_is_expected_when_its_last_call_has_settled)
 {
     AdapterScheduler scheduler;
--- a/libs/serving/tests/EngineLogs.cpp
+++ b/libs/serving/tests/EngineLogs.cpp
@@ -17,7 +17,7 @@
     return record;
 }
 
-/** What the record could be after a change of any of its parts. */
+/** The record after a random change of one of its parts. */
 EngineRecord changed(EngineRecord record)
 {
     const std::string adapter = "adapter" + std::to_string(*rc::gen::inRange(0, 100));
@@ -42,7 +42,7 @@
 
 } // namespace
 
-// Guards against readers that go on with slots which an engine has not.
+// Guards against deltas that leave a reader with residents that the engine does not have.
 Test(engine_log, readers_that_hear_changes_now_and_then_know_the_record)
 {
     const bool holds = rc::check([] {
@@ -66,7 +66,7 @@
     cr_assert(holds);
 }
 
-// Guards against changes that are put on another record than they are of.
+// Guards against applying a delta to another record than the one that it was made for.
 Test(engine_log, a_reader_that_knows_another_record_is_told_the_whole)
 {
     EngineLog log;
@@ -82,7 +82,7 @@
     cr_assert(applyDocumentDelta(&other, log.changeSince("e", 0)) == recordOf(9, 2));
 }
 
-// Guards against a whole record to all VMs for each slot that changes.
+// Guards against sending the whole record to all VMs for each slot that changes.
 Test(engine_log, of_a_slot_that_changes_only_that_is_told)
 {
     EngineLog log;
--- a/libs/serving/tests/EngineSimulation.cpp
+++ b/libs/serving/tests/EngineSimulation.cpp
@@ -20,14 +20,14 @@
 constexpr int vmCount = 83;
 constexpr int adapterCount = 10000;
 constexpr double lengthMs = 30000;
-constexpr double countedFromMs = 5000; ///< before that, engines are still empty
+constexpr double countedFromMs = 5000; ///< earlier calls are not counted: engines are empty
 constexpr double toldMs = 50; ///< between two snapshots
-constexpr double nominalAgeMs = 300; ///< mean age of the news
+constexpr double nominalAgeMs = 300; ///< mean age of state updates
 constexpr double deafFromMs = 8000;
 constexpr double deafToMs = 20000;
-constexpr double silenceMs = 1500; ///< after that, what others told is dropped
+constexpr double silenceMs = 1500; ///< after that, the state of other VMs is dropped
 constexpr double fetchMs = 288;
-constexpr int loadsAtOnce = 40; ///< over all engines, before they take longer
+constexpr int loadsAtOnce = 40; ///< at all engines; with more, each takes longer
 constexpr int loadsPerEngine = 4;
 constexpr std::size_t mostDeclines = 6;
 constexpr double roomLookMs = 40;
@@ -35,14 +35,14 @@
 
 struct Engine
 {
-    double readUntil = 0; ///< prompts are read in order of arrival
+    double readUntil = 0; ///< end of all prefills; prompts are read in order of arrival
     double waiting = 0;
     double held = 0;
     int runs = 0;
     int shortObjectiveRuns = 0;
     std::map<std::string, int> inUse;
-    std::map<std::string, double> loading; ///< when they are done
-    std::map<std::string, double> usedAt; ///< of adapters that are there
+    std::map<std::string, double> loading; ///< end of the load, by adapter
+    std::map<std::string, double> usedAt; ///< last use, by resident adapter
     std::shared_ptr<const ResidentVersions> resident = std::make_shared<ResidentVersions>();
     HostCopies copies;
 };
@@ -182,7 +182,7 @@
             && this->now < deafToMs;
     }
 
-    /** What the VM takes the age of its news for. */
+    /** Age that the VM assumes for its state updates. */
     double ageOf(int vm) const
     {
         const bool silent = this->day.knowsStateAge && this->isDeaf(vm);
@@ -257,7 +257,7 @@
         }
     }
 
-    /** When the adapter will be there; 0: declined. */
+    /** When the adapter will be resident; 0: the load is declined. */
     double load(std::size_t number, const std::string &adapter)
     {
         Engine &engine = this->engines[number];
@@ -301,7 +301,7 @@
         return fetchMs * std::max(1.0, double(this->fetching.size()) / loadsAtOnce);
     }
 
-    /** Loads that are done. */
+    /** Moves the adapters whose loads are done by now into their slots. */
     void settle(Engine &engine)
     {
         for (auto at = engine.loading.begin(); at != engine.loading.end();) {
--- a/libs/serving/tests/EngineViews.h
+++ b/libs/serving/tests/EngineViews.h
@@ -6,7 +6,7 @@
 
 namespace monsoonbay {
 
-/** An idle engine that may be ordered; a load from the weight store takes `fetchMs` there. */
+/** An idle engine whose lease is held; a load from the weight store takes `fetchMs` there. */
 inline EngineView idleEngine(const std::string &id, const ResidentVersions *resident,
                              double fetchMs)
 {
--- a/libs/serving/tests/Engines.cpp
+++ b/libs/serving/tests/Engines.cpp
@@ -38,8 +38,8 @@
     cr_assert_eq(choice.engine, 1);
 }
 
-// Every VM has to choose the same engine for an adapter that is nowhere, without a message, or each
-// loads it at another one.
+// Guards against VMs that each load an adapter at another engine: without a message, all have to
+// choose the same engine for an adapter that is not resident anywhere.
 Test(engines, homes_do_not_depend_on_the_order_of_the_list)
 {
     std::vector<EngineView> views{engine("e1"), engine("e2"), engine("e3")};
@@ -51,9 +51,9 @@
     cr_assert_eq(views[two.engine].id, home);
 }
 
-// Symptom: five long prompts of a newly popular adapter queued on one engine, the last one's first
-// event after 1.8 s, while others idled. Answer: a copy is loaded elsewhere where the first event
-// would be later than the objective allows.
+// Guards against a hot adapter that stays on one engine: five long prompts queued there, the last
+// with its first event after 1.8 s, while other engines were idle. A copy is loaded elsewhere if
+// the first event would otherwise be later than the objective allows.
 Test(engines, a_hot_adapter_gets_a_copy)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2")};
@@ -63,13 +63,13 @@
     const EngineChoice choice = chooseEngine(views, need(5000), {}, weights);
     cr_assert(choice.step == EngineStep::Load);
     cr_assert_eq(choice.engine, 1);
-    // The last idle slot is kept for an adapter that is nowhere yet.
+    // The last idle slot is kept for an adapter that is not resident anywhere.
     views[1].idleSlots = 1;
     cr_assert(chooseEngine(views, need(5000), {}, weights).step == EngineStep::Send);
 }
 
-// Symptom: nearly every load fetched weights anew. Answer: an engine that held the adapter lately
-// goes before the first home, unless it is far behind.
+// Guards against loads that nearly all fetch the weights from the store again: an engine that held
+// the adapter recently goes before the preferred one, unless it costs much more.
 Test(engines, an_engine_that_held_the_adapter_lately_goes_first)
 {
     std::vector<EngineView> views{engine("e1"), engine("e2"), engine("e3")};
@@ -96,8 +96,8 @@
     cr_assert(chooseEngine(views, newer, {}, weights).step == EngineStep::Load);
 }
 
-// Symptom: calls were refused as "another order is in progress" without end. Sequence: an engine is
-// restarted empty; it is taken as a home. Cause: an engine without its base model runs nothing.
+// Guards against choosing an engine that was restarted empty: without its base model it runs
+// nothing, and calls were refused as "another order is in progress" without end.
 Test(engines, an_engine_without_its_model_is_left_out)
 {
     std::vector<EngineView> views{engine("e1", &holds)};
@@ -116,8 +116,9 @@
     cr_assert(chooseEngine(views, other, {}, weights).step == EngineStep::Full);
 }
 
-// Whatever the state: the chosen engine is usable, has room, was not tried, and either holds the
-// adapter or may be ordered; and "full" is not said while an engine that holds it has room.
+// In any state, the chosen engine is usable, has capacity, was not tried, and either holds the
+// adapter or may be sent commands; the choice is never Full or None while an engine that holds the
+// adapter has capacity.
 Test(engines, a_choice_is_always_possible)
 {
     cr_assert(rc::check("possible", [] {
@@ -161,9 +162,9 @@
 namespace {
 
 /**
- * Mean wait, ms, of calls that many VMs send to twelve engines which all hold the adapter. Half of
- * what the engines can read arrives; news of their load come every `newsEvery` ms, and a VM sees no
- * other VM's calls before that.
+ * Mean wait, ms, of calls that many VMs send to twelve engines that all hold the adapter, at half
+ * of the prefill rate of the engines. Their load is reported every `newsEvery` ms, and a VM does
+ * not see other VMs' calls before that.
  */
 double meanWait(int newsEvery, double jitterMs)
 {
@@ -193,14 +194,15 @@
 
 } // namespace
 
-// Symptom: with 195 VMs half of the calls with long prompts waited for over 0.8 s at engines of
-// which only a third of the reading was in use; the busiest got 2.5 times the mean. Sequence: news
-// of the load are half a second old; all VMs send to the engine that looked least busy. Cause:
-// differences smaller than what happens meanwhile decided. Mean wait before 1,296 ms, after 98 ms.
+// Guards against all VMs sending their calls to the engine that looked least busy half a second
+// ago, because load differences decide that are smaller than the changes since. With 195 VMs, half
+// of the calls with long prompts waited for over 0.8 s although only a third of the prefill
+// capacity was in use, and the busiest engine got 2.5 times the mean. Here the mean wait was 1,296
+// ms before and 98 ms after.
 Test(engines, calls_do_not_follow_old_news_all_to_the_same_engine)
 {
     const double before = meanWait(560, 0);
     const double after = meanWait(560, 560);
     cr_assert_lt(after, before / 3, "%f ms before, %f ms after", before, after);
-    cr_assert_lt(meanWait(40, 40), 60, "fresh news are followed: %f ms", meanWait(40, 40));
+    cr_assert_lt(meanWait(40, 40), 60, "fresh updates decide: %f ms", meanWait(40, 40));
 }
--- a/libs/serving/tests/Events.cpp
+++ b/libs/serving/tests/Events.cpp
@@ -20,7 +20,7 @@
     return all;
 }
 
-/** Feeds `bytes` in pieces of drawn lengths. */
+/** Feeds `bytes` in pieces of random lengths. */
 std::string feed(EventStream &stream, std::string_view bytes)
 {
     std::string out;
@@ -47,8 +47,8 @@
 
 } // namespace
 
-// Guards against events with CRLF that are held back, and ends inside an event taken for ends
-// between two.
+// Guards against holding back events with CRLF, and against taking the end of a stream inside an
+// event for one between two events.
 Test(events, an_end_is_inside_an_event_until_its_empty_line_has_come)
 {
     cr_assert(rc::check("ends", [] {
@@ -83,9 +83,8 @@
     }));
 }
 
-// Symptom: a caller got an event twice, or a part of one. Sequence: a run breaks in the middle of
-// an event; a second run goes on, beginning some events earlier. Cause: bytes passed on as they
-// came.
+// Guards against a caller that gets an event twice, or a part of one: a run breaks in the middle of
+// an event, and a second run continues from some events earlier.
 Test(events, a_stream_that_goes_on_elsewhere_is_whole)
 {
     cr_assert(rc::check("resume", [] {
--- a/libs/serving/tests/Forecasts.cpp
+++ b/libs/serving/tests/Forecasts.cpp
@@ -16,7 +16,7 @@
 
 const std::string adapter = "m/a1";
 const ResidentVersions holds{{adapter, 1}};
-/** Other adapters as well, so that the map has another size. */
+/** Other adapters too, so that the map has another bucket count. */
 const ResidentVersions holdsMany{{"m/a3", 1}, {"m/a4", 1}, {"m/a5", 1}, {"m/a6", 1}, {"m/a7", 1},
                                  {"m/a8", 1}, {"m/a9", 1}, {"m/b1", 1}, {"m/b2", 1}, {"m/b3", 1},
                                  {"m/b4", 1}, {"m/b5", 1}, {"m/b6", 1}, {adapter, 1}};
@@ -69,7 +69,7 @@
     bool meets = false;
 };
 
-/** All engines that may be chosen, as the rules say it one by one. */
+/** All engines that may be chosen, by a direct form of the rules. */
 std::vector<Place> placesOf(const std::vector<EngineView> &views, const EngineNeed &need)
 {
     std::vector<Place> places;
@@ -90,9 +90,9 @@
 
 } // namespace
 
-// Guards the order of the choice against a list of all places: an engine that has the adapter and
-// meets the objective, or a copy that does if news are old; a load that meets it, a copy only with
-// two idle slots; then any other.
+// Checks the order of preference against a list of all candidates: an engine that has the adapter
+// and meets the objective, or a copy that does if state updates are old; then a load that meets it,
+// as a copy only with two idle slots; then any other.
 Test(forecasts, engines_that_meet_the_objective_go_first)
 {
     cr_assert(rc::check("like the list of all places", [] {
@@ -117,7 +117,7 @@
         if (any(EngineStep::Send, true) && choice.step == EngineStep::Send)
             RC_ASSERT(chosen->meets);
         if (any(EngineStep::Send, true) && choice.step == EngineStep::Load) {
-            // Early by the age of the news, or by the cost of pauses as without forecasts.
+            // An early copy, by the age of updates, or by the cost of pauses as without forecasts.
             const double cost = expectedCostMs(views[choice.engine], need, weights);
             const bool costly = std::any_of(places.begin(), places.end(), [&](const Place &place) {
                 const double stay = expectedCostMs(views[place.engine], need, weights);
@@ -134,7 +134,7 @@
         if (choice.step == EngineStep::Load && any(EngineStep::Send, false))
             RC_ASSERT(views[choice.engine].idleSlots >= 2);
         if (choice.step == EngineStep::Send && !chosen->meets && any(EngineStep::Load, true)) {
-            // The home that meets the objective has no slot to spare for a copy.
+            // The preferred engine that meets the objective has no slot to spare for a copy.
             RC_ASSERT(std::any_of(places.begin(), places.end(), [&](const Place &place) {
                 return place.step == EngineStep::Load && place.meets
                     && views[place.engine].idleSlots < 2;
@@ -143,8 +143,8 @@
     }));
 }
 
-// Symptom: calls of 500 ms met 700 ms of prompts at their adapter's first home. Cause: a home may
-// be 1.7 loads, 490 ms, behind the least busy engine.
+// Guards against late calls at the preferred engine, which may cost 1.7 loads, 490 ms, more than
+// the least busy one: calls with an objective of 500 ms met 700 ms of queued prompts there.
 Test(forecasts, a_busy_home_is_passed_over_by_a_call_that_would_be_late_there)
 {
     std::vector<EngineView> views{engine("e1"), engine("e2"), engine("e3")};
@@ -159,7 +159,8 @@
     cr_assert_eq(chooseEngine(views, alike, {}, weights).engine, home);
 }
 
-// The random part decides among engines that meet the objective, or among those that do not.
+// Guards against a random part that prefers an engine where the call is late to one where it is
+// not.
 Test(forecasts, doubt_moves_no_call_to_an_engine_that_makes_it_late)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2", &holds)};
@@ -171,7 +172,7 @@
     cr_assert_eq(chooseEngine(views, quickNeed(), {}, weights).engine, 1);
 }
 
-// Guards deployments whose routes to a service have one objective against any change by this.
+// Guards deployments whose routes to a service share one objective: the choice stays as it was.
 Test(forecasts, routes_with_one_objective_leave_the_choice_as_it_is)
 {
     ServingConfig config;
@@ -191,8 +192,8 @@
     cr_assert(routes.shortestObjective("mixed") == Duration(std::chrono::milliseconds(500)));
 }
 
-// Symptom: a third of the VMs heard no other VM for 12 s and went on sending to the engine that had
-// looked least busy before. Cause: the random part was drawn up to the regular age of news.
+// Guards against VMs without updates that keep sending to the engine that had looked least busy:
+// with a third of the VMs cut off for 12 s, the random part was drawn up to the regular age only.
 Test(forecasts, a_vm_that_hears_nobody_spreads_its_calls)
 {
     using namespace std::chrono_literals;
@@ -225,22 +226,22 @@
         }
         return *std::max_element(calls.begin(), calls.end());
     };
-    // Twice an even share, as even 350 ms of difference shift a draw of up to 3 s a little.
+    // Twice an equal share, as even differences of 350 ms shift a draw of up to 3 s a little.
     cr_assert_gt(mostAtOne(300), 270, "%d", mostAtOne(300));
     cr_assert_lt(mostAtOne(1000 * deaf), 200, "%d", mostAtOne(1000 * deaf));
 }
 
-// Symptom: an adapter with a tenth of all calls had too few copies. Cause: a copy was ordered when
-// the wait had reached 0.85 of the objective by news 0.3 s old, and then took 0.3 s to load.
+// Guards against too few copies of an adapter with a tenth of all calls: a copy was loaded once the
+// wait had reached 0.85 of the objective by updates 0.3 s old, and then took 0.3 s to load.
 Test(forecasts, a_copy_is_ordered_before_the_queue_can_make_calls_late)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2")};
     views[0].waitingTokens = 9190;
     EngineNeed need = quickNeed();
-    cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Send, "fresh news");
+    cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Send, "fresh updates");
     need.stateAgeMs = 300;
     cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Load);
-    // Guards against holding a call after declined loads although its adapter is there.
+    // Guards against delaying a call after declined loads although its adapter is resident.
     need.mayCopyEarly = false;
     cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Send, "declined before");
     need.mayCopyEarly = true;
@@ -249,16 +250,15 @@
     views[1].idleSlots = 4;
     views[1].waitingTokens = 9190;
     cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Send, "late there, too");
-    // Guards against a copy for each call where all news are older than the objective.
+    // Guards against a copy for each call if all state updates are older than the objective.
     views[0].waitingTokens = 0;
     views[1].waitingTokens = 0;
     need.stateAgeMs = 3000;
     cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Send, "an idle engine");
 }
 
-// Symptom: on days with objectives of 1,000 and 800 ms long prompts were late more often by
-// forecast than without. Cause: the forecast leaves out others' pauses, and so did the rule for
-// copies.
+// Guards against a rule for copies that, like the forecast, leaves out the pauses of other streams:
+// with objectives of 1,000 and 800 ms, long prompts were late more often by forecast than without.
 Test(forecasts, a_copy_is_ordered_before_others_pause_too_long)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2")};
@@ -271,8 +271,8 @@
     cr_assert(chooseEngine(views, need, {}, weights).step == EngineStep::Load);
 }
 
-// Guards that a long prompt yields only where another engine meets its objective, and a short call
-// never does.
+// Guards against long prompts that avoid an engine although no other meets their objective, and
+// against short calls that avoid any.
 Test(forecasts, long_prompts_leave_engines_to_quick_calls_while_others_have_room)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2", &holds)};
@@ -297,7 +297,7 @@
 }
 
 namespace {
-/** Mean of a few played days. */
+/** Mean of a few simulations. */
 SimulationResult simulateDays(const EngineSimulation &day)
 {
     constexpr unsigned seeds = 6;
@@ -316,8 +316,8 @@
 
 } // namespace
 
-// Guards what callers get on a busy day: calls with the shortest objective were late more often
-// than all others, though most of these found their adapter.
+// Guards against a choice under high load by which calls with the shortest objective are late more
+// often than all others, though most of them found their adapter resident.
 Test(forecasts, short_calls_are_on_time_more_often)
 {
     EngineSimulation day;
@@ -329,7 +329,7 @@
     day.earlyCopies = false;
     const SimulationResult lateCopies = simulateDays(day);
     cr_assert_lt(after.lateWithoutLoad[2], 0.8 * lateCopies.lateWithoutLoad[2],
-                 "%f by late copies, %f after", lateCopies.lateWithoutLoad[2],
+                 "%f with late copies, %f after", lateCopies.lateWithoutLoad[2],
                  after.lateWithoutLoad[2]);
     cr_assert_gt(after.onTime[2], before.onTime[2] + 0.01, "%f before, %f after", before.onTime[2],
                  after.onTime[2]);
@@ -342,7 +342,7 @@
     cr_assert_lt(after.lateWithoutLoad[2], before.lateWithoutLoad[2]);
 }
 
-// Guards deployments with longer objectives, which gain little, against a loss.
+// Guards deployments with longer objectives, which gain little from forecasts, against a loss.
 Test(forecasts, calls_with_longer_objectives_lose_nothing)
 {
     EngineSimulation day;
--- a/libs/serving/tests/HarmfulCalls.cpp
+++ b/libs/serving/tests/HarmfulCalls.cpp
@@ -36,7 +36,7 @@
     return findHarmfulCalls(items);
 }
 
-/** Three ends under the harmful call, seen by different VMs. */
+/** Three crashes under the harmful call, seen by different VMs. */
 std::deque<CallEvidence> threeEnds()
 {
     return {ended("a", 0s, {harmful}), ended("b", 1s, {harmful}), ended("c", 2s, {harmful})};
@@ -64,8 +64,8 @@
     cr_assert(judge(evidence).calls.empty());
 }
 
-// Symptom: a call was found harmful after two ends. Sequence: it came to two VMs while the target
-// was down behind a proxy that accepts; both learnt of the end by the target's new start.
+// Guards against counting one crash twice: two VMs sent the call while the target was down behind a
+// proxy that accepts connections, and both learnt of the crash from the target's new start.
 Test(harmful_calls, what_the_list_tells_of_one_new_start_is_one_end)
 {
     std::deque<CallEvidence> evidence = threeEnds();
@@ -77,7 +77,7 @@
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
-// A target that is started anew under its id, and ends again under the same call, ended twice.
+// Guards against counting two crashes of a target that restarts under the same id as one.
 Test(harmful_calls, ends_of_one_target_after_another_count_each)
 {
     const std::deque<CallEvidence> evidence{ended("a", 0s, {harmful}), ended("a", 3s, {harmful}),
@@ -85,9 +85,8 @@
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
-// Symptom: a caller who did nothing was turned away for an hour. Sequence: its call, sent again
-// after each loss, was under way beside a harmful one at three ends of four. Cause: ends counted
-// for each call by itself, though the harmful one explains all of them.
+// Guards against blocking a harmless call for an hour: it was sent again after each loss and ran
+// next to a harmful one at three crashes of four, though the harmful call explains all of them.
 Test(harmful_calls, a_call_beside_a_harmful_one_is_not_to_blame)
 {
     const std::deque<CallEvidence> evidence{
@@ -124,7 +123,7 @@
     cr_assert_null(findHarmful(judge(threeEnds()), sameContent));
 }
 
-// A caller that turns up at several addresses has none that tells its calls from others'.
+// Guards against a harmful caller with several addresses: no address identifies its calls.
 Test(harmful_calls, a_content_that_comes_from_many_callers_is_harmful_whoever_sends_it)
 {
     std::deque<CallEvidence> evidence = threeEnds();
@@ -135,8 +134,8 @@
     cr_assert(findHarmful(verdict, {harmful.content, 1234}) != nullptr);
 }
 
-// Symptom would be a popular call that nobody gets an answer to any more: it is under way somewhere
-// whenever a target ends for reasons of its own. What is answered ends no targets.
+// Guards against blocking a popular call, which is running somewhere whenever a target crashes for
+// other reasons. An answered call causes no crashes.
 Test(harmful_calls, an_answer_voids_the_ends_before_it_and_shortly_after_it)
 {
     std::deque<CallEvidence> evidence = threeEnds();
@@ -151,14 +150,15 @@
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
-// Symptom: the news were full of answers. Sequence: a call that many callers make was under way for
-// one of them at an end; each answer to any of them was told to all VMs. Cause: the content stayed
-// suspect for the sake of the one caller.
+// Guards against state updates full of answers: a call that many callers send was running for one
+// of them at a crash, its content stayed suspect, and each answer to any caller was sent to all
+// VMs.
 Test(harmful_calls, answers_that_change_nothing_are_not_worth_telling)
 {
     const CallIdentity other{harmful.content, 2};
     std::deque<CallEvidence> evidence{ended("a", 0s, {harmful})};
-    cr_assert(isSuspect(judge(evidence), other), "the first answer voids it for all callers");
+    cr_assert(isSuspect(judge(evidence), other),
+              "the first answer clears the content for all callers");
     evidence.push_back(answered(1s, other));
     cr_assert_not(isSuspect(judge(evidence), other));
     cr_assert(isSuspect(judge(evidence), harmful), "not yet answered itself");
@@ -168,7 +168,7 @@
 
 namespace {
 
-/** Ends under one planted call and others beside it, as several VMs tell them. */
+/** Crashes under one planted call and others next to it, as several VMs report them. */
 std::deque<CallEvidence> plantedEnds(std::mt19937_64 &random, int ends, int others)
 {
     std::deque<CallEvidence> evidence;
@@ -186,7 +186,7 @@
     return evidence;
 }
 
-/** In how many ends each content was, counted in the plainest way. */
+/** Number of crashes at which each content was running, counted directly. */
 std::map<std::uint64_t, int> naiveCounts(const std::deque<CallEvidence> &evidence)
 {
     std::map<std::uint64_t, std::set<Instant>> ends;
--- a/libs/serving/tests/LeaseModel.cpp
+++ b/libs/serving/tests/LeaseModel.cpp
@@ -8,7 +8,7 @@
 
 constexpr int renewEveryTicks = 5;
 constexpr int newsEveryTicks = 2;
-constexpr int noteTicks = 4; ///< from the read of the notes to the addition: a slow store
+constexpr int noteTicks = 4; ///< from the read of the records to the addition, as with a slow store
 
 struct Play
 {
@@ -58,8 +58,7 @@
         play.vms[1] = ModelVm{};
 }
 
-// The own note is added some ticks after the others were read, so that the other VM acts in
-// between.
+// A VM adds its record some ticks after it read the others, so that the other VM acts in between.
 void noteOrders(Play &play, int index, int tick, Instant now)
 {
     ModelVm &vm = play.vms[static_cast<std::size_t>(index)];
@@ -144,7 +143,7 @@
         vm.totalPause += tickLength;
         return;
     }
-    // A VM that wakes up orders before it does anything else: the worst that can happen.
+    // The worst case: a VM that wakes up sends commands before it does anything else.
     const Duration pause =
         play.mutation.ignoresPause ? vm.totalPause.time_since_epoch() : Duration::zero();
     if (mayCommand(vm.lease, 0, now - pause))
--- a/libs/serving/tests/LeaseModel.h
+++ b/libs/serving/tests/LeaseModel.h
@@ -8,39 +8,39 @@
 
 namespace monsoonbay::leasemodel {
 
-/** What may be switched on or off in a schedule. */
+/** Faults that a schedule may turn on or off. */
 enum class Fault : int {
     StoreUnreachableFromFirst,
     StoreUnreachableFromSecond,
-    PeersCut, ///< the VMs do not hear one another
-    AnswersLost, ///< the store carries out renewals, their answers are lost
+    PeersCut, ///< the VMs get no reports from each other
+    AnswersLost, ///< the store executes renewals, but their answers are lost
     FirstFrozen,
     SecondFrozen,
-    FirstDown, ///< it ends, and is started anew when this ends
+    FirstDown, ///< the process ends; it restarts when the fault is turned off
     SecondDown,
     Count, ///< number of faults, not one of them
 };
 
-/** Turns a fault on or off at a tick; Redeal moves the partition without being asked. */
+/** Turns a fault on or off at a tick, or lets the store reassign the partition. */
 struct Toggle
 {
     int tick = 0;
-    std::optional<Fault> fault; ///< none: the store deals all anew
+    std::optional<Fault> fault; ///< nullopt: the store reassigns the partition
 };
 
 constexpr auto tickLength = std::chrono::milliseconds(100);
 constexpr int vmCount = 2;
 const Instant modelStart = Instant{} + std::chrono::seconds(1000);
 
-/** Deviations of the rules under test, to show that the model finds them. */
+/** Deviations from the rules under test, to show that the model finds them. */
 struct Mutation
 {
-    bool trustsAnyPeer = false; ///< a mate's word counts whatever it says
-    bool ignoresPause = false; ///< the lease is held by a clock that stands still in a pause
-    bool recordsBlindly = false; ///< notes are added whatever was added since they were read
+    bool trustsAnyPeer = false; ///< any report of the other VM extends the lease
+    bool ignoresPause = false; ///< the clock of the lease stops while the VM is paused
+    bool recordsBlindly = false; ///< records are added even if others were added since the read
 };
 
-/** The platform's store as far as it deals one partition. */
+/** The platform's store, as far as it assigns one partition. */
 struct ModelStore
 {
     std::int64_t generation = 0;
@@ -63,19 +63,19 @@
     bool renewalFailing = false;
     PeerLeaseState peer;
     bool hasPeerState = false;
-    Instant totalPause{}; ///< sum of pauses, for the mutation
-    std::vector<HolderClaim> claims; ///< about to be noted
-    std::uint64_t readEnd = 0; ///< of the notes that they rest on
+    Instant totalPause{}; ///< sum of all pauses, for the mutation
+    std::vector<HolderClaim> claims; ///< about to be added to the store
+    std::uint64_t readEnd = 0; ///< `logEnd` of the records that the claims are based on
     int addAt = 0; ///< tick in which they are added
 };
 
-/** Plays a schedule; returns the shortest time between orders of two different VMs. */
 std::string nameOf(int vm);
 
+/** Runs a schedule; returns the shortest time between commands of two different VMs. */
 Duration shortestChange(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing,
                         const Mutation &mutation);
 
-/** Ticks in which some VM might order. */
+/** Number of ticks in which some VM could send commands. */
 int ticksActive(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing);
 
 } // namespace monsoonbay::leasemodel
--- a/libs/serving/tests/Leases.cpp
+++ b/libs/serving/tests/Leases.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr int ticks = 300;
-constexpr int firstToggle = 80; ///< the first holder orders from about 6 s on
+constexpr int firstToggle = 80; ///< the first holder sends commands from about 6 s on
 constexpr int lastToggle = 240;
-constexpr int step = 10; ///< toggles are placed a second apart
+constexpr int step = 10; ///< between toggles: one second
 
 Toggle toggleAt(int tick, int kind)
 {
@@ -53,13 +53,13 @@
     });
 }
 
-/** Adds the notes that the lease wants, as if nobody else added any. */
+/** Adds the holder records that the lease asks for, as if no other VM added any. */
 void noteAll(PartitionLease &lease, const HolderRecords &notes, const std::string &vm, Instant now)
 {
     confirmClaims(lease, claimsToRecord(lease, notes, vm, LeaseTiming{}, now), now);
 }
 
-/** Notes by which `vm` was the last to order partitions 1 and 2. */
+/** Records by which `vm` was the last holder of partitions 1 and 2. */
 HolderRecords notedBy(const std::string &vm, std::int64_t generation)
 {
     HolderRecords notes;
@@ -70,10 +70,10 @@
 
 } // namespace
 
-// Two VMs, one partition, one store; every second of all schedules of three faults, a second apart:
-// the store away from either or both, the VMs cut from each other, answers lost, either frozen or
-// ended and started anew, the partition dealt anew. Never do two VMs order within the time that
-// keeps them apart.
+// Guards against two VMs that both send commands to a partition within the time that has to pass
+// between holders. Runs every second one of all schedules of three faults at whole seconds, with
+// two VMs, one partition and one store: the store unreachable from either or both, the VMs cut off
+// from each other, answers lost, a VM frozen or restarted, the partition reassigned.
 Test(leases, no_schedule_of_three_faults_has_two_orderers)
 {
     cr_assert(!findsTwoHolders(LeaseTiming{}, Mutation{}));
@@ -115,8 +115,8 @@
     cr_assert(findsTwoHolders(LeaseTiming{}, mutation));
 }
 
-// Symptom: with the store away for 8 s, no engine got an order for 13 s. Answer: orders go on while
-// both VMs say that the store is away.
+// Guards against an outage of the store that stops commands: with the store unreachable for 8 s, no
+// engine got a command for 13 s. The lease is extended while both VMs report the outage.
 Test(leases, an_outage_for_all_costs_no_orders)
 {
     const std::vector<Toggle> outage{toggleAt(100, int(Fault::StoreUnreachableFromFirst)),
@@ -136,9 +136,9 @@
     cr_assert(findsTwoHolders(LeaseTiming{}, mutation));
 }
 
-// Symptom: after a restart of all VMs, or after the store had dealt a partition away and back,
-// nobody ordered for 5 s. Answer: the last note names the last VM that can have ordered, and that
-// one goes on at once.
+// Guards against a needless wait: after a restart of all VMs, or after the store had reassigned a
+// partition and returned it, no VM sent commands for 5 s. The VM that the last record names as the
+// last holder may continue at once.
 Test(leases, who_ordered_last_goes_on_at_once)
 {
     const LeaseTiming timing;
@@ -158,13 +158,13 @@
     cr_assert(!isFullyActive(moved, now + 10ms));
     later.activeFrom[1] = now;
     noteAll(later, notedBy("vm-2", 10), "vm-1", now + 8ms);
-    cr_assert(!mayCommand(later, 1, now + 10ms), "somebody was dealt it after that grant");
+    cr_assert(!mayCommand(later, 1, now + 10ms), "another VM was assigned it after that grant");
 }
 
-// Symptom would be engines that nobody orders for as long as a lease lasts. Sequence: a VM waits
-// for a partition; between two of its renewals it is dealt to the VM that ordered it last, which
-// notes and orders at once, and back again. Cause: the note is of a later generation than the one
-// in which the waiting VM remembers to have gained the partition.
+// Guards against engines that get no commands while a lease lasts: a VM waits for a partition;
+// between two of its renewals the partition is assigned to its last holder, which adds a record and
+// continues at once, and then assigned back. So the record is of a later generation than the one in
+// which the waiting VM acquired the partition.
 Test(leases, a_partition_that_was_away_and_back_is_waited_for_anew)
 {
     const LeaseTiming timing;
@@ -189,9 +189,9 @@
     cr_assert(mayCommand(lease, 1, now));
 }
 
-// Symptom would be two holders. Sequence: a VM waits until it may order; the store falls silent,
-// and the VM before it comes back and finds its own note as the last one. Cause: an order without a
-// note.
+// Guards against two holders because of a command without a record: a VM waits until commands are
+// allowed; the store becomes unreachable, and the previous holder comes back and finds its own
+// record as the last one.
 Test(leases, nothing_is_ordered_without_a_note)
 {
     const LeaseTiming timing;
@@ -209,8 +209,9 @@
     cr_assert(!isWriteDue(lease, now));
 }
 
-// Symptom: in a rolling restart nobody ordered an engine for 6 s at each step. Answer: the VM that
-// gives a partition up says so, and only the time between two holders is waited.
+// Guards against a needless wait in a rolling restart, where no VM sent commands to an engine for 6
+// s at each step: the VM that gives up a partition reports that, and its successor waits only for
+// the time between two holders.
 Test(leases, a_handed_over_partition_is_waited_for_less)
 {
     const LeaseTiming timing;
@@ -231,12 +232,13 @@
     cr_assert_eq(
         successor.activeFrom.at(1).time_since_epoch().count(),
         (modelStart + 400ms + timing.handoverGap + timing.margin).time_since_epoch().count());
-    later.acquiredIn[1] = 6; // somebody may have held it in between
+    later.acquiredIn[1] = 6; // another VM may have held it in between
     applyRelease(later, leaver.releases.front(), timing);
     cr_assert(later.activeFrom.at(1) > successor.activeFrom.at(1));
 }
 
-// A VM that was itself still waiting cannot vouch for the one before it.
+// Guards against a release by a VM that was still waiting: it does not know whether the previous
+// holder has stopped.
 Test(leases, who_never_ordered_releases_nothing)
 {
     const LeaseTiming timing;
