--- a/libs/requests/include/requests/Admission.h
+++ b/libs/requests/include/requests/Admission.h
@@ -8,11 +8,11 @@
 
 namespace monsoonbay {
 
-/** Bounds of what one entry VM holds at once. */
+/** Limits of the requests in flight at one entry VM. */
 struct AdmissionConfig
 {
     int maxInFlight = 2000;
-    double contendedShare = 0.5; ///< fill from which on services are held to their shares
+    double contendedShare = 0.5; ///< share of the limit from which on service shares apply
 };
 
 /** Requests in flight at one entry VM, by service. */
@@ -23,7 +23,7 @@
     int total = 0;
 };
 
-/** Verdict on a request at the door. */
+/** Result of the admission of a request. */
 struct AdmissionDecision
 {
     ErrorKind refusal = ErrorKind::Ok;
@@ -31,12 +31,12 @@
 };
 
 /**
- * Admits a request or refuses it as not run. While there is room anyone may use it; once the VM
- * is half full no service gets more than its share, so that one cannot shut the others out.
+ * Admits a request or refuses it as not run. From `contendedShare` of the limit on, a service gets
+ * no more than its share, so that it cannot shut the others out; below, shares do not matter.
  */
 AdmissionDecision admit(AdmissionState &state, ServiceId service, double share);
 
-/** Gives back the place of an admitted request. */
+/** Frees the capacity that an admitted request held. */
 void release(AdmissionState &state, ServiceId service);
 
 } // namespace monsoonbay
--- a/libs/requests/include/requests/KeyRecords.h
+++ b/libs/requests/include/requests/KeyRecords.h
@@ -12,15 +12,15 @@
 
 namespace monsoonbay {
 
-/** Bounds of the memory of Idempotency-Keys. */
+/** Limits of the records of Idempotency-Keys. */
 struct KeyRecordConfig
 {
-    Duration lifetime = std::chrono::minutes(10); ///< a key is remembered so long after its run
+    Duration lifetime = std::chrono::minutes(10); ///< a record is kept this long after the run
     std::size_t maxRecords = 200000;
-    std::size_t maxAnswerBytes = 64 * 1024; ///< larger answers are remembered without their body
+    std::size_t maxAnswerBytes = 64 * 1024; ///< larger answers are kept without their body
 };
 
-/** The answer to a request, kept for the caller's repeats. */
+/** The answer to a request, kept for retries by the caller. */
 struct StoredAnswer
 {
     ErrorKind kind = ErrorKind::Ok;
@@ -34,14 +34,14 @@
 
 enum class KeyState : std::uint8_t {
     Absent,
-    Reserved, ///< now held for the asker
+    Reserved, ///< held for this request
     Running, ///< held for another request
     Done,
-    Conflict, ///< used for a different request
-    Full, ///< no room to remember one more
+    Conflict, ///< used for a request with another fingerprint
+    Full, ///< no capacity for another record
 };
 
-/** What a holder answers. */
+/** A holder's reply about a key. */
 struct KeyReply
 {
     KeyState state = KeyState::Absent;
@@ -49,7 +49,7 @@
     StoredAnswer answer;
 };
 
-/** Names one caller's request. */
+/** Identifies a request and its key. */
 struct KeyRequest
 {
     std::uint64_t keyHash = 0; ///< of service and key
@@ -57,7 +57,7 @@
     std::uint64_t requestId = 0;
 };
 
-/** The records that one entry VM holds, and how long it has been a holder. */
+/** Key records that one entry VM holds, and the views of alive VMs that made it a holder. */
 struct KeyRecords
 {
     struct Record
@@ -88,23 +88,23 @@
 /** The entry VMs that hold the record of a key: the two with the highest rendezvous scores. */
 std::vector<VmId> keyHolders(std::uint64_t keyHash, const std::vector<VmId> &alive);
 
-/** Tells who is alive now; a holder knows of a key only if it has held it for a lifetime. */
+/** Sets the alive VMs; a holder knows of a key only after it was its holder for a lifetime. */
 void updateAliveVms(KeyRecords &keys, const std::vector<VmId> &alive, Instant now);
 
-/** Reserves a key for a request, unless it was used. */
+/** Reserves a key for a request, unless it is in use. */
 KeyReply reserveKey(KeyRecords &keys, const KeyRequest &request, Instant now);
 
-/** Notes how the request that holds the key ended; "not run" frees the key. */
+/** Records the answer of the request that holds the key. */
 void completeKey(KeyRecords &keys, const KeyRequest &request, const StoredAnswer &answer,
                  Instant now);
 
 /** Frees a key that was reserved for a request that did not run. */
 void releaseKey(KeyRecords &keys, const KeyRequest &request);
 
-/** Drops records that are past their lifetime. */
+/** Drops expired records. */
 void expireKeys(KeyRecords &keys, Instant now);
 
-/** What the holders' replies together allow. */
+/** What the replies of all holders together allow. */
 enum class KeyDecision : std::uint8_t {
     Run,
     Replay,
@@ -114,9 +114,9 @@
 };
 
 /**
- * Decides from the replies of the holders that could be reached. It may run only if nobody saw the
- * key before and at least one holder would know: a holder that has just started, or both gone,
- * means that a run may have been forgotten.
+ * Decides by the replies of the holders that could be reached. The request may run only if no
+ * holder has a record of the key and at least one would have it: if the holders have just started,
+ * or none is left, the record of an earlier run may be lost.
  */
 KeyDecision decideKey(const std::vector<KeyReply> &replies);
 
--- a/libs/requests/include/requests/RequestLifecycle.h
+++ b/libs/requests/include/requests/RequestLifecycle.h
@@ -9,7 +9,7 @@
 
 namespace monsoonbay {
 
-/** What the caller asked for, as far as its life depends on it. */
+/** Properties of a request that decide how it is retried. */
 struct RequestTraits
 {
     bool idempotent = true;
@@ -18,7 +18,7 @@
 };
 
 enum class RequestPhase : std::uint8_t {
-    Routing, ///< no byte has left; it has not run
+    Routing, ///< nothing was sent to a target; it has not run
     Dispatched, ///< a byte may have reached a target
     Ended,
 };
@@ -26,11 +26,11 @@
 /** What to do next with a request. */
 enum class NextStep : std::uint8_t {
     Route, ///< find a target, now or after `wait`
-    Resume, ///< take the answer up at the same target from the last piece delivered
+    Resume, ///< resume the answer at the same target after the last delivered piece
     Answered,
-    Refuse, ///< tell the caller it did not run
-    Fail, ///< tell the caller it ran or may have run
-    Drop, ///< the event belongs to an attempt that is over
+    Refuse, ///< report to the caller that it did not run
+    Fail, ///< report to the caller that it ran or may have run
+    Drop, ///< ignore: the event belongs to an earlier attempt or an ended request
 };
 
 /** A next step with its reason. */
@@ -47,12 +47,12 @@
 struct AttemptEnd
 {
     std::uint32_t attempt = 0;
-    ErrorKind kind = ErrorKind::Ok; ///< Ok: the target says the answer is complete
+    ErrorKind kind = ErrorKind::Ok; ///< Ok: the target reports a complete answer
     bool dispatched = false; ///< a byte may have reached the target
     std::uint64_t pieces = 0; ///< pieces of the whole answer, if complete
 };
 
-/** Retries may add a share to the traffic, so that they cannot multiply an overload. */
+/** Limits retries to a share of the requests, so that they cannot amplify an overload. */
 struct RetryBudget
 {
     double tokensPerRequest = 0.1;
@@ -63,31 +63,31 @@
 void addRetryTokens(RetryBudget &budget) noexcept;
 bool takeRetry(RetryBudget &budget) noexcept;
 
-/** Life of one request at its entry VM. Deterministic; the daemon and the tests drive it. */
+/** State machine of one request at its entry VM. Deterministic; it does no I/O itself. */
 struct RequestLifecycle
 {
     RequestTraits traits;
     RequestPhase phase = RequestPhase::Routing;
-    std::uint32_t attempt = 0; ///< number of the attempt under way
-    std::uint32_t redirects = 0;
+    std::uint32_t attempt = 0; ///< number of the current attempt
+    std::uint32_t redirects = 0; ///< attempts that ended before dispatch and were routed again
     std::uint32_t resumes = 0;
-    std::uint64_t delivered = 0; ///< pieces given to the caller, in order, once
+    std::uint64_t delivered = 0; ///< pieces delivered to the caller, in order, each once
     bool headDelivered = false;
     bool everDispatched = false;
-    std::uint64_t dropped = 0; ///< late, duplicate or crossed pieces
+    std::uint64_t dropped = 0; ///< late, duplicate or out-of-order pieces
 };
 
 /** Begins an attempt; its number marks all events that belong to it. */
 std::uint32_t beginAttempt(RequestLifecycle &life);
 
-/** True if this piece is the next one to give to the caller; anything else is dropped. */
+/** True if this piece is the next one to deliver to the caller; any other is dropped. */
 bool takePiece(RequestLifecycle &life, std::uint32_t attempt, std::uint64_t position);
 
-/** Judges the end of an attempt. */
+/** Decides the next step after the end of an attempt. */
 RequestStep endAttempt(RequestLifecycle &life, const AttemptEnd &end, RetryBudget &budget,
                        Instant now);
 
-/** Judges that no target could be found, or that the request was refused before dispatch. */
+/** Ends a request for which no target was found, or that was refused before dispatch. */
 RequestStep endRouting(RequestLifecycle &life, ErrorKind kind);
 
 } // namespace monsoonbay
--- a/libs/requests/src/KeyRecords.cpp
+++ b/libs/requests/src/KeyRecords.cpp
@@ -12,8 +12,8 @@
     return std::find(holders.begin(), holders.end(), self) != holders.end();
 }
 
-// A VM that became a holder when another died has not seen what that one recorded. It counts as
-// knowing only once it has been a holder under every view of a whole lifetime.
+// A VM that became a holder when another one failed does not have that one's records. It knows of a
+// key only if it was a holder in every view of a whole lifetime.
 bool knowsKey(const KeyRecords &keys, std::uint64_t keyHash, Instant now)
 {
     const Instant need = now - keys.config.lifetime;
@@ -61,7 +61,7 @@
 {
     if (keys.views.empty() || keys.views.back().alive != alive)
         keys.views.push_back(KeyRecords::View{now, alive});
-    // The view that was in force a lifetime ago is still needed; those before it are not.
+    // The view that was current a lifetime ago is still needed; earlier ones are not.
     const Instant need = now - keys.config.lifetime;
     while (keys.views.size() > 1 && keys.views[1].since <= need)
         keys.views.pop_front();
--- a/libs/requests/src/RequestLifecycle.cpp
+++ b/libs/requests/src/RequestLifecycle.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint32_t maxBounces = 50;
-/** With the growing waits, half a minute: longer than a new owner takes to claim and wait. */
+/** Half a minute, with the backoff: longer than a new owner takes to claim a target and wait. */
 constexpr std::uint32_t maxResumes = 36;
 constexpr Duration firstBounceWait = std::chrono::milliseconds(5);
 constexpr Duration longestBounceWait = std::chrono::milliseconds(250);
@@ -32,8 +32,8 @@
     return RequestStep{step, kind, {}};
 }
 
-// The directory was stale or an owner changed: nothing ran, so any request may go elsewhere, and
-// it costs the targets nothing, so the retry budget is not asked.
+// The directory was stale or an owner changed. Nothing ran, so any request may go to another
+// target. This costs the targets nothing, so the retry budget does not apply.
 RequestStep bounce(RequestLifecycle &life, ErrorKind kind, Instant now)
 {
     ++life.redirects;
@@ -51,8 +51,9 @@
     return kind == ErrorKind::CallerGone || kind == ErrorKind::BadRequest;
 }
 
-// A wrong answer stays wrong however often it is fetched, and "may have run" is the engine's word
-// that it holds no answer; the others may be a broken hop behind which the answer is whole.
+// A wrong answer stays wrong when it is fetched again, and with "may have run" the engine reports
+// that it holds no answer. Other errors may come from a broken hop, with the answer intact at the
+// target.
 bool worthResuming(const RequestLifecycle &life, ErrorKind kind)
 {
     const bool hopeless = kind == ErrorKind::WrongAnswer || kind == ErrorKind::MayHaveRun;
@@ -109,7 +110,7 @@
         const bool whole = end.pieces == life.delivered;
         if (whole)
             return finish(life, NextStep::Answered, ErrorKind::Ok);
-        // The target says it is done, yet pieces are missing here: a short answer, not an answer.
+        // The target reports the end, but pieces are missing here: the answer is incomplete.
         return finish(life, NextStep::Fail, ErrorKind::BrokenStream);
     }
     if (end.kind == ErrorKind::CallerGone)
--- a/libs/requests/tests/Life.cpp
+++ b/libs/requests/tests/Life.cpp
@@ -1,4 +1,4 @@
-// The life of a request against a naive version, and its promises.
+// Compares the state machine of a request with a direct version, and checks its guarantees.
 
 #include <set>
 #include <vector>
@@ -14,12 +14,12 @@
 
 namespace {
 
-/** What one attempt does in a drawn schedule. */
+/** What one attempt does in a random schedule. */
 struct DrawnAttempt
 {
     ErrorKind kind = ErrorKind::Ok;
     bool dispatched = false;
-    std::vector<std::uint64_t> positions; ///< pieces as they arrive, any order, any number
+    std::vector<std::uint64_t> positions; ///< of the pieces in order of arrival, random
     bool late = false; ///< its events carry an older attempt's number
     std::uint64_t claimedPieces = 0;
 };
@@ -45,7 +45,7 @@
     return attempt;
 }
 
-/** The naive version of delivery: a list that grows by the next piece only. */
+/** Reference for delivery: a list to which only the next piece can be appended. */
 struct NaiveCaller
 {
     std::vector<std::uint64_t> got;
@@ -71,7 +71,7 @@
         RetryBudget budget;
         NaiveCaller caller;
         Instant now{};
-        int runs = 0; // attempts that may have started the request anew at a target
+        int runs = 0; // attempts that may have started the request at a target again
         bool mayHaveRun = false;
         RequestStep step{NextStep::Route, ErrorKind::Ok, {}};
         for (int round = 0; round < 200; ++round) {
@@ -113,8 +113,8 @@
     }));
 }
 
-// Symptom: a crew was booked twice. Sequence: the target did the booking, its answer was lost, the
-// request was sent to another target. Cause: a lost answer was taken for "not run".
+// Guards against a booking made twice: the target made it, its answer was lost, and the request was
+// sent to another target because a lost answer was taken for "not run".
 Test(life, a_lost_answer_of_a_non_idempotent_request_is_never_sent_again)
 {
     RequestLifecycle life;
@@ -129,8 +129,8 @@
     cr_assert(step.kind == ErrorKind::MayHaveRun);
 }
 
-// Symptom: a clerk read half a summary as if it were all. Sequence: the engine closed the stream
-// early and said it was done. Cause to rule out: the pieces are not counted against the end.
+// Guards against half an answer that looks complete: the engine closes the stream early and reports
+// the end, and the delivered pieces are not compared with the number it reports.
 Test(life, a_short_answer_is_no_answer)
 {
     RequestLifecycle life;
@@ -171,7 +171,7 @@
 
 namespace {
 
-/** Entry VMs with their key records; a restart loses them. */
+/** Entry VMs with their key records, which a restart loses. */
 struct KeyWorld
 {
     std::vector<KeyRecords> vms;
@@ -229,8 +229,8 @@
 
 } // namespace
 
-// Symptom: a repeated booking ran again. Sequence: holders of the key's record died, restarted or
-// changed between the caller's repeats. Cause: a VM without memory took "unknown" for "new".
+// Guards against running a retried booking again: holders of the key's record failed, restarted or
+// changed between the caller's retries, and a VM without records took "unknown" for "new".
 Test(keys, one_key_runs_once_whatever_dies)
 {
     cr_assert(rc::check("keys", [] {
