--- a/libs/ownership/include/ownership/Ownership.h
+++ b/libs/ownership/include/ownership/Ownership.h
@@ -10,7 +10,7 @@
 
 namespace monsoonbay {
 
-/** Orders two claims to one target: the log's offset, then a counter of zone-local claims. */
+/** Orders claims to a target: by the offset in the log, then by a counter of zone-local claims. */
 struct FencingToken
 {
     std::uint64_t offset = 0;
@@ -19,17 +19,18 @@
     auto operator<=>(const FencingToken &) const = default;
 };
 
-/** Timing of leases. All on CLOCK_BOOTTIME, so that a paused owner sees its pause. */
+/** Timing of leases. All on CLOCK_BOOTTIME, which also counts while the owner is paused. */
 struct OwnershipConfig
 {
     Duration lease = std::chrono::milliseconds(2000);
-    Duration margin = std::chrono::milliseconds(300); ///< for clocks that run unequally fast
-    Duration startupDelay = std::chrono::milliseconds(1000); ///< no claims so soon after the start
-    Duration reachableFor = std::chrono::milliseconds(3000);
-    Duration minTenure = std::chrono::seconds(5); ///< before a target moves for balance
+    Duration margin = std::chrono::milliseconds(300); ///< for clocks that run at different rates
+    Duration startupDelay =
+        std::chrono::milliseconds(1000); ///< no claims for this long after the start
+    Duration reachableFor = std::chrono::milliseconds(3000); ///< after a target's last answer
+    Duration minTenure = std::chrono::seconds(5); ///< least time of ownership before a hand-over
 };
 
-/** A target as the VM list and the manifest tell of it. */
+/** A target as the VM list and the manifest describe it. */
 struct OwnedTarget
 {
     TargetId target;
@@ -50,29 +51,29 @@
 
 enum class ClaimPhase : std::uint8_t {
     None,
-    Appending, ///< the claim is on its way to the log
-    Confirming, ///< has a token, the engine has not answered it yet
+    Appending, ///< the claim is being appended to the log
+    Confirming, ///< it has a token that the engine has not accepted yet
     Owner,
 };
 
-/** What this VM knows of the ownership of one target. */
+/** What this VM knows about the ownership of one target. */
 struct TargetClaim
 {
     OwnedTarget target;
     ClaimPhase phase = ClaimPhase::None;
     FencingToken token;
     Instant claimedAt{};
-    Instant commandAfter{}; ///< earlier, the previous owner may still order
+    Instant commandAfter{}; ///< before that, the previous owner may still send commands
     Instant leaseUntil{};
     Instant reachableAt{};
     Instant renewedAt{};
-    VmId owner; ///< the owner with the highest token heard of; value 0: none
+    VmId owner; ///< the owner with the highest known token; value 0: none
     FencingToken ownerToken;
     bool released = false; ///< its previous owner handed it over
-    bool wasOwned = false; ///< somebody was heard to own it
+    bool wasOwned = false; ///< some VM is known to have owned it
 };
 
-/** Ownership of all targets as one VM sees it; the arbiter is the engine, the log or the peers. */
+/** Ownership of all targets as known to one VM; the arbiter is the engine, the log or the peers. */
 struct OwnershipState
 {
     OwnershipConfig config;
@@ -80,15 +81,15 @@
     std::string zone;
     Instant startedAt{};
     std::vector<TargetClaim> claims;
-    std::vector<OwnerCandidate> candidates; ///< alive entry VMs, this one among them
-    FencingToken highest; ///< of any token seen anywhere
+    std::vector<OwnerCandidate> candidates; ///< alive entry VMs, including this one
+    FencingToken highest; ///< of all tokens seen
     Instant logReadAt{}; ///< start of the last complete read of the log
-    Instant zonePeersContactAt{}; ///< when all zone peers had last been heard
+    Instant zonePeersContactAt{}; ///< when all zone peers had last reported
     bool hasReadLog = false;
     bool leaving = false;
 };
 
-/** An order to renew or make known a claim at the engine. */
+/** A command to announce or renew a claim at the engine. */
 struct EngineClaim
 {
     TargetId target;
@@ -104,7 +105,7 @@
 
 struct OwnershipActions
 {
-    std::vector<TargetId> append; ///< claim all these with one append to the log
+    std::vector<TargetId> append; ///< to be claimed with one append to the log
     std::vector<EngineClaim> engineClaims;
     std::vector<HandOver> handOvers;
 };
@@ -118,42 +119,42 @@
 /** Replaces the list of alive entry VMs. */
 void setCandidates(OwnershipState &state, const std::vector<OwnerCandidate> &candidates);
 
-/** The target answered something; only a reachable target is claimed. */
+/** The target answered; only a reachable target is claimed. */
 void noteReachable(OwnershipState &state, TargetId target, Instant now);
 
-/** A complete read of the log, begun at `startedAt`, showed all claims in it. */
+/** All claims in the log were read; the read was started at `startedAt`. */
 void recordLogRead(OwnershipState &state, Instant startedAt);
 
-/** Every other entry VM of this zone had been heard at `heardAt`. */
+/** Every other entry VM of this zone had reported by `heardAt`. */
 void recordZonePeersContact(OwnershipState &state, Instant heardAt);
 
-/** A claim of another VM, from the log or from a peer. `released`: it gives the target up. */
+/** A claim of a VM, from the log or from a peer. `released`: the VM gives the target up. */
 void applyClaim(OwnershipState &state, TargetId target, VmId owner, const FencingToken &token,
                 bool released);
 
-/** The append of a claim ended; offset 0 means it failed or its answer was lost. */
+/** The append of claims ended; offset 0: it failed, or its answer was lost. */
 void finishAppend(OwnershipState &state, const std::vector<TargetId> &targets, std::uint64_t offset,
                   Instant now);
 
-/** The engine took an order with our token that was sent at `askedAt`. */
+/** The engine accepted a command with our token that was sent at `askedAt`. */
 void recordEngineAccepted(OwnershipState &state, TargetId target, const FencingToken &token,
                           Instant askedAt, Instant now);
 
-/** The engine refused our token; it knows of a higher one. */
+/** The engine refused our token, as it knows a higher one. */
 void recordEngineRefused(OwnershipState &state, TargetId target, const FencingToken &higher);
 
 OwnershipActions tick(OwnershipState &state, Instant now);
 
-/** Ends all ownership for a shutdown; the targets are to be told as released. */
+/** Ends all ownership for a shutdown; the targets are to be reported as released. */
 void releaseAll(OwnershipState &state);
 
 /** True if this VM may send requests to the target now. */
 bool mayDispatch(const OwnershipState &state, TargetId target, Instant now);
 
-/** True if this VM may order loads and evictions on the target now. Check before every order. */
+/** True if this VM may command loads and evictions at the target now; check before each command. */
 bool mayCommand(const OwnershipState &state, TargetId target, Instant now);
 
-/** The VM to send requests for a target to; value 0 if none is known. */
+/** The VM to which requests for a target are sent; value 0: none is known. */
 VmId ownerOf(const OwnershipState &state, TargetId target);
 
 const TargetClaim *findClaim(const OwnershipState &state, TargetId target);
--- a/libs/ownership/src/Ownership.cpp
+++ b/libs/ownership/src/Ownership.cpp
@@ -21,7 +21,7 @@
                        [vm](const OwnerCandidate &candidate) { return candidate.vm == vm; });
 }
 
-// Rendezvous over the zone's entry VMs; over all of them if the zone has none left.
+// Rendezvous hashing over the entry VMs of the target's zone, or over all of them if it has none.
 VmId preferredOwner(const OwnershipState &state, const OwnedTarget &target)
 {
     const bool zoneHasOne = std::any_of(
@@ -49,8 +49,8 @@
         }));
 }
 
-// Two VMs that claim in the same outage start from the same highest token. With equal tokens the
-// engine would obey both, so the low half of the counter is the claimant's own.
+// Two VMs that claim during the same outage start from the same highest token. The engine would
+// accept commands of both if their tokens were equal, so the low half is the claimant's id.
 FencingToken nextLocalToken(const OwnershipState &state)
 {
     constexpr unsigned counterShift = 32;
@@ -76,8 +76,8 @@
         return false;
     if (now < state.startedAt + state.config.startupDelay)
         return false;
-    // Claiming what one cannot reach would take a target from a zone that is cut off and serves
-    // it well, without being able to serve it here.
+    // Claiming an unreachable target would take it from a zone that is cut off but still serves
+    // it, without being able to serve it here.
     if (claim.reachableAt + state.config.reachableFor < now)
         return false;
     const bool heldByAnother = claim.owner.value != 0 && claim.owner != state.self
@@ -87,15 +87,15 @@
     return preferredOwner(state, claim.target) == state.self;
 }
 
-// The previous owner may order until its lease ends, which is at the latest a lease after the
-// claim came into force: a fenced engine refuses it from then on, an unfenced one does not, but
-// the owner itself stops when it cannot renew.
+// The previous owner may send commands until its lease ends, at the latest one lease duration after
+// the claim takes effect: from then on a fenced engine refuses its commands; an unfenced one does
+// not, but the owner itself stops when it cannot renew.
 void startOwning(OwnershipState &state, TargetClaim &claim, Instant now)
 {
     claim.phase = ClaimPhase::Owner;
     claim.claimedAt = now;
     const bool handedOver = claim.released;
-    // What the previous owner dispatched last may still be on its way to the engine.
+    // The last requests of the previous owner may still be in flight to the engine.
     claim.commandAfter = now + state.config.margin + (handedOver ? Duration{} : state.config.lease);
     claim.owner = state.self;
     claim.ownerToken = claim.token;
@@ -103,9 +103,9 @@
     claim.wasOwned = true;
 }
 
-// Unfenced engines: the log is the arbiter for claims that are in it, else the zone's peers are,
-// and only while all of them are heard. A silent peer may have claimed through a log that we
-// cannot see; and a claim that is not in the log is unknown to an owner who relies on the log.
+// For unfenced engines, the log is the arbiter of claims that are in it; otherwise the zone's peers
+// are, and only while all of them report. A silent peer may have claimed through a log that this VM
+// cannot read, and an owner that relies on the log does not know claims that are not in it.
 Instant unfencedLease(const OwnershipState &state, const TargetClaim &claim)
 {
     const bool inLog = claim.token.local == 0 && state.hasReadLog;
@@ -119,7 +119,7 @@
     return claim.target.checksTokens ? claim.leaseUntil : unfencedLease(state, claim);
 }
 
-// A zone-local claim goes into the log when it is back. The claim made anew waits like any other.
+// A zone-local claim is recorded once the log is back; the new claim waits like any other.
 bool shouldRecord(const OwnershipState &state, const TargetClaim &claim, Instant now)
 {
     const bool logIsBack = state.hasReadLog && state.logReadAt + state.config.lease / 2 > now;
@@ -239,8 +239,8 @@
         if (claim == nullptr || claim->phase != ClaimPhase::Appending)
             continue;
         FencingToken token{offset, 0};
-        // The log is down, or its answer was lost, or it counts anew: a token that is not above
-        // all that were seen would be refused by the engine. The local counter lifts it above.
+        // The log is down, or its answer was lost, or its offsets were reset: the engine would
+        // refuse a token that is not above all that it has seen. The local counter puts it above.
         if (token <= state.highest)
             token = nextLocalToken(state);
         confirm(state, *claim, token, now);
@@ -305,8 +305,8 @@
     const TargetClaim *claim = findClaim(state, target);
     if (claim == nullptr || !isOurs(state, *claim) || now >= leaseOf(state, *claim))
         return false;
-    // On a fenced engine the previous owner can evict nothing any more, so requests may run beside
-    // its last ones. An unfenced engine still obeys it.
+    // A fenced engine no longer accepts evictions of the previous owner, so requests may run next
+    // to its last ones. An unfenced engine still does.
     return claim->target.checksTokens || now >= claim->commandAfter;
 }
 
--- a/libs/ownership/tests/OwnershipSchedules.cpp
+++ b/libs/ownership/tests/OwnershipSchedules.cpp
@@ -1,6 +1,6 @@
-// Ownership under random schedules of cuts, pauses and outages. Symptom looked for: two entry VMs
-// act on one engine so that an adapter is evicted under a request. The sequences are drawn; the
-// cause would be an order that is accepted while another VM may still dispatch.
+// Ownership under random schedules of cuts, pauses and outages. Guards against an adapter that is
+// evicted during a request: the engine accepts a command of one entry VM while another may still
+// dispatch requests to it.
 
 #include <array>
 #include <vector>
@@ -19,7 +19,7 @@
 constexpr Duration detection = std::chrono::milliseconds(1200);
 const TargetId target = TargetId::of("engine");
 
-/** What the schedule may do in a step. */
+/** What a schedule can do in a step. */
 enum class Deed {
     Nothing,
     CutPeers,
@@ -238,7 +238,7 @@
     tellPeers(world, index);
 }
 
-/** An order of `orderer` would be obeyed now while another VM may dispatch. */
+/** Records a breach if a VM's command would be accepted now while another VM may dispatch. */
 void lookForBreach(World &world)
 {
     for (std::size_t orderer = 0; orderer < vmCount; ++orderer) {
@@ -253,7 +253,7 @@
         for (std::size_t other = 0; other < vmCount; ++other) {
             const Vm &rival = world.vms[other];
             if (other != orderer && !rival.paused && mayDispatch(rival.state, target, world.now))
-                world.breach = "vm " + std::to_string(orderer) + " orders while vm "
+                world.breach = "vm " + std::to_string(orderer) + " sends commands while vm "
                     + std::to_string(other) + " dispatches";
         }
     }
@@ -285,7 +285,7 @@
     return schedule;
 }
 
-/** A quiet end after the drawn faults, so that schedules reach the take-over as well. */
+/** Adds steps without faults, so that schedules also reach the take-over. */
 void quieten(std::vector<Move> &moves, int steps)
 {
     moves.insert(moves.end(), static_cast<std::size_t>(steps), Move{});
@@ -299,7 +299,7 @@
         std::vector<Move> moves = drawMoves();
         quieten(moves, 10);
         const World world = runSchedule(true, moves);
-        RC_CLASSIFY(world.orders > 0, "somebody ordered");
+        RC_CLASSIFY(world.orders > 0, "some VM sent commands");
         RC_ASSERT(world.breach == "");
     }));
 }
@@ -314,9 +314,8 @@
     }));
 }
 
-// Symptom: the engine of a dead owner gets no work for long. Sequence: the owner is paused for
-// good; the others notice after the detection time. Cause to rule out: waiting for more than the
-// lease and a second before dispatching again.
+// Guards against an engine that gets no requests for long after its owner failed: the owner is
+// paused for good, the others detect it, and one of them dispatches within the lease and a second.
 Test(ownership, a_dead_owners_target_works_again_within_lease_and_a_second)
 {
     World world = runSchedule(true, std::vector<Move>(12));
@@ -343,9 +342,9 @@
     cr_assert(world.now - died <= OwnershipConfig{}.lease + std::chrono::seconds(1));
 }
 
-// Symptom: after the log came back with a lower offset than a zone-local claim's, the new owner's
-// orders were refused for ever. Sequence: claims during an outage lift the token; the log, counting
-// anew, gives a lower offset. Cause: the offset alone was taken for the token.
+// Guards against an owner whose commands are refused for ever: claims during an outage raise the
+// token; the log then comes back with its offsets reset, and the lower offset alone was used as the
+// token.
 Test(ownership, a_claim_is_never_below_a_token_that_was_seen)
 {
     OwnershipState state = makeOwnership({}, VmId{1}, "zone", Instant{});
@@ -360,9 +359,9 @@
     cr_assert(findClaim(state, target)->token > (FencingToken{500, 3}));
 }
 
-// Symptom: a VM that was suspended evicted an adapter that its successor was using. Sequence: the
-// owner is paused past its lease and wakes without having heard anything. Cause: a lease measured
-// on a clock that stands still in a pause.
+// Guards against a suspended VM that evicts an adapter which its successor is using: the owner is
+// paused past its lease and wakes up without any report, with a lease on a clock that stops during
+// the pause.
 Test(ownership, a_paused_owner_does_nothing_when_it_wakes)
 {
     World world = runSchedule(false, std::vector<Move>(12));
@@ -374,5 +373,5 @@
         cr_assert_not(mayCommand(vm.state, target, wakes));
         return;
     }
-    cr_assert_fail("nobody owned the target");
+    cr_assert_fail("no VM owned the target");
 }
