--- a/libs/membership/include/membership/Membership.h
+++ b/libs/membership/include/membership/Membership.h
@@ -9,7 +9,7 @@
 
 namespace monsoonbay {
 
-/** Timing of the failure detector; its cost per VM does not depend on the number of VMs. */
+/** Parameters of the failure detector. Its messages per VM do not grow with the number of VMs. */
 struct MembershipConfig
 {
     Duration probePeriod = std::chrono::milliseconds(200);
@@ -19,7 +19,7 @@
     int probesPerPeriod = 2;
     int indirectProbes = 3;
     int gossipPerMessage = 12;
-    int gossipRepeats = 4; ///< times log2(members) that a change is passed on
+    int gossipRepeats = 4; ///< a change goes into this many times log2(members) messages
 };
 
 enum class MemberState : std::uint8_t {
@@ -29,7 +29,7 @@
     Left,
 };
 
-/** One entry VM as the others know it. */
+/** One entry VM as known to the others. */
 struct Member
 {
     VmId vm;
@@ -50,7 +50,7 @@
     VmId via;
 };
 
-/** Failure detector of one VM in the manner of SWIM: random probes, indirect ones, gossip. */
+/** SWIM failure detector of one VM: random probes, indirect probes and gossip. */
 struct MembershipState
 {
     struct Known
@@ -58,7 +58,7 @@
         Member member;
         Instant changedAt{};
         Instant lastContactAt{};
-        Instant exchangedAt{}; ///< a message of ours was answered by the member itself
+        Instant exchangedAt{}; ///< the member itself answered a message of this VM
         int gossipBudget = 0;
         bool probing = false;
         bool indirect = false;
@@ -78,31 +78,31 @@
 MembershipState makeMembership(const MembershipConfig &config, const Member &self,
                                std::uint64_t seed, Instant now);
 
-/** A hint from the VM list: an unknown VM is probed, a known one is left as it is. */
+/** Adds a VM of the VM list as a suspect to be probed, unless it is known. */
 void addSeed(MembershipState &state, const Member &member, Instant now);
 
-/** Members' news from a peer. */
+/** Applies members' states received from a peer. */
 void applyGossip(MembershipState &state, const std::vector<Member> &news, Instant now);
 
-/** Something was heard from this VM itself. */
+/** A message from this VM itself was received. */
 void noteHeard(MembershipState &state, VmId vm, std::uint64_t incarnation, Instant now);
 
-/** A direct message of ours was answered: the member knows what we told it. */
+/** The member answered a direct message of this VM, so it has received its content. */
 void recordExchange(MembershipState &state, VmId vm, Instant now);
 
-/** How a direct or indirect probe ended. */
+/** Applies the result of a direct or indirect probe. */
 void recordProbeResult(MembershipState &state, VmId vm, bool answered, Instant now);
 
-/** Probes to send now; also turns silent members suspect and suspects dead. */
+/** Returns the probes to send now; marks silent members suspect, and suspects dead in time. */
 std::vector<Probe> tick(MembershipState &state, Instant now);
 
-/** News to put into the next message; takes what is told from the budget of repeats. */
+/** Members' states for the next message; counts against their `gossipBudget`. */
 std::vector<Member> nextGossip(MembershipState &state);
 
-/** This VM leaves; others learn it by gossip. */
+/** Marks this VM as left; the others learn that by gossip. */
 void leave(MembershipState &state);
 
-/** Members that count as alive (alive or suspect), this VM among them, by id. */
+/** Members that count as alive (alive or suspect), sorted by id; this VM too until it leaves. */
 std::vector<Member> aliveMembers(const MembershipState &state);
 
 const Member *findMember(const MembershipState &state, VmId vm);
--- a/libs/membership/src/Membership.cpp
+++ b/libs/membership/src/Membership.cpp
@@ -9,7 +9,7 @@
 
 using Known = MembershipState::Known;
 
-// The state carries its own generator, so that two runs with the same events are the same.
+// The state has its own random generator, so that runs with the same events are reproducible.
 std::uint64_t nextRandom(MembershipState &state)
 {
     state.random = rendezvousScore(state.random, 0x9e3779b97f4a7c15ULL);
@@ -155,7 +155,8 @@
     const bool known = member.vm == state.self.vm || findKnown(state, member.vm) != nullptr;
     if (known)
         return;
-    // The list lags: a VM on it may be long gone. It starts as a suspect, to be heard or dropped.
+    // The list lags, so that a VM on it may be gone. It starts as a suspect until it reports or is
+    // declared dead.
     Member seed = member;
     seed.incarnation = 0;
     seed.state = MemberState::Suspect;
@@ -187,12 +188,12 @@
         return;
     known->lastContactAt = now;
     known->probing = false;
-    // Hearing a suspect clears the suspicion here at once; the others wait for the member's own
-    // refutation, which the gossip that follows will provoke.
+    // A message from a suspect clears the suspicion here at once. The other VMs wait for the
+    // member's own refutation, which the gossip that follows triggers.
     const bool returned =
         incarnation > known->member.incarnation || known->member.state == MemberState::Suspect;
-    // After a long partition the two sides hold each other dead and the news of it is no longer
-    // told. A dead member that speaks has to hear of the accusation, or it would never refute it.
+    // After a long partition the two sides have each other marked dead and no longer gossip it. A
+    // dead member that sends a message has to be sent its state, or it would never refute it.
     if (!returned && known->member.state != MemberState::Alive)
         known->gossipBudget = std::max(known->gossipBudget, 1);
     if (!returned || known->member.state == MemberState::Left)
@@ -281,7 +282,7 @@
     if (state.self.state == MemberState::Alive)
         alive.push_back(state.self);
     for (const Known &known : state.others) {
-        // A seed that was never heard is no member yet: nothing may be given to it.
+        // A seed that never sent anything is not a member yet: nothing may be assigned to it.
         const bool heardOnce = known.member.incarnation > 0;
         if (heardOnce && countsAsAlive(known.member.state))
             alive.push_back(known.member);
--- a/libs/membership/tests/Detector.cpp
+++ b/libs/membership/tests/Detector.cpp
@@ -20,7 +20,7 @@
     return member;
 }
 
-/** Entry VMs whose messages arrive at once, or not at all. */
+/** Entry VMs whose messages arrive at once or are lost. */
 struct Cluster
 {
     std::vector<MembershipState> vms;
@@ -115,8 +115,8 @@
     }
 }
 
-// Symptom: one bad link between two VMs made targets change owners again and again. Sequence: A and
-// B cannot hear each other, all others hear both. Cause: silence towards one was taken for death.
+// Guards against targets that keep changing owners because of one bad link: two VMs do not reach
+// each other, all others reach both, and silence towards one VM was taken for a failure.
 Test(membership, one_cut_link_kills_nobody)
 {
     Cluster cluster(5);
@@ -130,9 +130,8 @@
     }
 }
 
-// Symptom: after a partition was healed the two sides never saw each other again. Sequence: cut for
-// a minute, each side holds the other dead, healed. Cause: the dead were no longer told that they
-// were held dead, so they had nothing to refute.
+// Guards against two sides that stay apart after a partition of a minute was healed: each side has
+// the other marked dead but no longer sends that state, so that there is nothing to refute.
 Test(membership, two_sides_find_each_other_after_a_partition)
 {
     Cluster cluster(6);
@@ -178,8 +177,8 @@
     cr_assert_leq(perVm[1], perVm[0] * 1.1);
 }
 
-// Symptom: a target went to a VM that had died long ago. Sequence: the lagging VM list still names
-// it. Cause: being listed was taken for being alive.
+// Guards against assigning a target to a VM that failed long ago: the lagging VM list still had it,
+// and being listed was taken for being alive.
 Test(membership, a_listed_vm_that_was_never_heard_is_no_member)
 {
     MembershipState state = makeMembership({}, memberOf(0), 1, Instant{});
