--- a/libs/serving/benchmark/Choices.cpp
+++ b/libs/serving/benchmark/Choices.cpp
@@ -46,11 +46,11 @@
     std::vector<double> times;
     for (auto _ : state) {
         need.adapter = "base/adapter-" + std::to_string(random() % 2000);
-        const auto begun = std::chrono::steady_clock::now();
+        const auto startedAt = std::chrono::steady_clock::now();
         benchmark::DoNotOptimize(chooseEngine(views, need, {}, weights));
-        const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
-        state.SetIterationTime(took.count());
-        times.push_back(took.count() * 1e6);
+        const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - startedAt;
+        state.SetIterationTime(elapsed.count());
+        times.push_back(elapsed.count() * 1e6);
     }
     const auto at = times.begin() + static_cast<std::ptrdiff_t>(times.size() * 99 / 100);
     std::nth_element(times.begin(), at, times.end());
--- a/libs/serving/include/serving/PartitionLease.h
+++ b/libs/serving/include/serving/PartitionLease.h
@@ -106,7 +106,7 @@
                 Instant sentAt, Instant now);
 
 /** After a failed renewal: extends the lease if all peers allow it, and drops it once it ended. */
-void extendLease(PartitionLease &lease, const std::vector<PeerLeaseState> &mates,
+void extendLease(PartitionLease &lease, const std::vector<PeerLeaseState> &peers,
                  const LeaseTiming &timing, Instant now);
 
 /** Gives up all partitions at once. */
@@ -123,7 +123,7 @@
  * The records that `vm` may add now, by records that were read after the lease was last renewed.
  * Restarts the wait for a partition that was reassigned in between.
  */
-std::vector<HolderClaim> claimsToRecord(PartitionLease &lease, const HolderRecords &notes,
+std::vector<HolderClaim> claimsToRecord(PartitionLease &lease, const HolderRecords &records,
                                         const std::string &vm, const LeaseTiming &timing,
                                         Instant now);
 
--- a/libs/serving/src/EngineChoice.cpp
+++ b/libs/serving/src/EngineChoice.cpp
@@ -40,9 +40,9 @@
     return best;
 }
 
-std::optional<std::size_t> firstHome(const std::vector<EngineView> &engines, const EngineNeed &need,
-                                     const EngineWeights &weights,
-                                     const std::vector<bool> &eligible)
+std::optional<std::size_t> preferredEngine(const std::vector<EngineView> &engines,
+                                           const EngineNeed &need, const EngineWeights &weights,
+                                           const std::vector<bool> &eligible)
 {
     const auto warm = leastCost(engines, need, weights, [&](const EngineView &engine) {
         return engine.warm && eligible[static_cast<std::size_t>(&engine - engines.data())];
@@ -62,19 +62,19 @@
 double expectedPausesMs(const EngineView &engine, const EngineNeed &need,
                         const EngineWeights &weights, bool there) noexcept
 {
-    const double fresh = need.promptTokens - (there ? engine.cachedTokens : 0);
-    const double unnoticed =
+    const double uncachedTokens = need.promptTokens - (there ? engine.cachedTokens : 0);
+    const double prefillBudget =
         weights.promptTokensPerMs * weights.pauseShare * need.objectives.pauseMs;
-    const double over = std::max(engine.waitingTokens + fresh - unnoticed, 0.0);
-    return weights.pausePenaltyMs * engine.runs * over / unnoticed;
+    const double excess = std::max(engine.waitingTokens + uncachedTokens - prefillBudget, 0.0);
+    return weights.pausePenaltyMs * engine.runs * excess / prefillBudget;
 }
 
 double expectedCostMs(const EngineView &engine, const EngineNeed &need,
                       const EngineWeights &weights)
 {
     const bool there = hasAdapter(engine, need);
-    const double fresh = need.promptTokens - (there ? engine.cachedTokens : 0);
-    return expectedWaitMs(engine, weights) + fresh / weights.promptTokensPerMs
+    const double uncachedTokens = need.promptTokens - (there ? engine.cachedTokens : 0);
+    return expectedWaitMs(engine, weights) + uncachedTokens / weights.promptTokensPerMs
         + expectedPausesMs(engine, need, weights, there) + (there ? 0 : engine.loadMs);
 }
 
@@ -128,19 +128,20 @@
             && !hasAdapter(engine, need);
         anyLoadable = anyLoadable || loadable[index];
     }
-    const std::optional<std::size_t> home =
-        anyLoadable ? firstHome(engines, need, weights, loadable) : std::nullopt;
+    const std::optional<std::size_t> preferred =
+        anyLoadable ? preferredEngine(engines, need, weights, loadable) : std::nullopt;
     if (resident) {
-        const double stay = expectedCostMs(engines[*resident], need, weights);
-        const bool copyPays = home && stay > weights.onTimeShare * need.objectives.firstEventMs
-            && engines[*home].idleSlots >= idleSlotsForCopy
-            && stay > expectedCostMs(engines[*home], need, weights)
-                    + weights.copyExtraLoads * engines[*home].fetchMs;
-        return copyPays ? EngineChoice{EngineStep::Load, *home}
+        const double residentCost = expectedCostMs(engines[*resident], need, weights);
+        const bool copyPays = preferred
+            && residentCost > weights.onTimeShare * need.objectives.firstEventMs
+            && engines[*preferred].idleSlots >= idleSlotsForCopy
+            && residentCost > expectedCostMs(engines[*preferred], need, weights)
+                    + weights.copyExtraLoads * engines[*preferred].fetchMs;
+        return copyPays ? EngineChoice{EngineStep::Load, *preferred}
                         : EngineChoice{EngineStep::Send, *resident};
     }
-    if (home)
-        return {EngineStep::Load, *home};
+    if (preferred)
+        return {EngineStep::Load, *preferred};
     return {anyUsable ? EngineStep::Full : EngineStep::None, 0};
 }
 
--- a/libs/serving/src/EngineForecast.cpp
+++ b/libs/serving/src/EngineForecast.cpp
@@ -5,8 +5,8 @@
 double forecastMs(const EngineView &engine, const EngineNeed &need, const EngineWeights &weights,
                   bool there) noexcept
 {
-    const double unread = need.promptTokens - (there ? engine.cachedTokens : 0);
-    return expectedWaitMs(engine, weights) + unread / weights.promptTokensPerMs
+    const double uncachedTokens = need.promptTokens - (there ? engine.cachedTokens : 0);
+    return expectedWaitMs(engine, weights) + uncachedTokens / weights.promptTokensPerMs
         + (there ? 0 : engine.loadMs);
 }
 
--- a/libs/serving/src/ForecastChoice.cpp
+++ b/libs/serving/src/ForecastChoice.cpp
@@ -15,22 +15,22 @@
 constexpr std::size_t inlineEngines = 256;
 
 /** What an engine can do for the call. */
-enum class EngineUse : std::uint8_t {
+enum class EngineOption : std::uint8_t {
     None,
     Send, ///< the adapter is resident
     Load, ///< the adapter can be loaded there
 };
 
-struct EngineFigures
+struct EngineScore
 {
-    EngineUse use = EngineUse::None;
+    EngineOption option = EngineOption::None;
     bool meets = false; ///< the forecast meets the call's objective
     double forecast = 0; ///< time to the first event, ms
     double cost = 0; ///< see expectedCostMs()
-    int yielding = 0; ///< rank of the engine for a long prompt, by EngineWeights::longPrompts
+    int rank = 0; ///< for a long prompt, by EngineWeights::longPrompts; lower is better
 };
 
-using Figures = boost::container::small_vector<EngineFigures, inlineEngines>;
+using EngineScores = boost::container::small_vector<EngineScore, inlineEngines>;
 
 bool isUsable(const EngineView &engine, const std::vector<std::string> &tried)
 {
@@ -41,7 +41,7 @@
 /** A prompt is long if its prefill takes more than this share of the shortest objective. */
 constexpr double longShare = 0.25;
 /** With LongPromptPolicy::ReservedEngines, long prompts avoid one engine in this many. */
-constexpr std::uint64_t apartOneIn = 4;
+constexpr std::uint64_t avoidOneIn = 4;
 
 bool isLong(const EngineNeed &need, const EngineWeights &weights)
 {
@@ -49,13 +49,13 @@
         && need.promptTokens / weights.promptTokensPerMs > longShare * need.shortestObjectiveMs;
 }
 
-int yieldingOf(const EngineView &engine, const EngineNeed &need, const EngineWeights &weights)
+int rankOf(const EngineView &engine, const EngineNeed &need, const EngineWeights &weights)
 {
     if (weights.longPrompts == LongPromptPolicy::Unrestricted || !isLong(need, weights))
         return 0;
     if (weights.longPrompts == LongPromptPolicy::FewestShortRuns)
         return engine.shortObjectiveRuns;
-    return engine.hash % apartOneIn == 0 ? 1 : 0;
+    return engine.hash % avoidOneIn == 0 ? 1 : 0;
 }
 
 /**
@@ -92,50 +92,51 @@
     std::size_t bucket = 0;
 };
 
-EngineFigures figuresOf(const EngineView &engine, const EngineNeed &need,
-                        const EngineWeights &weights, AdapterSearch &search)
+EngineScore scoreOf(const EngineView &engine, const EngineNeed &need, const EngineWeights &weights,
+                    AdapterSearch &search)
 {
-    EngineFigures figures;
+    EngineScore score;
     if (!hasCapacity(engine, need, weights))
-        return figures;
+        return score;
     const bool there = search.isAt(engine);
     if (!there && (!engine.hasHolder || engine.idleSlots <= 0))
-        return figures;
-    figures.use = there ? EngineUse::Send : EngineUse::Load;
-    figures.forecast = forecastMs(engine, need, weights, there);
-    figures.meets = meetsObjective(figures.forecast, need, weights);
-    figures.yielding = yieldingOf(engine, need, weights);
+        return score;
+    score.option = there ? EngineOption::Send : EngineOption::Load;
+    score.forecast = forecastMs(engine, need, weights, there);
+    score.meets = meetsObjective(score.forecast, need, weights);
+    score.rank = rankOf(engine, need, weights);
     const bool pauses = need.objectives.pauseMs > 0;
-    figures.cost = figures.forecast + (pauses ? expectedPausesMs(engine, need, weights, there) : 0);
-    return figures;
+    score.cost = score.forecast + (pauses ? expectedPausesMs(engine, need, weights, there) : 0);
+    return score;
 }
 
 /** True if `one` is the better choice: by the objective first, then by rank, then by cost. */
-bool isBetter(const EngineFigures &one, double oneCost, const EngineFigures &other,
+bool isBetter(const EngineScore &one, double oneCost, const EngineScore &other,
               double otherCost) noexcept
 {
     if (one.meets != other.meets)
         return one.meets;
-    if (one.meets && one.yielding != other.yielding)
-        return one.yielding < other.yielding;
+    if (one.meets && one.rank != other.rank)
+        return one.rank < other.rank;
     return oneCost < otherCost;
 }
 
 /**
- * The cheapest engine of this use among those that meet the objective, or among all if none does.
- * `jitterMs` decides only between engines that both meet it, or both do not.
+ * The cheapest engine with this option among those that meet the objective, or among all if none
+ * does. `jitterMs` decides only between engines that both meet it, or both do not.
  */
 template <typename Accepts>
-std::optional<std::size_t> leastCost(const std::vector<EngineView> &engines, const Figures &figures,
-                                     EngineUse use, Accepts accepts)
+std::optional<std::size_t> leastCost(const std::vector<EngineView> &engines,
+                                     const EngineScores &scores, EngineOption option,
+                                     Accepts accepts)
 {
     std::optional<std::size_t> best;
     double bestCost = 0;
     for (std::size_t index = 0; index < engines.size(); ++index) {
-        if (figures[index].use != use || !accepts(engines[index]))
+        if (scores[index].option != option || !accepts(engines[index]))
             continue;
-        const double cost = figures[index].cost + engines[index].jitterMs;
-        if (best && !isBetter(figures[index], cost, figures[*best], bestCost))
+        const double cost = scores[index].cost + engines[index].jitterMs;
+        if (best && !isBetter(scores[index], cost, scores[*best], bestCost))
             continue;
         best = index;
         bestCost = cost;
@@ -146,29 +147,29 @@
 // The order of PreferredEngine.h, among the engines that meet the objective with the load if there
 // are any. A preferred engine or a copy may cost that many load times more than the least busy
 // engine only if the call is still on time: one load is half of an objective of 500 ms.
-std::optional<std::size_t> firstHome(const std::vector<EngineView> &engines, const Figures &figures,
-                                     const EngineNeed &need, const EngineWeights &weights)
+std::optional<std::size_t> preferredEngine(const std::vector<EngineView> &engines,
+                                           const EngineScores &scores, const EngineNeed &need,
+                                           const EngineWeights &weights)
 {
     bool anyMeets = false;
-    for (const EngineFigures &engine : figures)
-        anyMeets = anyMeets || (engine.use == EngineUse::Load && engine.meets);
+    for (const EngineScore &engine : scores)
+        anyMeets = anyMeets || (engine.option == EngineOption::Load && engine.meets);
     bool anyOpen = false;
-    for (const EngineFigures &engine : figures)
+    for (const EngineScore &engine : scores)
         anyOpen =
-            anyOpen || (engine.use == EngineUse::Load && engine.meets && engine.yielding == 0);
-    const auto isCandidate = [&](const EngineFigures &engine) {
-        return engine.use == EngineUse::Load && (engine.meets || !anyMeets)
+            anyOpen || (engine.option == EngineOption::Load && engine.meets && engine.rank == 0);
+    const auto isCandidate = [&](const EngineScore &engine) {
+        return engine.option == EngineOption::Load && (engine.meets || !anyMeets)
             && (weights.longPrompts != LongPromptPolicy::ReservedEngines || !anyOpen
-                || engine.yielding == 0);
+                || engine.rank == 0);
     };
-    auto warm = leastCost(engines, figures, EngineUse::Load,
+    auto warm = leastCost(engines, scores, EngineOption::Load,
                           [](const EngineView &engine) { return engine.warm; });
-    if (warm && !isCandidate(figures[*warm]))
+    if (warm && !isCandidate(scores[*warm]))
         warm.reset();
     return choosePreferredEngine(
-        engines, need, weights, warm,
-        [&](std::size_t index) { return isCandidate(figures[index]); },
-        [&](std::size_t index) { return figures[index].cost; });
+        engines, need, weights, warm, [&](std::size_t index) { return isCandidate(scores[index]); },
+        [&](std::size_t index) { return scores[index].cost; });
 }
 
 /**
@@ -176,36 +177,36 @@
  * than the objective, each call would otherwise load a copy, even next to an engine that looks
  * idle.
  */
-constexpr double newsShare = 0.5;
+constexpr double maxStateAgeShare = 0.5;
 
 // A queue can grow for as long as the state updates are old before this VM learns of it. Once it is
 // known to make calls late, a copy is too late for those already on their way there, as a load
 // takes as long as the objective of a short call.
-bool mayBeLate(const EngineFigures &stay, const EngineNeed &need)
+bool mayBeLate(const EngineScore &current, const EngineNeed &need)
 {
     if (!need.mayCopyEarly)
         return false;
     const double objective = need.objectives.firstEventMs;
-    return stay.forecast + std::min(need.stateAgeMs, newsShare * objective) > objective;
+    return current.forecast + std::min(need.stateAgeMs, maxStateAgeShare * objective) > objective;
 }
 
 /** A copy is also considered by cost, as without forecasts, so that pauses of other streams count.
  */
-bool isCostly(const EngineFigures &stay, const EngineNeed &need, const EngineWeights &weights)
+bool isCostly(const EngineScore &current, const EngineNeed &need, const EngineWeights &weights)
 {
-    return stay.cost > weights.onTimeShare * need.objectives.firstEventMs;
+    return current.cost > weights.onTimeShare * need.objectives.firstEventMs;
 }
 
-/** True if the adapter should be loaded at `home` although `stay` has it. */
-bool copyPays(const EngineFigures &stay, const EngineFigures &home, const EngineView &homeView,
-              const EngineNeed &need, const EngineWeights &weights)
+/** True if the adapter should be loaded at `preferred` although `current` has it. */
+bool copyPays(const EngineScore &current, const EngineScore &preferred,
+              const EngineView &preferredView, const EngineNeed &need, const EngineWeights &weights)
 {
-    if (homeView.idleSlots < idleSlotsForCopy)
+    if (preferredView.idleSlots < idleSlotsForCopy)
         return false;
-    if (home.meets && (!stay.meets || mayBeLate(stay, need)))
+    if (preferred.meets && (!current.meets || mayBeLate(current, need)))
         return true;
-    return isCostly(stay, need, weights)
-        && stay.cost > home.cost + weights.copyExtraLoads * homeView.fetchMs;
+    return isCostly(current, need, weights)
+        && current.cost > preferred.cost + weights.copyExtraLoads * preferredView.fetchMs;
 }
 
 } // namespace
@@ -213,30 +214,30 @@
 EngineChoice chooseByForecast(const std::vector<EngineView> &engines, const EngineNeed &need,
                               const std::vector<std::string> &tried, const EngineWeights &weights)
 {
-    Figures figures(engines.size());
+    EngineScores scores(engines.size());
     AdapterSearch search(need);
     bool anyUsable = false;
     for (std::size_t index = 0; index < engines.size(); ++index) {
         if (!isUsable(engines[index], tried))
             continue;
         anyUsable = true;
-        figures[index] = figuresOf(engines[index], need, weights, search);
+        scores[index] = scoreOf(engines[index], need, weights, search);
     }
     const auto resident =
-        leastCost(engines, figures, EngineUse::Send, [](const EngineView &) { return true; });
-    const bool calm = resident && figures[*resident].meets && !mayBeLate(figures[*resident], need)
-        && !isCostly(figures[*resident], need, weights);
-    if (calm)
+        leastCost(engines, scores, EngineOption::Send, [](const EngineView &) { return true; });
+    const bool onTime = resident && scores[*resident].meets && !mayBeLate(scores[*resident], need)
+        && !isCostly(scores[*resident], need, weights);
+    if (onTime)
         return {EngineStep::Send, *resident};
-    const auto home = firstHome(engines, figures, need, weights);
+    const auto preferred = preferredEngine(engines, scores, need, weights);
     if (resident) {
-        const bool copy =
-            home && copyPays(figures[*resident], figures[*home], engines[*home], need, weights);
-        return copy ? EngineChoice{EngineStep::Load, *home}
+        const bool copy = preferred
+            && copyPays(scores[*resident], scores[*preferred], engines[*preferred], need, weights);
+        return copy ? EngineChoice{EngineStep::Load, *preferred}
                     : EngineChoice{EngineStep::Send, *resident};
     }
-    if (home)
-        return {EngineStep::Load, *home};
+    if (preferred)
+        return {EngineStep::Load, *preferred};
     return {anyUsable ? EngineStep::Full : EngineStep::None, 0};
 }
 
--- a/libs/serving/src/HarmfulCalls.cpp
+++ b/libs/serving/src/HarmfulCalls.cpp
@@ -13,10 +13,10 @@
  * Observations of a target within this time are of the same crash: VMs see it at the same moment,
  * but for the delay of their reports, and a target restarted at once takes longer to run calls.
  */
-constexpr Duration sameEnd = std::chrono::milliseconds(200);
+constexpr Duration sameCrashWindow = std::chrono::milliseconds(200);
 
 /** A crash of one target, with the calls that any VM had running there. */
-struct TargetEnd
+struct TargetCrash
 {
     Instant at{};
     std::int64_t nextStartTime = 0; ///< 0: not known
@@ -48,20 +48,21 @@
 }
 
 /** The crash that a piece of evidence is about, among those of the same target; null: a new one. */
-TargetEnd *findEnd(std::vector<TargetEnd *> &ofTarget, const CallEvidence &item)
-{
-    for (TargetEnd *end : ofTarget) {
-        const bool sameStart = item.nextStartTime != 0 && end->nextStartTime == item.nextStartTime;
-        const bool otherStart = item.nextStartTime != 0 && end->nextStartTime != 0
-            && end->nextStartTime != item.nextStartTime;
-        const Duration apart = item.at > end->at ? item.at - end->at : end->at - item.at;
-        if (sameStart || (!otherStart && apart < sameEnd))
-            return end;
+TargetCrash *findCrash(std::vector<TargetCrash *> &ofTarget, const CallEvidence &item)
+{
+    for (TargetCrash *crash : ofTarget) {
+        const bool sameStart =
+            item.nextStartTime != 0 && crash->nextStartTime == item.nextStartTime;
+        const bool otherStart = item.nextStartTime != 0 && crash->nextStartTime != 0
+            && crash->nextStartTime != item.nextStartTime;
+        const Duration apart = item.at > crash->at ? item.at - crash->at : crash->at - item.at;
+        if (sameStart || (!otherStart && apart < sameCrashWindow))
+            return crash;
     }
     return nullptr;
 }
 
-std::vector<TargetEnd> endsOf(const std::vector<const CallEvidence *> &evidence)
+std::vector<TargetCrash> crashesOf(const std::vector<const CallEvidence *> &evidence)
 {
     std::vector<const CallEvidence *> ordered;
     for (const CallEvidence *item : evidence) {
@@ -72,31 +73,31 @@
         return std::tie(a->target, a->at, a->nextStartTime)
             < std::tie(b->target, b->at, b->nextStartTime);
     });
-    std::vector<TargetEnd> ends;
-    ends.reserve(ordered.size()); // `ofTarget` keeps pointers to elements
-    std::vector<TargetEnd *> ofTarget;
+    std::vector<TargetCrash> crashes;
+    crashes.reserve(ordered.size()); // `ofTarget` keeps pointers to elements
+    std::vector<TargetCrash *> ofTarget;
     const std::string *target = nullptr;
     for (const CallEvidence *item : ordered) {
         if (target == nullptr || *target != item->target)
             ofTarget.clear();
         target = &item->target;
-        TargetEnd *end = findEnd(ofTarget, *item);
-        if (end == nullptr) {
-            end = &ends.emplace_back();
-            end->at = item->at;
-            ofTarget.push_back(end);
+        TargetCrash *crash = findCrash(ofTarget, *item);
+        if (crash == nullptr) {
+            crash = &crashes.emplace_back();
+            crash->at = item->at;
+            ofTarget.push_back(crash);
         }
-        end->nextStartTime = std::max(end->nextStartTime, item->nextStartTime);
-        end->calls.insert(item->calls.begin(), item->calls.end());
+        crash->nextStartTime = std::max(crash->nextStartTime, item->nextStartTime);
+        crash->calls.insert(item->calls.begin(), item->calls.end());
     }
-    return ends;
+    return crashes;
 }
 
 template <typename Key>
-bool isVouchedFor(const std::map<Key, Instant> &answers, const Key &key, Instant end)
+bool isCleared(const std::map<Key, Instant> &answers, const Key &key, Instant crash)
 {
     const auto answered = answers.find(key);
-    return answered != answers.end() && answered->second + answerClearsFor >= end;
+    return answered != answers.end() && answered->second + answerClearsFor >= crash;
 }
 
 /** Crashes that a call could explain, as indices into the list of all crashes. */
@@ -109,21 +110,21 @@
     std::map<std::uint64_t, Explained> byContent;
 };
 
-Candidates candidatesOf(const std::vector<TargetEnd> &ends, const Answers &answers)
+Candidates candidatesOf(const std::vector<TargetCrash> &crashes, const Answers &answers)
 {
     Candidates candidates;
-    for (std::size_t index = 0; index < ends.size(); ++index) {
-        const TargetEnd &end = ends[index];
-        if (end.explained)
+    for (std::size_t index = 0; index < crashes.size(); ++index) {
+        const TargetCrash &crash = crashes[index];
+        if (crash.explained)
             continue;
         std::set<std::uint64_t> contents;
-        for (const CallIdentity &call : end.calls) {
+        for (const CallIdentity &call : crash.calls) {
             contents.insert(call.content);
-            if (!isVouchedFor(answers.byCall, call, end.at))
+            if (!isCleared(answers.byCall, call, crash.at))
                 candidates.byCall[call].push_back(index);
         }
         for (const std::uint64_t content : contents) {
-            if (!isVouchedFor(answers.byContent, content, end.at))
+            if (!isCleared(answers.byContent, content, crash.at))
                 candidates.byContent[content].push_back(index);
         }
     }
@@ -131,35 +132,35 @@
 }
 
 /** The largest set of crashes that one call explains; empty: none explains any. */
-Explained mostExplained(const Candidates &candidates)
+Explained largestExplained(const Candidates &candidates)
 {
-    Explained most;
-    const auto look = [&most](const auto &explainedBy) {
-        for (const auto &[key, ends] : explainedBy) {
-            if (ends.size() > most.size())
-                most = ends;
+    Explained largest;
+    const auto consider = [&largest](const auto &explainedBy) {
+        for (const auto &[key, crashes] : explainedBy) {
+            if (crashes.size() > largest.size())
+                largest = crashes;
         }
     };
-    look(candidates.byCall);
-    look(candidates.byContent);
-    return most;
+    consider(candidates.byCall);
+    consider(candidates.byContent);
+    return largest;
 }
 
 /** Calls that explain exactly these crashes; by content alone only if no caller's call does. */
-std::vector<HarmfulCall> explaining(const Candidates &candidates, const Explained &ends,
-                                    Instant firstCrashAt)
+std::vector<HarmfulCall> callsExplaining(const Candidates &candidates, const Explained &crashes,
+                                         Instant firstCrashAt)
 {
     std::vector<HarmfulCall> found;
     std::set<std::uint64_t> contents;
-    const int count = static_cast<int>(ends.size());
+    const int count = static_cast<int>(crashes.size());
     for (const auto &[call, explained] : candidates.byCall) {
-        if (explained != ends)
+        if (explained != crashes)
             continue;
         found.push_back({call.content, call.caller, count, firstCrashAt});
         contents.insert(call.content);
     }
     for (const auto &[content, explained] : candidates.byContent) {
-        if (explained == ends && contents.count(content) == 0)
+        if (explained == crashes && contents.count(content) == 0)
             found.push_back({content, std::nullopt, count, firstCrashAt});
     }
     return found;
@@ -173,7 +174,7 @@
 template <typename Key> std::vector<Key> keysOf(const std::map<Key, Explained> &explainedBy)
 {
     std::vector<Key> keys;
-    for (const auto &[key, ends] : explainedBy)
+    for (const auto &[key, crashes] : explainedBy)
         keys.push_back(key);
     return keys;
 }
@@ -187,25 +188,25 @@
 HarmfulCalls findHarmfulCalls(const std::vector<const CallEvidence *> &evidence)
 {
     HarmfulCalls verdict;
-    std::vector<TargetEnd> ends = endsOf(evidence);
+    std::vector<TargetCrash> crashes = crashesOf(evidence);
     const Answers answers = answersOf(evidence);
-    Candidates candidates = candidatesOf(ends, answers);
+    Candidates candidates = candidatesOf(crashes, answers);
     verdict.suspectCalls = keysOf(candidates.byCall);
     verdict.suspectContents = keysOf(candidates.byContent);
     while (true) {
-        const Explained most = mostExplained(candidates);
-        const int count = static_cast<int>(most.size());
+        const Explained largest = largestExplained(candidates);
+        const int count = static_cast<int>(largest.size());
         if (count < crashesToBlock)
             return verdict;
-        Instant first = ends[most.front()].at;
-        for (const std::size_t end : most) {
-            ends[end].explained = true;
-            first = std::min(first, ends[end].at);
+        Instant first = crashes[largest.front()].at;
+        for (const std::size_t crash : largest) {
+            crashes[crash].explained = true;
+            first = std::min(first, crashes[crash].at);
         }
-        const std::vector<HarmfulCall> found = explaining(candidates, most, first);
+        const std::vector<HarmfulCall> found = callsExplaining(candidates, largest, first);
         if (found.size() == 1 || count >= crashesToBlockTied)
             verdict.calls.insert(verdict.calls.end(), found.begin(), found.end());
-        candidates = candidatesOf(ends, answers);
+        candidates = candidatesOf(crashes, answers);
     }
 }
 
--- a/libs/serving/src/PartitionLease.cpp
+++ b/libs/serving/src/PartitionLease.cpp
@@ -12,37 +12,37 @@
 }
 
 /** Until when the peers' reports extend the lease; zero: they do not. */
-Instant endByWords(const PartitionLease &lease, const std::vector<PeerLeaseState> &mates,
-                   const LeaseTiming &timing, Instant now)
+Instant extensionEnd(const PartitionLease &lease, const std::vector<PeerLeaseState> &peers,
+                     const LeaseTiming &timing, Instant now)
 {
     Instant end = now + timing.peerStateTtl;
-    for (const PeerLeaseState &mate : mates) {
-        const bool mayHoldNow = !mate.storeUnreachable || mate.generation > lease.generation;
+    for (const PeerLeaseState &peer : peers) {
+        const bool mayHoldNow = !peer.storeUnreachable || peer.generation > lease.generation;
         if (mayHoldNow)
             return Instant{};
-        end = std::min(end, mate.receivedAt + timing.peerStateTtl);
+        end = std::min(end, peer.receivedAt + timing.peerStateTtl);
     }
     return end;
 }
 
 /** Releases older than this no longer shorten the wait of any VM. */
-constexpr Duration releaseTold = std::chrono::seconds(8);
+constexpr Duration releaseTtl = std::chrono::seconds(8);
 
 /** Adds releases for partitions that are given up, if commands could be sent to them until now. */
-void release(PartitionLease &lease, const std::map<int, Instant> &keeps, Instant now)
+void release(PartitionLease &lease, const std::map<int, Instant> &stillHeld, Instant now)
 {
     std::erase_if(lease.releases,
-                  [now](const PartitionRelease &old) { return now - old.at > releaseTold; });
+                  [now](const PartitionRelease &old) { return now - old.at > releaseTtl; });
     const bool unbroken = now < endOf(lease);
     for (const auto &[partition, from] : lease.activeFrom) {
         const bool ordered = unbroken && now >= from && lease.recorded.count(partition) > 0;
-        if (ordered && keeps.count(partition) == 0)
+        if (ordered && stillHeld.count(partition) == 0)
             lease.releases.push_back({partition, lease.generation, now});
     }
 }
 
 /** Time after which no former holder of a partition sends commands and the gap has passed. */
-Duration waitAfterDeal(const LeaseTiming &timing)
+Duration waitAfterReassignment(const LeaseTiming &timing)
 {
     return timing.ttl + timing.peerStateTtl + timing.handoverGap;
 }
@@ -65,23 +65,23 @@
     const bool unbroken = now < endOf(lease);
     std::map<int, Instant> activeFrom;
     std::map<int, std::int64_t> acquiredIn;
-    std::set<int> looked;
-    std::set<int> noted;
+    std::set<int> recordsRead;
+    std::set<int> recorded;
     for (const int partition : grant.partitions) {
         const auto held = lease.activeFrom.find(partition);
-        const bool goesOn = held != lease.activeFrom.end() && unbroken;
-        activeFrom[partition] = goesOn ? held->second : now + waitAfterDeal(timing);
-        acquiredIn[partition] = goesOn ? lease.acquiredIn[partition] : grant.generation;
-        if (goesOn && lease.recordsRead.count(partition) > 0)
-            looked.insert(partition);
-        if (goesOn && lease.recorded.count(partition) > 0)
-            noted.insert(partition);
+        const bool kept = held != lease.activeFrom.end() && unbroken;
+        activeFrom[partition] = kept ? held->second : now + waitAfterReassignment(timing);
+        acquiredIn[partition] = kept ? lease.acquiredIn[partition] : grant.generation;
+        if (kept && lease.recordsRead.count(partition) > 0)
+            recordsRead.insert(partition);
+        if (kept && lease.recorded.count(partition) > 0)
+            recorded.insert(partition);
     }
     release(lease, activeFrom, now);
     lease.acquiredIn = std::move(acquiredIn);
     lease.activeFrom = std::move(activeFrom);
-    lease.recordsRead = std::move(looked);
-    lease.recorded = std::move(noted);
+    lease.recordsRead = std::move(recordsRead);
+    lease.recorded = std::move(recorded);
     lease.generation = std::max(lease.generation, grant.generation);
     lease.until = std::max(lease.until, sentAt + timing.ttl - timing.margin);
     lease.extendedUntil = Instant{};
@@ -92,14 +92,14 @@
 // it waits for `ttl`, `peerStateTtl` and `handoverGap` before it sends commands, while this VM
 // stops at the latest `peerStateTtl` after the report. After a pause of this VM all reports are
 // old, so the lease is dropped at the first check.
-void extendLease(PartitionLease &lease, const std::vector<PeerLeaseState> &mates,
+void extendLease(PartitionLease &lease, const std::vector<PeerLeaseState> &peers,
                  const LeaseTiming &timing, Instant now)
 {
     if (now >= endOf(lease)) {
         dropLease(lease, now);
         return;
     }
-    lease.extendedUntil = endByWords(lease, mates, timing, now);
+    lease.extendedUntil = extensionEnd(lease, peers, timing, now);
 }
 
 void dropLease(PartitionLease &lease, Instant now)
@@ -143,7 +143,7 @@
 // command, and only if no other was. A record of another VM with a later generation than the one in
 // which the partition was acquired shows that it was reassigned since: this VM learns that at its
 // next renewal, or has been assigned it once more without noticing, and waits again.
-std::vector<HolderClaim> claimsToRecord(PartitionLease &lease, const HolderRecords &notes,
+std::vector<HolderClaim> claimsToRecord(PartitionLease &lease, const HolderRecords &records,
                                         const std::string &vm, const LeaseTiming &timing,
                                         Instant now)
 {
@@ -153,18 +153,18 @@
         if (lease.recorded.count(partition) > 0)
             continue;
         std::int64_t &acquiredIn = lease.acquiredIn[partition];
-        const auto note = notes.byPartition.find(partition);
-        const bool again = note != notes.byPartition.end() && note->second.vm == vm;
-        const bool movedOn =
-            !again && note != notes.byPartition.end() && note->second.generation > acquiredIn;
-        if (movedOn && lease.generation > note->second.generation) {
+        const auto record = records.byPartition.find(partition);
+        const bool wasHolder = record != records.byPartition.end() && record->second.vm == vm;
+        const bool reassigned = !wasHolder && record != records.byPartition.end()
+            && record->second.generation > acquiredIn;
+        if (reassigned && lease.generation > record->second.generation) {
             acquiredIn = lease.generation;
-            from = now + waitAfterDeal(timing);
+            from = now + waitAfterReassignment(timing);
             continue;
         }
-        if (movedOn || (!again && now < from))
+        if (reassigned || (!wasHolder && now < from))
             continue;
-        claims.push_back({partition, acquiredIn, again});
+        claims.push_back({partition, acquiredIn, wasHolder});
     }
     return claims;
 }
--- a/libs/serving/tests/Declines.cpp
+++ b/libs/serving/tests/Declines.cpp
@@ -13,7 +13,7 @@
 
 // Guards against a mark that stays when the holder of the lease changes, or that ends at once, so
 // that calls repeat a declined request for a load.
-Test(declines, marks_last_until_the_forecast_and_never_over_a_second)
+Test(declines, marks_expire_at_the_forecast_or_after_a_second)
 {
     cr_assert(rc::check("marks", [] {
         const auto reason = declineReasonOf(*rc::gen::inRange<std::uint64_t>(0, 9));
@@ -32,7 +32,7 @@
 }
 
 // Guards against using an unknown value, sent by a later software version, as an array index.
-Test(declines, reasons_that_are_not_known_count_as_not_said)
+Test(declines, unknown_reasons_count_as_not_given)
 {
     cr_assert(declineReasonOf(3) == DeclineReason::EngineSilent);
     cr_assert(declineReasonOf(6) == DeclineReason::Unspecified);
--- a/libs/serving/tests/EngineLogs.cpp
+++ b/libs/serving/tests/EngineLogs.cpp
@@ -43,7 +43,7 @@
 } // namespace
 
 // Guards against deltas that leave a reader with residents that the engine does not have.
-Test(engine_log, readers_that_hear_changes_now_and_then_know_the_record)
+Test(engine_log, readers_that_skip_deltas_still_get_the_record)
 {
     const bool holds = rc::check([] {
         EngineLog log;
@@ -67,7 +67,7 @@
 }
 
 // Guards against applying a delta to another record than the one that it was made for.
-Test(engine_log, a_reader_that_knows_another_record_is_told_the_whole)
+Test(engine_log, a_reader_with_another_record_needs_the_whole)
 {
     EngineLog log;
     ChangeCounter counter;
@@ -83,7 +83,7 @@
 }
 
 // Guards against sending the whole record to all VMs for each slot that changes.
-Test(engine_log, of_a_slot_that_changes_only_that_is_told)
+Test(engine_log, a_delta_has_only_the_changed_slots)
 {
     EngineLog log;
     ChangeCounter counter;
--- a/libs/serving/tests/EngineSimulation.cpp
+++ b/libs/serving/tests/EngineSimulation.cpp
@@ -21,16 +21,16 @@
 constexpr int adapterCount = 10000;
 constexpr double lengthMs = 30000;
 constexpr double countedFromMs = 5000; ///< earlier calls are not counted: engines are empty
-constexpr double toldMs = 50; ///< between two snapshots
-constexpr double nominalAgeMs = 300; ///< mean age of state updates
-constexpr double deafFromMs = 8000;
-constexpr double deafToMs = 20000;
+constexpr double snapshotIntervalMs = 50; ///< between two snapshots
+constexpr double meanAgeMs = 300; ///< mean age of state updates
+constexpr double isolatedFromMs = 8000;
+constexpr double isolatedToMs = 20000;
 constexpr double silenceMs = 1500; ///< after that, the state of other VMs is dropped
 constexpr double fetchMs = 288;
 constexpr int loadsAtOnce = 40; ///< at all engines; with more, each takes longer
 constexpr int loadsPerEngine = 4;
-constexpr std::size_t mostDeclines = 6;
-constexpr double roomLookMs = 40;
+constexpr std::size_t maxDeclines = 6;
+constexpr double capacityPollMs = 40;
 constexpr double stepMs = 5.5;
 
 struct Engine
@@ -47,7 +47,7 @@
     HostCopies copies;
 };
 
-struct Seen
+struct ObservedEngine
 {
     double waiting = 0;
     double held = 0;
@@ -59,7 +59,7 @@
 
 struct Snapshot
 {
-    std::vector<Seen> engines;
+    std::vector<ObservedEngine> engines;
     std::vector<std::vector<double>> own; ///< waiting tokens by VM and engine
     double fetchMs = 0; ///< expected time of a load from the weight store
 };
@@ -91,19 +91,19 @@
     }
 };
 
-class Play
+class SimulationRun
 {
 public:
-    explicit Play(const EngineSimulation &day)
-        : day(day)
-        , random(day.seed)
+    explicit SimulationRun(const EngineSimulation &parameters)
+        : parameters(parameters)
+        , random(parameters.seed)
         , engines(engineCount)
         , own(vmCount, std::vector<double>(engineCount, 0))
         , taken(engineCount, 0)
     {
         double sum = 0;
         for (int rank = 1; rank <= adapterCount; ++rank)
-            this->shares.push_back(sum += std::pow(rank, -this->day.zipf));
+            this->shares.push_back(sum += std::pow(rank, -this->parameters.zipf));
         for (int index = 0; index < engineCount; ++index) {
             EngineView view;
             view.id = "engine-" + std::to_string(index);
@@ -118,18 +118,19 @@
     {
         for (std::size_t kind = 0; kind < callKinds; ++kind)
             this->arriveNext(kind, 0);
-        double told = 0;
+        double snapshotAt = 0;
         while (!this->events.empty()) {
             const Event event = this->events.top();
             this->events.pop();
-            for (; told <= event.at; told += toldMs)
-                this->tell();
+            for (; snapshotAt <= event.at; snapshotAt += snapshotIntervalMs)
+                this->takeSnapshot();
             this->now = event.at;
-            this->take(event);
+            this->process(event);
         }
         for (std::size_t kind = 0; kind < callKinds; ++kind) {
-            this->result.onTime[kind] = this->good[kind] / this->all[kind];
-            this->result.lateWithoutLoad[kind] = this->waited[kind] / this->all[kind];
+            this->result.onTime[kind] = this->onTimeCalls[kind] / this->allCalls[kind];
+            this->result.lateWithoutLoad[kind] =
+                this->lateWithoutLoadCalls[kind] / this->allCalls[kind];
         }
         const double sum = std::accumulate(this->taken.begin(), this->taken.end(), 0.0);
         this->result.maxToMeanCalls =
@@ -143,77 +144,78 @@
         this->events.push({at, ++this->number, step, std::move(call)});
     }
 
-    double part()
+    double drawShare()
     {
         return std::uniform_real_distribution<double>(0, 1)(this->random);
     }
 
     void arriveNext(std::size_t kind, double after)
     {
-        const double rate = this->day.kinds[kind].perSecond * this->day.load / 1000;
+        const double rate = this->parameters.kinds[kind].perSecond * this->parameters.load / 1000;
         auto call = std::make_shared<Call>();
         call->kind = kind;
-        call->at = after - std::log(1 - this->part()) / rate;
+        call->at = after - std::log(1 - this->drawShare()) / rate;
         if (call->at > lengthMs)
             return;
-        call->vm = static_cast<int>(this->part() * vmCount);
+        call->vm = static_cast<int>(this->drawShare() * vmCount);
         const auto drawn = std::lower_bound(this->shares.begin(), this->shares.end(),
-                                            this->part() * this->shares.back());
+                                            this->drawShare() * this->shares.back());
         call->adapter = "m/adapter-" + std::to_string(drawn - this->shares.begin());
         const double at = call->at;
         this->add(at, Step::Arrive, std::move(call));
     }
 
-    void tell()
+    void takeSnapshot()
     {
         Snapshot snapshot;
         for (const Engine &engine : this->engines)
             snapshot.engines.push_back(
                 {engine.waiting, engine.held, engine.runs, engine.shortObjectiveRuns,
-                 this->day.adapterSlots - static_cast<int>(engine.inUse.size()), engine.resident});
+                 this->parameters.adapterSlots - static_cast<int>(engine.inUse.size()),
+                 engine.resident});
         snapshot.own = this->own;
         snapshot.fetchMs = this->fetchTime();
         this->snapshots.push_back(std::move(snapshot));
     }
 
-    bool isDeaf(int vm) const
+    bool isIsolated(int vm) const
     {
-        return this->day.isolatedThird && vm % 3 == 0 && this->now >= deafFromMs
-            && this->now < deafToMs;
+        return this->parameters.isolatedThird && vm % 3 == 0 && this->now >= isolatedFromMs
+            && this->now < isolatedToMs;
     }
 
     /** Age that the VM assumes for its state updates. */
     double ageOf(int vm) const
     {
-        const bool silent = this->day.knowsStateAge && this->isDeaf(vm);
-        return nominalAgeMs + (silent ? this->now - deafFromMs : 0);
+        const bool silent = this->parameters.knowsStateAge && this->isIsolated(vm);
+        return meanAgeMs + (silent ? this->now - isolatedFromMs : 0);
     }
 
-    void look(const Call &call)
+    void updateViews(const Call &call)
     {
-        const bool deaf = this->isDeaf(call.vm);
-        const double silent = deaf ? this->now - deafFromMs : 0;
-        const double newsAt = this->now - silent - nominalAgeMs * (0.5 + this->part());
-        const auto index = static_cast<std::size_t>(std::max(newsAt / toldMs, 0.0));
-        const Snapshot &news = this->snapshots[std::min(index, this->snapshots.size() - 1)];
+        const bool isolated = this->isIsolated(call.vm);
+        const double silent = isolated ? this->now - isolatedFromMs : 0;
+        const double updatedAt = this->now - silent - meanAgeMs * (0.5 + this->drawShare());
+        const auto index = static_cast<std::size_t>(std::max(updatedAt / snapshotIntervalMs, 0.0));
+        const Snapshot &snapshotSeen = this->snapshots[std::min(index, this->snapshots.size() - 1)];
         const bool dropped = silent > silenceMs;
         const double age = this->ageOf(call.vm);
         const auto vm = static_cast<std::size_t>(call.vm);
         for (std::size_t number = 0; number < this->views.size(); ++number) {
             EngineView &view = this->views[number];
-            const Seen &seen = news.engines[number];
-            const double others = dropped ? 0 : seen.waiting - news.own[vm][number];
+            const ObservedEngine &seen = snapshotSeen.engines[number];
+            const double others = dropped ? 0 : seen.waiting - snapshotSeen.own[vm][number];
             view.waitingTokens = others + this->own[vm][number];
             view.heldTokens = dropped ? 0 : seen.held;
             view.runs = dropped ? 0 : seen.runs;
             view.shortObjectiveRuns = dropped ? 0 : seen.shortObjectiveRuns;
-            view.idleSlots = dropped ? this->day.adapterSlots : seen.idle;
+            view.idleSlots = dropped ? this->parameters.adapterSlots : seen.idle;
             view.resident = contains(call.missed, number) ? nullptr : seen.resident.get();
-            view.hasHolder = !deaf && !contains(call.declined, number);
+            view.hasHolder = !isolated && !contains(call.declined, number);
             view.warm = hasHostCopy(this->engines[number].copies, call.adapter, HostRetention());
-            view.fetchMs = news.fetchMs;
-            view.loadMs = view.warm ? fetchMs / 10 + 15 : news.fetchMs;
-            view.jitterMs = age * this->part();
+            view.fetchMs = snapshotSeen.fetchMs;
+            view.loadMs = view.warm ? fetchMs / 10 + 15 : snapshotSeen.fetchMs;
+            view.jitterMs = age * this->drawShare();
         }
     }
 
@@ -224,19 +226,20 @@
 
     void place(const std::shared_ptr<Call> &call)
     {
-        const SimulatedCallKind &kind = this->day.kinds[call->kind];
+        const SimulatedCallKind &kind = this->parameters.kinds[call->kind];
         EngineNeed need;
         need.adapter = call->adapter;
         need.promptTokens = kind.promptTokens;
         need.outputTokens = 200;
         need.objectives.firstEventMs = kind.objectiveMs;
-        if (this->day.byForecast)
-            need.shortestObjectiveMs = this->day.kinds[shortestObjectiveKind].objectiveMs;
-        need.stateAgeMs = this->day.earlyCopies ? this->ageOf(call->vm) : 0;
+        if (this->parameters.byForecast)
+            need.shortestObjectiveMs = this->parameters.kinds[shortestObjectiveKind].objectiveMs;
+        need.stateAgeMs = this->parameters.earlyCopies ? this->ageOf(call->vm) : 0;
         while (true) {
-            this->look(*call);
+            this->updateViews(*call);
             need.mayCopyEarly = call->declined.empty();
-            const EngineChoice choice = chooseEngine(this->views, need, {}, this->day.weights);
+            const EngineChoice choice =
+                chooseEngine(this->views, need, {}, this->parameters.weights);
             const bool over = this->now - call->at > 0.7 * kind.objectiveMs;
             if (choice.step != EngineStep::Send && over)
                 return this->finish(*call, false);
@@ -244,9 +247,9 @@
                 call->engine = choice.engine;
                 return this->add(this->now + 2, Step::Sent, call);
             }
-            if (choice.step != EngineStep::Load || call->declined.size() >= mostDeclines) {
+            if (choice.step != EngineStep::Load || call->declined.size() >= maxDeclines) {
                 call->declined.clear();
-                return this->add(this->now + roomLookMs, Step::Place, call);
+                return this->add(this->now + capacityPollMs, Step::Place, call);
             }
             const double loaded = this->load(choice.engine, call->adapter);
             call->engine = choice.engine;
@@ -261,15 +264,15 @@
     double load(std::size_t number, const std::string &adapter)
     {
         Engine &engine = this->engines[number];
-        this->settle(engine);
+        this->completeLoads(engine);
         if (engine.usedAt.count(adapter) > 0)
             return this->now + 1;
-        const auto begun = engine.loading.find(adapter);
-        if (begun != engine.loading.end())
-            return begun->second;
+        const auto underWay = engine.loading.find(adapter);
+        if (underWay != engine.loading.end())
+            return underWay->second;
         if (engine.loading.size() >= loadsPerEngine)
             return 0;
-        const auto slots = static_cast<std::size_t>(this->day.adapterSlots);
+        const auto slots = static_cast<std::size_t>(this->parameters.adapterSlots);
         if (engine.usedAt.size() + engine.loading.size() >= slots) {
             auto oldest = engine.usedAt.end();
             for (auto at = engine.usedAt.begin(); at != engine.usedAt.end(); ++at) {
@@ -282,7 +285,7 @@
                 return 0;
             recordTouch(engine.copies, oldest->first);
             engine.usedAt.erase(oldest);
-            this->tellResident(engine);
+            this->publishResidents(engine);
         }
         const bool warm = hasHostCopy(engine.copies, adapter, HostRetention());
         const double takes = warm ? fetchMs / 10 : this->fetchTime();
@@ -302,7 +305,7 @@
     }
 
     /** Moves the adapters whose loads are done by now into their slots. */
-    void settle(Engine &engine)
+    void completeLoads(Engine &engine)
     {
         for (auto at = engine.loading.begin(); at != engine.loading.end();) {
             if (at->second > this->now) {
@@ -312,11 +315,11 @@
             engine.usedAt[at->first] = this->now;
             recordTouch(engine.copies, at->first);
             at = engine.loading.erase(at);
-            this->tellResident(engine);
+            this->publishResidents(engine);
         }
     }
 
-    static void tellResident(Engine &engine)
+    static void publishResidents(Engine &engine)
     {
         auto resident = std::make_shared<ResidentVersions>();
         for (const auto &[adapter, at] : engine.usedAt)
@@ -328,15 +331,15 @@
     {
         if (call.at < countedFromMs)
             return;
-        this->all[call.kind] += 1;
-        this->good[call.kind] += onTime ? 1 : 0;
-        this->waited[call.kind] += !onTime && !call.loaded ? 1 : 0;
+        this->allCalls[call.kind] += 1;
+        this->onTimeCalls[call.kind] += onTime ? 1 : 0;
+        this->lateWithoutLoadCalls[call.kind] += !onTime && !call.loaded ? 1 : 0;
     }
 
-    void take(const Event &event)
+    void process(const Event &event)
     {
         const std::shared_ptr<Call> &call = event.call;
-        const SimulatedCallKind &kind = this->day.kinds[call->kind];
+        const SimulatedCallKind &kind = this->parameters.kinds[call->kind];
         Engine &engine = this->engines[call->engine];
         switch (event.step) {
         case Step::Arrive:
@@ -345,7 +348,7 @@
         case Step::Place:
             return this->place(call);
         case Step::Sent: {
-            this->settle(engine);
+            this->completeLoads(engine);
             if (engine.usedAt.count(call->adapter) == 0) {
                 call->missed.push_back(call->engine);
                 return this->place(call);
@@ -359,7 +362,7 @@
             this->own[static_cast<std::size_t>(call->vm)][call->engine] += kind.promptTokens;
             const double slower = 1 + 0.01 * engine.runs;
             engine.readUntil = std::max(engine.readUntil, this->now)
-                + kind.promptTokens * slower / this->day.weights.promptTokensPerMs;
+                + kind.promptTokens * slower / this->parameters.weights.promptTokensPerMs;
             return this->add(engine.readUntil + stepMs, Step::First, call);
         }
         case Step::First:
@@ -377,7 +380,7 @@
         }
     }
 
-    EngineSimulation day;
+    EngineSimulation parameters;
     std::mt19937_64 random;
     std::vector<Engine> engines;
     std::vector<EngineView> views;
@@ -390,16 +393,16 @@
     std::uint64_t number = 0;
     double now = 0;
     SimulationResult result;
-    std::array<double, callKinds> all{};
-    std::array<double, callKinds> good{};
-    std::array<double, callKinds> waited{};
+    std::array<double, callKinds> allCalls{};
+    std::array<double, callKinds> onTimeCalls{};
+    std::array<double, callKinds> lateWithoutLoadCalls{};
 };
 
 } // namespace
 
-SimulationResult simulateDay(const EngineSimulation &day)
+SimulationResult simulate(const EngineSimulation &parameters)
 {
-    return Play(day).run();
+    return SimulationRun(parameters).run();
 }
 
 } // namespace monsoonbay
--- a/libs/serving/tests/EngineSimulation.h
+++ b/libs/serving/tests/EngineSimulation.h
@@ -34,6 +34,7 @@
     unsigned seed = 1;
 };
 
+/** Metrics of the calls that were counted in a simulation. */
 struct SimulationResult
 {
     std::array<double, callKinds> onTime{}; ///< share of all calls, by kind
@@ -44,6 +45,7 @@
     double maxToMeanCalls = 0; ///< calls of the engine with the most calls, over the mean
 };
 
-SimulationResult simulateDay(const EngineSimulation &day);
+/** Simulates 30 s of calls; the first 5 s are not counted. */
+SimulationResult simulate(const EngineSimulation &parameters);
 
 } // namespace monsoonbay
--- a/libs/serving/tests/Engines.cpp
+++ b/libs/serving/tests/Engines.cpp
@@ -40,15 +40,15 @@
 
 // Guards against VMs that each load an adapter at another engine: without a message, all have to
 // choose the same engine for an adapter that is not resident anywhere.
-Test(engines, homes_do_not_depend_on_the_order_of_the_list)
+Test(engines, the_preferred_engine_does_not_depend_on_the_order_of_the_list)
 {
     std::vector<EngineView> views{engine("e1"), engine("e2"), engine("e3")};
     const EngineChoice one = chooseEngine(views, need(), {}, weights);
-    const std::string home = views[one.engine].id;
+    const std::string preferred = views[one.engine].id;
     std::swap(views[0], views[2]);
     const EngineChoice two = chooseEngine(views, need(), {}, weights);
     cr_assert(one.step == EngineStep::Load);
-    cr_assert_eq(views[two.engine].id, home);
+    cr_assert_eq(views[two.engine].id, preferred);
 }
 
 // Guards against a hot adapter that stays on one engine: five long prompts queued there, the last
@@ -70,15 +70,15 @@
 
 // Guards against loads that nearly all fetch the weights from the store again: an engine that held
 // the adapter recently goes before the preferred one, unless it costs much more.
-Test(engines, an_engine_that_held_the_adapter_lately_goes_first)
+Test(engines, an_engine_that_held_the_adapter_recently_goes_first)
 {
     std::vector<EngineView> views{engine("e1"), engine("e2"), engine("e3")};
-    const EngineChoice home = chooseEngine(views, need(), {}, weights);
-    const std::size_t other = (home.engine + 1) % views.size();
+    const EngineChoice preferred = chooseEngine(views, need(), {}, weights);
+    const std::size_t other = (preferred.engine + 1) % views.size();
     views[other].warm = true;
     cr_assert_eq(chooseEngine(views, need(), {}, weights).engine, other);
     views[other].waitingTokens = 60000;
-    cr_assert_eq(chooseEngine(views, need(), {}, weights).engine, home.engine);
+    cr_assert_eq(chooseEngine(views, need(), {}, weights).engine, preferred.engine);
 }
 
 Test(engines, an_engine_without_an_idle_slot_is_not_asked_to_load)
@@ -105,7 +105,7 @@
     cr_assert(chooseEngine(views, need(), {}, weights).step == EngineStep::None);
 }
 
-Test(engines, what_is_resident_is_served_while_nobody_orders)
+Test(engines, resident_adapters_are_served_without_a_lease_holder)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2")};
     for (EngineView &view : views)
@@ -163,10 +163,10 @@
 
 /**
  * Mean wait, ms, of calls that many VMs send to twelve engines that all hold the adapter, at half
- * of the prefill rate of the engines. Their load is reported every `newsEvery` ms, and a VM does
- * not see other VMs' calls before that.
+ * of the prefill rate of the engines. Their load is reported every `updateEveryMs` ms, and a VM
+ * does not see other VMs' calls before that.
  */
-double meanWait(int newsEvery, double jitterMs)
+double meanWait(int updateEveryMs, double jitterMs)
 {
     constexpr int callEvery = 40;
     constexpr int calls = 2000;
@@ -181,7 +181,7 @@
     for (int number = 0; number < calls; ++number) {
         for (std::size_t index = 0; index < views.size(); ++index) {
             waiting[index] = std::max(waiting[index] - callEvery * weights.promptTokensPerMs, 0.0);
-            if (number * callEvery % newsEvery < callEvery)
+            if (number * callEvery % updateEveryMs < callEvery)
                 views[index].waitingTokens = waiting[index];
             views[index].jitterMs = jitterMs * share(random);
         }
@@ -199,7 +199,7 @@
 // of the calls with long prompts waited for over 0.8 s although only a third of the prefill
 // capacity was in use, and the busiest engine got 2.5 times the mean. Here the mean wait was 1,296
 // ms before and 98 ms after.
-Test(engines, calls_do_not_follow_old_news_all_to_the_same_engine)
+Test(engines, calls_do_not_all_follow_old_updates_to_one_engine)
 {
     const double before = meanWait(560, 0);
     const double after = meanWait(560, 560);
--- a/libs/serving/tests/Forecasts.cpp
+++ b/libs/serving/tests/Forecasts.cpp
@@ -62,7 +62,7 @@
 }
 
 /** An engine that may be chosen, and how. */
-struct Place
+struct Candidate
 {
     EngineStep step = EngineStep::Send;
     std::size_t engine = 0;
@@ -70,9 +70,9 @@
 };
 
 /** All engines that may be chosen, by a direct form of the rules. */
-std::vector<Place> placesOf(const std::vector<EngineView> &views, const EngineNeed &need)
+std::vector<Candidate> candidatesOf(const std::vector<EngineView> &views, const EngineNeed &need)
 {
-    std::vector<Place> places;
+    std::vector<Candidate> candidates;
     for (std::size_t index = 0; index < views.size(); ++index) {
         const EngineView &view = views[index];
         const bool there = hasAdapter(view, need);
@@ -82,10 +82,10 @@
         const double first = view.waitingTokens / weights.promptTokensPerMs
             + weights.runPenaltyMs * view.runs + need.promptTokens / weights.promptTokensPerMs
             + (there ? 0 : view.loadMs);
-        places.push_back({there ? EngineStep::Send : EngineStep::Load, index,
-                          first <= weights.onTimeShare * need.objectives.firstEventMs});
+        candidates.push_back({there ? EngineStep::Send : EngineStep::Load, index,
+                              first <= weights.onTimeShare * need.objectives.firstEventMs});
     }
-    return places;
+    return candidates;
 }
 
 } // namespace
@@ -99,32 +99,37 @@
         const std::vector<EngineView> views = drawnViews();
         EngineNeed need = quickNeed();
         need.stateAgeMs = *rc::gen::inRange(0, 3) * 150;
-        const std::vector<Place> places = placesOf(views, need);
+        const std::vector<Candidate> candidates = candidatesOf(views, need);
         const EngineChoice choice = chooseEngine(views, need, {}, weights);
         const auto any = [&](EngineStep step, bool meets) {
-            return std::any_of(places.begin(), places.end(), [&](const Place &place) {
-                return place.step == step && (place.meets || !meets);
-            });
+            return std::any_of(candidates.begin(), candidates.end(),
+                               [&](const Candidate &candidate) {
+                                   return candidate.step == step && (candidate.meets || !meets);
+                               });
         };
-        const auto chosen = std::find_if(places.begin(), places.end(), [&](const Place &place) {
-            return place.step == choice.step && place.engine == choice.engine;
-        });
-        if (places.empty()) {
+        const auto chosen =
+            std::find_if(candidates.begin(), candidates.end(), [&](const Candidate &candidate) {
+                return candidate.step == choice.step && candidate.engine == choice.engine;
+            });
+        if (candidates.empty()) {
             RC_ASSERT(choice.step == EngineStep::Full || choice.step == EngineStep::None);
             return;
         }
-        RC_ASSERT(chosen != places.end());
+        RC_ASSERT(chosen != candidates.end());
         if (any(EngineStep::Send, true) && choice.step == EngineStep::Send)
             RC_ASSERT(chosen->meets);
         if (any(EngineStep::Send, true) && choice.step == EngineStep::Load) {
             // An early copy, by the age of updates, or by the cost of pauses as without forecasts.
             const double cost = expectedCostMs(views[choice.engine], need, weights);
-            const bool costly = std::any_of(places.begin(), places.end(), [&](const Place &place) {
-                const double stay = expectedCostMs(views[place.engine], need, weights);
-                return place.step == EngineStep::Send && place.meets
-                    && stay > weights.onTimeShare * need.objectives.firstEventMs
-                    && stay > cost + weights.copyExtraLoads * views[choice.engine].fetchMs;
-            });
+            const bool costly =
+                std::any_of(candidates.begin(), candidates.end(), [&](const Candidate &candidate) {
+                    const double residentCost =
+                        expectedCostMs(views[candidate.engine], need, weights);
+                    return candidate.step == EngineStep::Send && candidate.meets
+                        && residentCost > weights.onTimeShare * need.objectives.firstEventMs
+                        && residentCost
+                        > cost + weights.copyExtraLoads * views[choice.engine].fetchMs;
+                });
             RC_ASSERT(costly || (chosen->meets && need.stateAgeMs > 0));
         }
         if (choice.step == EngineStep::Load && any(EngineStep::Load, true))
@@ -135,33 +140,34 @@
             RC_ASSERT(views[choice.engine].idleSlots >= 2);
         if (choice.step == EngineStep::Send && !chosen->meets && any(EngineStep::Load, true)) {
             // The preferred engine that meets the objective has no slot to spare for a copy.
-            RC_ASSERT(std::any_of(places.begin(), places.end(), [&](const Place &place) {
-                return place.step == EngineStep::Load && place.meets
-                    && views[place.engine].idleSlots < 2;
-            }));
+            RC_ASSERT(
+                std::any_of(candidates.begin(), candidates.end(), [&](const Candidate &candidate) {
+                    return candidate.step == EngineStep::Load && candidate.meets
+                        && views[candidate.engine].idleSlots < 2;
+                }));
         }
     }));
 }
 
 // Guards against late calls at the preferred engine, which may cost 1.7 loads, 490 ms, more than
 // the least busy one: calls with an objective of 500 ms met 700 ms of queued prompts there.
-Test(forecasts, a_busy_home_is_passed_over_by_a_call_that_would_be_late_there)
+Test(forecasts, a_busy_preferred_engine_is_passed_over_if_the_call_would_be_late)
 {
     std::vector<EngineView> views{engine("e1"), engine("e2"), engine("e3")};
     const EngineNeed need = quickNeed();
-    const std::size_t home = chooseEngine(views, need, {}, weights).engine;
-    views[home].waitingTokens = 8000;
+    const std::size_t preferred = chooseEngine(views, need, {}, weights).engine;
+    views[preferred].waitingTokens = 8000;
     const EngineChoice choice = chooseEngine(views, need, {}, weights);
     cr_assert(choice.step == EngineStep::Load);
-    cr_assert_neq(choice.engine, home);
-    EngineNeed alike = need;
-    alike.shortestObjectiveMs = 0;
-    cr_assert_eq(chooseEngine(views, alike, {}, weights).engine, home);
+    cr_assert_neq(choice.engine, preferred);
+    EngineNeed sameObjective = need;
+    sameObjective.shortestObjectiveMs = 0;
+    cr_assert_eq(chooseEngine(views, sameObjective, {}, weights).engine, preferred);
 }
 
 // Guards against a random part that prefers an engine where the call is late to one where it is
 // not.
-Test(forecasts, doubt_moves_no_call_to_an_engine_that_makes_it_late)
+Test(forecasts, jitter_moves_no_call_to_an_engine_that_makes_it_late)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2", &holds)};
     views[0].waitingTokens = 14000;
@@ -194,18 +200,18 @@
 
 // Guards against VMs without updates that keep sending to the engine that had looked least busy:
 // with a third of the VMs cut off for 12 s, the random part was drawn up to the regular age only.
-Test(forecasts, a_vm_that_hears_nobody_spreads_its_calls)
+Test(forecasts, a_vm_without_updates_spreads_its_calls)
 {
     using namespace std::chrono_literals;
     UpdateAgeInputs facts{300ms, 100ms, 1900ms, 83, 83};
-    cr_assert(updateAge(facts) == Duration(300ms), "all are heard");
+    cr_assert(updateAge(facts) == Duration(300ms), "all VMs report");
     facts.sinceLastUpdate = 1200ms;
     cr_assert(updateAge(facts) == Duration(1200ms), "the relay is silent");
     facts.vmsReporting = 1;
     facts.sinceAllReported = 4s;
-    const double deaf = toSeconds(updateAge(facts));
-    cr_assert_gt(deaf, 2.9);
-    cr_assert_leq(deaf, 3.0);
+    const double silentAgeMs = toSeconds(updateAge(facts));
+    cr_assert_gt(silentAgeMs, 2.9);
+    cr_assert_leq(silentAgeMs, 3.0);
     facts.knownVms = 1;
     facts.sinceLastUpdate = 0s;
     cr_assert(updateAge(facts) == Duration(300ms), "there is no other VM");
@@ -215,7 +221,7 @@
         views.push_back(engine("e" + std::to_string(index), &holds));
         views.back().waitingTokens = 1500 * index;
     }
-    const auto mostAtOne = [&views](double age) {
+    const auto maxAtOne = [&views](double age) {
         std::mt19937 random(7);
         std::uniform_real_distribution<double> doubt(0, age);
         std::vector<int> calls(views.size(), 0);
@@ -227,13 +233,13 @@
         return *std::max_element(calls.begin(), calls.end());
     };
     // Twice an equal share, as even differences of 350 ms shift a draw of up to 3 s a little.
-    cr_assert_gt(mostAtOne(300), 270, "%d", mostAtOne(300));
-    cr_assert_lt(mostAtOne(1000 * deaf), 200, "%d", mostAtOne(1000 * deaf));
+    cr_assert_gt(maxAtOne(300), 270, "%d", maxAtOne(300));
+    cr_assert_lt(maxAtOne(1000 * silentAgeMs), 200, "%d", maxAtOne(1000 * silentAgeMs));
 }
 
 // Guards against too few copies of an adapter with a tenth of all calls: a copy was loaded once the
 // wait had reached 0.85 of the objective by updates 0.3 s old, and then took 0.3 s to load.
-Test(forecasts, a_copy_is_ordered_before_the_queue_can_make_calls_late)
+Test(forecasts, a_copy_is_loaded_before_the_queue_can_make_calls_late)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2")};
     views[0].waitingTokens = 9190;
@@ -259,7 +265,7 @@
 
 // Guards against a rule for copies that, like the forecast, leaves out the pauses of other streams:
 // with objectives of 1,000 and 800 ms, long prompts were late more often by forecast than without.
-Test(forecasts, a_copy_is_ordered_before_others_pause_too_long)
+Test(forecasts, a_copy_is_loaded_before_other_streams_pause_too_long)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2")};
     views[0].runs = 6;
@@ -273,7 +279,7 @@
 
 // Guards against long prompts that avoid an engine although no other meets their objective, and
 // against short calls that avoid any.
-Test(forecasts, long_prompts_leave_engines_to_quick_calls_while_others_have_room)
+Test(forecasts, long_prompts_avoid_short_calls_while_other_engines_are_on_time)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2", &holds)};
     views[0].shortObjectiveRuns = 3;
@@ -283,29 +289,30 @@
     EngineNeed need = quickNeed();
     need.promptTokens = 9190;
     need.objectives.firstEventMs = 1000;
-    EngineWeights by;
-    cr_assert_eq(chooseEngine(views, need, {}, by).engine, 0);
-    for (const LongPromptPolicy way :
+    EngineWeights policyWeights;
+    cr_assert_eq(chooseEngine(views, need, {}, policyWeights).engine, 0);
+    for (const LongPromptPolicy policy :
          {LongPromptPolicy::FewestShortRuns, LongPromptPolicy::ReservedEngines}) {
-        by.longPrompts = way;
-        cr_assert_eq(chooseEngine(views, need, {}, by).engine, 1);
-        cr_assert_eq(chooseEngine(views, quickNeed(), {}, by).engine, 0, "a short call");
+        policyWeights.longPrompts = policy;
+        cr_assert_eq(chooseEngine(views, need, {}, policyWeights).engine, 1);
+        cr_assert_eq(chooseEngine(views, quickNeed(), {}, policyWeights).engine, 0, "a short call");
         std::vector<EngineView> busy = views;
         busy[1].waitingTokens = 30000;
-        cr_assert_eq(chooseEngine(busy, need, {}, by).engine, 0, "it would be late there");
+        cr_assert_eq(chooseEngine(busy, need, {}, policyWeights).engine, 0,
+                     "it would be late there");
     }
 }
 
 namespace {
 /** Mean of a few simulations. */
-SimulationResult simulateDays(const EngineSimulation &day)
+SimulationResult simulateSeeds(const EngineSimulation &parameters)
 {
     constexpr unsigned seeds = 6;
     SimulationResult mean;
     for (unsigned seed = 1; seed <= seeds; ++seed) {
-        EngineSimulation played = day;
-        played.seed = seed;
-        const SimulationResult result = simulateDay(played);
+        EngineSimulation seeded = parameters;
+        seeded.seed = seed;
+        const SimulationResult result = simulate(seeded);
         for (std::size_t kind = 0; kind < callKinds; ++kind) {
             mean.onTime[kind] += result.onTime[kind] / seeds;
             mean.lateWithoutLoad[kind] += result.lateWithoutLoad[kind] / seeds;
@@ -320,23 +327,23 @@
 // often than all others, though most of them found their adapter resident.
 Test(forecasts, short_calls_are_on_time_more_often)
 {
-    EngineSimulation day;
-    day.load = 1.1;
-    const SimulationResult after = simulateDays(day);
-    day.byForecast = false;
-    const SimulationResult before = simulateDays(day);
-    day.byForecast = true;
-    day.earlyCopies = false;
-    const SimulationResult lateCopies = simulateDays(day);
+    EngineSimulation parameters;
+    parameters.load = 1.1;
+    const SimulationResult after = simulateSeeds(parameters);
+    parameters.byForecast = false;
+    const SimulationResult before = simulateSeeds(parameters);
+    parameters.byForecast = true;
+    parameters.earlyCopies = false;
+    const SimulationResult lateCopies = simulateSeeds(parameters);
     cr_assert_lt(after.lateWithoutLoad[2], 0.8 * lateCopies.lateWithoutLoad[2],
                  "%f with late copies, %f after", lateCopies.lateWithoutLoad[2],
                  after.lateWithoutLoad[2]);
     cr_assert_gt(after.onTime[2], before.onTime[2] + 0.01, "%f before, %f after", before.onTime[2],
                  after.onTime[2]);
     cr_assert_gt(after.onTime[0], before.onTime[0]);
-    day.earlyCopies = true;
-    day.weights.longPrompts = LongPromptPolicy::FewestShortRuns;
-    const SimulationResult yielding = simulateDays(day);
+    parameters.earlyCopies = true;
+    parameters.weights.longPrompts = LongPromptPolicy::FewestShortRuns;
+    const SimulationResult yielding = simulateSeeds(parameters);
     cr_assert_gt(yielding.onTime[2], after.onTime[2] + 0.02, "%f with long prompts yielding",
                  yielding.onTime[2]);
     cr_assert_lt(after.lateWithoutLoad[2], before.lateWithoutLoad[2]);
@@ -345,17 +352,17 @@
 // Guards deployments with longer objectives, which gain little from forecasts, against a loss.
 Test(forecasts, calls_with_longer_objectives_lose_nothing)
 {
-    EngineSimulation day;
-    day.kinds = {{{138, 9190, 1000, 1000}, {19.1, 9190, 1000, 1000}, {176, 826, 800, 3000}}};
-    day.adapterSlots = 6;
-    const SimulationResult after = simulateDays(day);
-    day.byForecast = false;
-    const SimulationResult before = simulateDays(day);
+    EngineSimulation parameters;
+    parameters.kinds = {{{138, 9190, 1000, 1000}, {19.1, 9190, 1000, 1000}, {176, 826, 800, 3000}}};
+    parameters.adapterSlots = 6;
+    const SimulationResult after = simulateSeeds(parameters);
+    parameters.byForecast = false;
+    const SimulationResult before = simulateSeeds(parameters);
     // The first two kinds differ in nothing but their number.
-    const auto longOnTime = [&day](const SimulationResult &result) {
-        const double all = day.kinds[0].perSecond + day.kinds[1].perSecond;
-        return (day.kinds[0].perSecond * result.onTime[0]
-                + day.kinds[1].perSecond * result.onTime[1])
+    const auto longOnTime = [&parameters](const SimulationResult &result) {
+        const double all = parameters.kinds[0].perSecond + parameters.kinds[1].perSecond;
+        return (parameters.kinds[0].perSecond * result.onTime[0]
+                + parameters.kinds[1].perSecond * result.onTime[1])
             / all;
     };
     cr_assert_gt(longOnTime(after), longOnTime(before) - 0.02, "%f before, %f after",
--- a/libs/serving/tests/HarmfulCalls.cpp
+++ b/libs/serving/tests/HarmfulCalls.cpp
@@ -16,9 +16,9 @@
 
 const Instant start = Instant{} + 1000s;
 const CallIdentity harmful{7, 1};
-const CallIdentity beside{8, 2};
+const CallIdentity neighbor{8, 2};
 
-CallEvidence ended(const std::string &target, Duration at, std::vector<CallIdentity> calls)
+CallEvidence crashed(const std::string &target, Duration at, std::vector<CallIdentity> calls)
 {
     return {target, 0, std::move(calls), start + at};
 }
@@ -37,16 +37,16 @@
 }
 
 /** Three crashes under the harmful call, seen by different VMs. */
-std::deque<CallEvidence> threeEnds()
+std::deque<CallEvidence> threeCrashes()
 {
-    return {ended("a", 0s, {harmful}), ended("b", 1s, {harmful}), ended("c", 2s, {harmful})};
+    return {crashed("a", 0s, {harmful}), crashed("b", 1s, {harmful}), crashed("c", 2s, {harmful})};
 }
 
 } // namespace
 
-Test(harmful_calls, three_ends_condemn_a_call_and_two_do_not)
+Test(harmful_calls, three_crashes_block_a_call_and_two_do_not)
 {
-    std::deque<CallEvidence> evidence = threeEnds();
+    std::deque<CallEvidence> evidence = threeCrashes();
     const HarmfulCalls verdict = judge(evidence);
     cr_assert_eq(verdict.calls.size(), 1);
     cr_assert_eq(verdict.calls[0].crashes, 3);
@@ -57,19 +57,19 @@
     cr_assert(isSuspect(judge(evidence), harmful));
 }
 
-Test(harmful_calls, one_end_seen_by_several_vms_counts_once)
+Test(harmful_calls, one_crash_seen_by_several_vms_counts_once)
 {
-    const std::deque<CallEvidence> evidence{ended("a", 0ms, {harmful}), ended("a", 40ms, {harmful}),
-                                            ended("a", 90ms, {harmful})};
+    const std::deque<CallEvidence> evidence{
+        crashed("a", 0ms, {harmful}), crashed("a", 40ms, {harmful}), crashed("a", 90ms, {harmful})};
     cr_assert(judge(evidence).calls.empty());
 }
 
 // Guards against counting one crash twice: two VMs sent the call while the target was down behind a
 // proxy that accepts connections, and both learnt of the crash from the target's new start.
-Test(harmful_calls, what_the_list_tells_of_one_new_start_is_one_end)
+Test(harmful_calls, one_new_start_in_the_list_is_one_crash)
 {
-    std::deque<CallEvidence> evidence = threeEnds();
-    evidence[1] = ended("a", 900ms, {harmful});
+    std::deque<CallEvidence> evidence = threeCrashes();
+    evidence[1] = crashed("a", 900ms, {harmful});
     evidence[0].nextStartTime = 5;
     evidence[1].nextStartTime = 5;
     cr_assert(judge(evidence).calls.empty());
@@ -78,55 +78,56 @@
 }
 
 // Guards against counting two crashes of a target that restarts under the same id as one.
-Test(harmful_calls, ends_of_one_target_after_another_count_each)
+Test(harmful_calls, successive_crashes_of_one_target_count_each)
 {
-    const std::deque<CallEvidence> evidence{ended("a", 0s, {harmful}), ended("a", 3s, {harmful}),
-                                            ended("a", 6s, {harmful})};
+    const std::deque<CallEvidence> evidence{
+        crashed("a", 0s, {harmful}), crashed("a", 3s, {harmful}), crashed("a", 6s, {harmful})};
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
 // Guards against blocking a harmless call for an hour: it was sent again after each loss and ran
 // next to a harmful one at three crashes of four, though the harmful call explains all of them.
-Test(harmful_calls, a_call_beside_a_harmful_one_is_not_to_blame)
+Test(harmful_calls, a_call_next_to_a_harmful_one_is_not_blamed)
 {
     const std::deque<CallEvidence> evidence{
-        ended("a", 0s, {harmful}), ended("a", 20ms, {beside}), ended("b", 1s, {harmful, beside}),
-        ended("c", 2s, {beside, harmful}), ended("d", 3s, {harmful})};
+        crashed("a", 0s, {harmful}), crashed("a", 20ms, {neighbor}),
+        crashed("b", 1s, {harmful, neighbor}), crashed("c", 2s, {neighbor, harmful}),
+        crashed("d", 3s, {harmful})};
     const HarmfulCalls verdict = judge(evidence);
     cr_assert_eq(verdict.calls.size(), 1);
     cr_assert(findHarmful(verdict, harmful) != nullptr);
-    cr_assert_null(findHarmful(verdict, beside));
+    cr_assert_null(findHarmful(verdict, neighbor));
 }
 
-Test(harmful_calls, two_calls_at_the_same_ends_wait_for_what_tells_them_apart)
+Test(harmful_calls, two_calls_at_the_same_crashes_wait_for_more_evidence)
 {
-    std::deque<CallEvidence> evidence{ended("a", 0s, {harmful, beside}),
-                                      ended("b", 1s, {harmful, beside}),
-                                      ended("c", 2s, {harmful, beside})};
+    std::deque<CallEvidence> evidence{crashed("a", 0s, {harmful, neighbor}),
+                                      crashed("b", 1s, {harmful, neighbor}),
+                                      crashed("c", 2s, {harmful, neighbor})};
     cr_assert(judge(evidence).calls.empty());
-    evidence.push_back(answered(3s, beside));
+    evidence.push_back(answered(3s, neighbor));
     cr_assert_eq(judge(evidence).calls.size(), 1, "the other was answered");
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
     evidence.pop_back();
-    evidence.push_back(ended("d", 3s, {harmful}));
+    evidence.push_back(crashed("d", 3s, {harmful}));
     cr_assert_eq(judge(evidence).calls.size(), 1, "one more end without the other");
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
-    evidence.back().calls.push_back(beside);
+    evidence.back().calls.push_back(neighbor);
     cr_assert(judge(evidence).calls.empty());
-    evidence.push_back(ended("e", 4s, {harmful, beside}));
+    evidence.push_back(crashed("e", 4s, {harmful, neighbor}));
     cr_assert_eq(judge(evidence).calls.size(), 2, "nothing tells them apart: targets come first");
 }
 
-Test(harmful_calls, another_callers_call_of_the_same_content_is_its_own)
+Test(harmful_calls, the_same_content_of_another_caller_is_another_call)
 {
     const CallIdentity sameContent{harmful.content, 99};
-    cr_assert_null(findHarmful(judge(threeEnds()), sameContent));
+    cr_assert_null(findHarmful(judge(threeCrashes()), sameContent));
 }
 
 // Guards against a harmful caller with several addresses: no address identifies its calls.
-Test(harmful_calls, a_content_that_comes_from_many_callers_is_harmful_whoever_sends_it)
+Test(harmful_calls, a_harmful_content_of_many_callers_is_blocked_for_all)
 {
-    std::deque<CallEvidence> evidence = threeEnds();
+    std::deque<CallEvidence> evidence = threeCrashes();
     evidence[1].calls = {{harmful.content, 50}};
     evidence[2].calls = {{harmful.content, 60}};
     const HarmfulCalls verdict = judge(evidence);
@@ -136,27 +137,27 @@
 
 // Guards against blocking a popular call, which is running somewhere whenever a target crashes for
 // other reasons. An answered call causes no crashes.
-Test(harmful_calls, an_answer_voids_the_ends_before_it_and_shortly_after_it)
+Test(harmful_calls, an_answer_clears_a_call_of_crashes_before_and_shortly_after)
 {
-    std::deque<CallEvidence> evidence = threeEnds();
+    std::deque<CallEvidence> evidence = threeCrashes();
     evidence.push_back(answered(500ms, harmful));
     cr_assert(judge(evidence).calls.empty());
     cr_assert_not(isSuspect(judge(evidence), harmful));
     for (const Duration at : {answerClearsFor, answerClearsFor + 1s, answerClearsFor + 2s})
-        evidence.push_back(ended("d", at, {harmful}));
+        evidence.push_back(crashed("d", at, {harmful}));
     cr_assert(judge(evidence).calls.empty(), "two ends count");
     cr_assert(isSuspect(judge(evidence), harmful));
-    evidence.push_back(ended("d", answerClearsFor + 3s, {harmful}));
+    evidence.push_back(crashed("d", answerClearsFor + 3s, {harmful}));
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
 // Guards against state updates full of answers: a call that many callers send was running for one
 // of them at a crash, its content stayed suspect, and each answer to any caller was sent to all
 // VMs.
-Test(harmful_calls, answers_that_change_nothing_are_not_worth_telling)
+Test(harmful_calls, answers_that_change_nothing_need_no_report)
 {
     const CallIdentity other{harmful.content, 2};
-    std::deque<CallEvidence> evidence{ended("a", 0s, {harmful})};
+    std::deque<CallEvidence> evidence{crashed("a", 0s, {harmful})};
     cr_assert(isSuspect(judge(evidence), other),
               "the first answer clears the content for all callers");
     evidence.push_back(answered(1s, other));
@@ -169,17 +170,17 @@
 namespace {
 
 /** Crashes under one planted call and others next to it, as several VMs report them. */
-std::deque<CallEvidence> plantedEnds(std::mt19937_64 &random, int ends, int others)
+std::deque<CallEvidence> plantedCrashes(std::mt19937_64 &random, int ends, int others)
 {
     std::deque<CallEvidence> evidence;
     for (int end = 0; end < ends; ++end) {
         const std::string target = std::to_string(random() % 4);
         const Duration at = end * 2s;
-        evidence.push_back(ended(target, at, {harmful}));
+        evidence.push_back(crashed(target, at, {harmful}));
         for (int other = 0; other < others; ++other) {
             if (random() % 3 == 0)
-                evidence.push_back(ended(target, at + std::chrono::milliseconds(random() % 100),
-                                         {{100 + static_cast<std::uint64_t>(other), 5}}));
+                evidence.push_back(crashed(target, at + std::chrono::milliseconds(random() % 100),
+                                           {{100 + static_cast<std::uint64_t>(other), 5}}));
         }
     }
     std::shuffle(evidence.begin(), evidence.end(), random);
@@ -210,7 +211,7 @@
         std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
         const int ends = 1 + static_cast<int>(random() % 9);
         std::deque<CallEvidence> evidence =
-            plantedEnds(random, ends, static_cast<int>(random() % 12));
+            plantedCrashes(random, ends, static_cast<int>(random() % 12));
         const std::map<std::uint64_t, int> counts = naiveCounts(evidence);
         const HarmfulCalls verdict = judge(evidence);
         int asOften = 0;
--- a/libs/serving/tests/LeaseModel.cpp
+++ b/libs/serving/tests/LeaseModel.cpp
@@ -7,20 +7,20 @@
 namespace {
 
 constexpr int renewEveryTicks = 5;
-constexpr int newsEveryTicks = 2;
-constexpr int noteTicks = 4; ///< from the read of the records to the addition, as with a slow store
+constexpr int reportEveryTicks = 2;
+constexpr int recordTicks = 4; ///< from reading the records to adding one: a slow store
 
-struct Play
+struct Simulation
 {
     LeaseTiming timing;
     Mutation mutation;
     ModelStore store;
     std::array<ModelVm, vmCount> vms;
     std::array<bool, static_cast<int>(Fault::Count)> on{};
-    int lastOrderer = -1;
-    Instant lastOrderAt{};
+    int lastSender = -1;
+    Instant lastCommandAt{};
     Duration shortest = Duration::max();
-    int ordered = 0;
+    int activeTicks = 0;
 
     bool is(Fault fault) const
     {
@@ -44,136 +44,138 @@
     }
 };
 
-void apply(Play &play, const Toggle &toggle)
+void apply(Simulation &simulation, const Toggle &toggle)
 {
     if (!toggle.fault) {
-        play.store.reassign();
+        simulation.store.reassign();
         return;
     }
-    bool &on = play.on[static_cast<int>(*toggle.fault)];
+    bool &on = simulation.on[static_cast<int>(*toggle.fault)];
     on = !on;
     if (*toggle.fault == Fault::FirstDown)
-        play.vms[0] = ModelVm{};
+        simulation.vms[0] = ModelVm{};
     if (*toggle.fault == Fault::SecondDown)
-        play.vms[1] = ModelVm{};
+        simulation.vms[1] = ModelVm{};
 }
 
 // A VM adds its record some ticks after it read the others, so that the other VM acts in between.
-void noteOrders(Play &play, int index, int tick, Instant now)
+void addRecord(Simulation &simulation, int index, int tick, Instant now)
 {
-    ModelVm &vm = play.vms[static_cast<std::size_t>(index)];
-    if (!play.reachesStore(index)) {
+    ModelVm &vm = simulation.vms[static_cast<std::size_t>(index)];
+    if (!simulation.reachesStore(index)) {
         vm.claims.clear();
         return;
     }
     if (!vm.claims.empty() && tick < vm.addAt)
         return;
-    HolderRecords &notes = play.store.notes;
-    if (!vm.claims.empty() && (vm.readEnd == notes.logEnd || play.mutation.recordsBlindly)) {
-        ++notes.logEnd;
-        notes.byPartition[0] = {nameOf(index), vm.lease.generation};
-        if (!play.is(Fault::AnswersLost))
+    HolderRecords &records = simulation.store.records;
+    if (!vm.claims.empty()
+        && (vm.readEnd == records.logEnd || simulation.mutation.recordsBlindly)) {
+        ++records.logEnd;
+        records.byPartition[0] = {nameOf(index), vm.lease.generation};
+        if (!simulation.is(Fault::AnswersLost))
             confirmClaims(vm.lease, vm.claims, now);
     }
     vm.claims.clear();
-    if (play.is(Fault::AnswersLost) || !isWriteDue(vm.lease, now))
+    if (simulation.is(Fault::AnswersLost) || !isWriteDue(vm.lease, now))
         return;
-    vm.readEnd = notes.logEnd;
-    vm.addAt = tick + noteTicks;
-    vm.claims = claimsToRecord(vm.lease, notes, nameOf(index), play.timing, now);
+    vm.readEnd = records.logEnd;
+    vm.addAt = tick + recordTicks;
+    vm.claims = claimsToRecord(vm.lease, records, nameOf(index), simulation.timing, now);
 }
 
-void renew(Play &play, int index, Instant now)
+void renew(Simulation &simulation, int index, Instant now)
 {
-    ModelVm &vm = play.vms[static_cast<std::size_t>(index)];
-    const bool reaches = play.reachesStore(index);
+    ModelVm &vm = simulation.vms[static_cast<std::size_t>(index)];
+    const bool reaches = simulation.reachesStore(index);
     if (reaches)
-        play.store.join(index, now);
-    vm.renewalFailing = !reaches || play.is(Fault::AnswersLost);
+        simulation.store.join(index, now);
+    vm.renewalFailing = !reaches || simulation.is(Fault::AnswersLost);
     if (vm.renewalFailing)
         return;
     LeaseGrant grant;
-    grant.generation = play.store.generation;
-    if (play.store.owner == index)
+    grant.generation = simulation.store.generation;
+    if (simulation.store.owner == index)
         grant.partitions = {0};
-    renewLease(vm.lease, grant, play.timing, now, now);
+    renewLease(vm.lease, grant, simulation.timing, now, now);
 }
 
-void tellNews(Play &play, int index, Instant now)
+void reportToPeer(Simulation &simulation, int index, Instant now)
 {
-    if (play.is(Fault::PeersCut) || play.isFrozen(1 - index) || play.isDown(1 - index))
+    if (simulation.is(Fault::PeersCut) || simulation.isFrozen(1 - index)
+        || simulation.isDown(1 - index))
         return;
-    const ModelVm &vm = play.vms[static_cast<std::size_t>(index)];
-    ModelVm &other = play.vms[static_cast<std::size_t>(1 - index)];
+    const ModelVm &vm = simulation.vms[static_cast<std::size_t>(index)];
+    ModelVm &other = simulation.vms[static_cast<std::size_t>(1 - index)];
     for (const PartitionRelease &release : vm.lease.releases)
-        applyRelease(other.lease, release, play.timing);
+        applyRelease(other.lease, release, simulation.timing);
     other.hasPeerState = true;
     other.peer.receivedAt = now;
     other.peer.generation = vm.lease.generation;
-    other.peer.storeUnreachable = vm.renewalFailing || play.mutation.trustsAnyPeer;
-    if (play.mutation.trustsAnyPeer)
+    other.peer.storeUnreachable = vm.renewalFailing || simulation.mutation.trustsAnyPeer;
+    if (simulation.mutation.trustsAnyPeer)
         other.peer.generation = 0;
 }
 
-void extend(Play &play, ModelVm &vm, Instant now)
+void extend(Simulation &simulation, ModelVm &vm, Instant now)
 {
     if (!vm.renewalFailing)
         return;
-    std::vector<PeerLeaseState> mates;
+    std::vector<PeerLeaseState> peers;
     if (vm.hasPeerState)
-        mates.push_back(vm.peer);
-    extendLease(vm.lease, mates, play.timing, now);
+        peers.push_back(vm.peer);
+    extendLease(vm.lease, peers, simulation.timing, now);
 }
 
-void order(Play &play, int index, Instant now)
+void sendCommand(Simulation &simulation, int index, Instant now)
 {
-    if (play.lastOrderer >= 0 && play.lastOrderer != index)
-        play.shortest = std::min(play.shortest, now - play.lastOrderAt);
-    play.lastOrderer = index;
-    play.lastOrderAt = now;
-    ++play.ordered;
+    if (simulation.lastSender >= 0 && simulation.lastSender != index)
+        simulation.shortest = std::min(simulation.shortest, now - simulation.lastCommandAt);
+    simulation.lastSender = index;
+    simulation.lastCommandAt = now;
+    ++simulation.activeTicks;
 }
 
-void tickVm(Play &play, int index, int tick, Instant now)
+void tickVm(Simulation &simulation, int index, int tick, Instant now)
 {
-    ModelVm &vm = play.vms[static_cast<std::size_t>(index)];
-    if (play.isDown(index))
+    ModelVm &vm = simulation.vms[static_cast<std::size_t>(index)];
+    if (simulation.isDown(index))
         return;
-    if (play.isFrozen(index)) {
+    if (simulation.isFrozen(index)) {
         vm.totalPause += tickLength;
         return;
     }
     // The worst case: a VM that wakes up sends commands before it does anything else.
     const Duration pause =
-        play.mutation.ignoresPause ? vm.totalPause.time_since_epoch() : Duration::zero();
+        simulation.mutation.ignoresPause ? vm.totalPause.time_since_epoch() : Duration::zero();
     if (mayCommand(vm.lease, 0, now - pause))
-        order(play, index, now);
+        sendCommand(simulation, index, now);
     // The VMs do not act in the same ticks.
     if ((tick + 2 * index) % renewEveryTicks == 0)
-        renew(play, index, now);
-    noteOrders(play, index, tick, now);
-    if ((tick + index) % newsEveryTicks == 0)
-        tellNews(play, index, now);
-    extend(play, vm, now - pause);
+        renew(simulation, index, now);
+    addRecord(simulation, index, tick, now);
+    if ((tick + index) % reportEveryTicks == 0)
+        reportToPeer(simulation, index, now);
+    extend(simulation, vm, now - pause);
 }
 
-Play played(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing,
-            const Mutation &mutation)
+Simulation simulate(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing,
+                    const Mutation &mutation)
 {
-    Play play;
-    play.timing = timing;
-    play.mutation = mutation;
+    Simulation simulation;
+    simulation.timing = timing;
+    simulation.mutation = mutation;
     for (int tick = 0; tick < ticks; ++tick) {
         const Instant now = modelStart + tick * tickLength;
         for (const Toggle &toggle : schedule) {
             if (toggle.tick == tick)
-                apply(play, toggle);
+                apply(simulation, toggle);
         }
-        play.store.expire(now, timing.ttl);
+        simulation.store.expire(now, timing.ttl);
         for (int vm = 0; vm < vmCount; ++vm)
-            tickVm(play, vm, tick, now);
+            tickVm(simulation, vm, tick, now);
     }
-    return play;
+    return simulation;
 }
 
 } // namespace
@@ -223,15 +225,15 @@
         this->assign(other);
 }
 
-Duration shortestChange(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing,
-                        const Mutation &mutation)
+Duration shortestHandover(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing,
+                          const Mutation &mutation)
 {
-    return played(schedule, ticks, timing, mutation).shortest;
+    return simulate(schedule, ticks, timing, mutation).shortest;
 }
 
 int ticksActive(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing)
 {
-    return played(schedule, ticks, timing, Mutation{}).ordered;
+    return simulate(schedule, ticks, timing, Mutation{}).activeTicks;
 }
 
 } // namespace monsoonbay::leasemodel
--- a/libs/serving/tests/LeaseModel.h
+++ b/libs/serving/tests/LeaseModel.h
@@ -46,7 +46,7 @@
     std::int64_t generation = 0;
     int owner = -1;
     std::array<Instant, vmCount> joinedAt{};
-    HolderRecords notes;
+    HolderRecords records;
 
     void expire(Instant now, Duration ttl);
     void join(int vm, Instant now);
@@ -72,8 +72,8 @@
 std::string nameOf(int vm);
 
 /** Runs a schedule; returns the shortest time between commands of two different VMs. */
-Duration shortestChange(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing,
-                        const Mutation &mutation);
+Duration shortestHandover(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing,
+                          const Mutation &mutation);
 
 /** Number of ticks in which some VM could send commands. */
 int ticksActive(const std::vector<Toggle> &schedule, int ticks, const LeaseTiming &timing);
--- a/libs/serving/tests/Leases.cpp
+++ b/libs/serving/tests/Leases.cpp
@@ -24,12 +24,12 @@
 }
 
 constexpr int kinds = static_cast<int>(Fault::Count) + 1;
-constexpr int places = (lastToggle - firstToggle) / step;
+constexpr int toggleSeconds = (lastToggle - firstToggle) / step;
 
 /** All schedules of up to three toggles at whole seconds; calls `judge` until it returns false. */
-template <typename Judge> bool forAllSchedules(Judge judge)
+template <typename Judge> bool forAllSchedules(Judge visit)
 {
-    const int choices = kinds * places;
+    const int choices = kinds * toggleSeconds;
     for (int a = 0; a < choices; ++a) {
         for (int b = a; b < choices; ++b) {
             for (int c = b; c < choices; c += 2) {
@@ -37,7 +37,7 @@
                 for (const int choice : {a, b, c})
                     schedule.push_back(
                         toggleAt(firstToggle + choice / kinds * step, choice % kinds));
-                if (!judge(schedule))
+                if (!visit(schedule))
                     return false;
             }
         }
@@ -49,23 +49,24 @@
 {
     const LeaseTiming real;
     return !forAllSchedules([&](const std::vector<Toggle> &schedule) {
-        return shortestChange(schedule, ticks, timing, mutation) >= real.handoverGap;
+        return shortestHandover(schedule, ticks, timing, mutation) >= real.handoverGap;
     });
 }
 
 /** Adds the holder records that the lease asks for, as if no other VM added any. */
-void noteAll(PartitionLease &lease, const HolderRecords &notes, const std::string &vm, Instant now)
+void recordAll(PartitionLease &lease, const HolderRecords &records, const std::string &vm,
+               Instant now)
 {
-    confirmClaims(lease, claimsToRecord(lease, notes, vm, LeaseTiming{}, now), now);
+    confirmClaims(lease, claimsToRecord(lease, records, vm, LeaseTiming{}, now), now);
 }
 
 /** Records by which `vm` was the last holder of partitions 1 and 2. */
-HolderRecords notedBy(const std::string &vm, std::int64_t generation)
+HolderRecords recordsBy(const std::string &vm, std::int64_t generation)
 {
-    HolderRecords notes;
-    notes.byPartition[1] = {vm, generation};
-    notes.byPartition[2] = {vm, generation};
-    return notes;
+    HolderRecords records;
+    records.byPartition[1] = {vm, generation};
+    records.byPartition[2] = {vm, generation};
+    return records;
 }
 
 } // namespace
@@ -74,12 +75,12 @@
 // between holders. Runs every second one of all schedules of three faults at whole seconds, with
 // two VMs, one partition and one store: the store unreachable from either or both, the VMs cut off
 // from each other, answers lost, a VM frozen or restarted, the partition reassigned.
-Test(leases, no_schedule_of_three_faults_has_two_orderers)
+Test(leases, no_schedule_of_three_faults_has_two_holders)
 {
     cr_assert(!findsTwoHolders(LeaseTiming{}, Mutation{}));
 }
 
-Test(leases, drawn_schedules_have_no_two_orderers)
+Test(leases, random_schedules_have_no_two_holders)
 {
     cr_assert(rc::check("drawn", [] {
         std::vector<Toggle> schedule;
@@ -90,7 +91,7 @@
         for (const auto &[tick, kind] : drawn)
             schedule.push_back(toggleAt(tick, kind));
         const LeaseTiming timing;
-        RC_ASSERT(shortestChange(schedule, ticks, timing, Mutation{}) >= timing.handoverGap);
+        RC_ASSERT(shortestHandover(schedule, ticks, timing, Mutation{}) >= timing.handoverGap);
     }));
 }
 
@@ -101,7 +102,7 @@
     cr_assert(findsTwoHolders(hasty, Mutation{}));
 }
 
-Test(leases, the_model_finds_trust_in_a_mate_that_reaches_the_store)
+Test(leases, the_model_finds_trust_in_a_peer_that_reaches_the_store)
 {
     Mutation mutation;
     mutation.trustsAnyPeer = true;
@@ -117,19 +118,19 @@
 
 // Guards against an outage of the store that stops commands: with the store unreachable for 8 s, no
 // engine got a command for 13 s. The lease is extended while both VMs report the outage.
-Test(leases, an_outage_for_all_costs_no_orders)
+Test(leases, an_outage_for_all_costs_no_commands)
 {
     const std::vector<Toggle> outage{toggleAt(100, int(Fault::StoreUnreachableFromFirst)),
                                      toggleAt(100, int(Fault::StoreUnreachableFromSecond)),
                                      toggleAt(180, int(Fault::StoreUnreachableFromFirst)),
                                      toggleAt(180, int(Fault::StoreUnreachableFromSecond))};
     const LeaseTiming timing;
-    const int calm = ticksActive({}, ticks, timing);
+    const int undisturbed = ticksActive({}, ticks, timing);
     cr_assert_geq(ticksActive(outage, 180, timing), ticksActive({}, 180, timing));
-    cr_assert_gt(ticksActive(outage, ticks, timing), calm - 70);
+    cr_assert_gt(ticksActive(outage, ticks, timing), undisturbed - 70);
 }
 
-Test(leases, the_model_finds_notes_that_are_added_blindly)
+Test(leases, the_model_finds_records_that_are_added_blindly)
 {
     Mutation mutation;
     mutation.recordsBlindly = true;
@@ -139,7 +140,7 @@
 // Guards against a needless wait: after a restart of all VMs, or after the store had reassigned a
 // partition and returned it, no VM sent commands for 5 s. The VM that the last record names as the
 // last holder may continue at once.
-Test(leases, who_ordered_last_goes_on_at_once)
+Test(leases, the_last_holder_continues_at_once)
 {
     const LeaseTiming timing;
     const Instant now = modelStart;
@@ -150,14 +151,14 @@
     renewLease(lease, grant, timing, now, now + 5ms);
     PartitionLease moved = lease;
     PartitionLease later = lease;
-    noteAll(lease, notedBy("vm-1", 4), "vm-1", now + 8ms);
+    recordAll(lease, recordsBy("vm-1", 4), "vm-1", now + 8ms);
     cr_assert(mayCommand(lease, 1, now + 10ms));
     cr_assert(isFullyActive(lease, now + 10ms));
-    noteAll(moved, notedBy("vm-2", 4), "vm-1", now + 8ms);
+    recordAll(moved, recordsBy("vm-2", 4), "vm-1", now + 8ms);
     cr_assert(!mayCommand(moved, 1, now + 10ms));
     cr_assert(!isFullyActive(moved, now + 10ms));
     later.activeFrom[1] = now;
-    noteAll(later, notedBy("vm-2", 10), "vm-1", now + 8ms);
+    recordAll(later, recordsBy("vm-2", 10), "vm-1", now + 8ms);
     cr_assert(!mayCommand(later, 1, now + 10ms), "another VM was assigned it after that grant");
 }
 
@@ -165,7 +166,7 @@
 // between two of its renewals the partition is assigned to its last holder, which adds a record and
 // continues at once, and then assigned back. So the record is of a later generation than the one in
 // which the waiting VM acquired the partition.
-Test(leases, a_partition_that_was_away_and_back_is_waited_for_anew)
+Test(leases, a_partition_reassigned_and_returned_is_waited_for_again)
 {
     const LeaseTiming timing;
     PartitionLease lease;
@@ -176,23 +177,23 @@
     grant.generation = 6;
     Instant now = modelStart + 500ms;
     renewLease(lease, grant, timing, now, now);
-    noteAll(lease, notedBy("vm-2", 5), "vm-1", now);
+    recordAll(lease, recordsBy("vm-2", 5), "vm-1", now);
     const Instant back = now;
     for (; now < back + 5900ms; now += 300ms) {
         renewLease(lease, grant, timing, now, now);
-        noteAll(lease, notedBy("vm-2", 5), "vm-1", now);
+        recordAll(lease, recordsBy("vm-2", 5), "vm-1", now);
         cr_assert(!mayCommand(lease, 1, now));
     }
     now = back + 6100ms;
     renewLease(lease, grant, timing, now, now);
-    noteAll(lease, notedBy("vm-2", 5), "vm-1", now);
+    recordAll(lease, recordsBy("vm-2", 5), "vm-1", now);
     cr_assert(mayCommand(lease, 1, now));
 }
 
 // Guards against two holders because of a command without a record: a VM waits until commands are
 // allowed; the store becomes unreachable, and the previous holder comes back and finds its own
 // record as the last one.
-Test(leases, nothing_is_ordered_without_a_note)
+Test(leases, no_command_without_a_holder_record)
 {
     const LeaseTiming timing;
     PartitionLease lease;
@@ -204,7 +205,7 @@
         renewLease(lease, grant, timing, now, now);
     cr_assert(isWriteDue(lease, now));
     cr_assert(!mayCommand(lease, 1, now));
-    noteAll(lease, notedBy("vm-2", 2), "vm-1", now);
+    recordAll(lease, recordsBy("vm-2", 2), "vm-1", now);
     cr_assert(mayCommand(lease, 1, now));
     cr_assert(!isWriteDue(lease, now));
 }
@@ -220,7 +221,7 @@
     grant.generation = 4;
     grant.partitions = {1};
     renewLease(leaver, grant, timing, modelStart, modelStart);
-    noteAll(leaver, notedBy("vm-1", 4), "vm-1", modelStart);
+    recordAll(leaver, recordsBy("vm-1", 4), "vm-1", modelStart);
     dropLease(leaver, modelStart + 400ms);
     cr_assert_eq(leaver.releases.size(), 1);
     PartitionLease successor;
@@ -239,7 +240,7 @@
 
 // Guards against a release by a VM that was still waiting: it does not know whether the previous
 // holder has stopped.
-Test(leases, who_never_ordered_releases_nothing)
+Test(leases, a_holder_that_was_still_waiting_releases_nothing)
 {
     const LeaseTiming timing;
     PartitionLease waiting;
@@ -251,7 +252,7 @@
     cr_assert(waiting.releases.empty());
 }
 
-Test(leases, a_partition_that_was_taken_away_is_not_ordered)
+Test(leases, a_partition_that_was_taken_away_gets_no_commands)
 {
     const LeaseTiming timing;
     const Instant now = modelStart;
@@ -260,7 +261,7 @@
     grant.generation = 4;
     grant.partitions = {1, 2};
     renewLease(lease, grant, timing, now, now);
-    noteAll(lease, notedBy("vm-1", 4), "vm-1", now);
+    recordAll(lease, recordsBy("vm-1", 4), "vm-1", now);
     grant.generation = 5;
     grant.partitions = {2};
     renewLease(lease, grant, timing, now + 500ms, now + 500ms);
