--- a/libs/requests/src/RequestLifecycle.cpp
+++ b/libs/requests/src/RequestLifecycle.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-constexpr std::uint32_t maxBounces = 50;
+constexpr std::uint32_t maxRedirects = 50;
 /** Half a minute, with the backoff: longer than a new owner takes to claim a target and wait. */
 constexpr std::uint32_t maxResumes = 36;
-constexpr Duration firstBounceWait = std::chrono::milliseconds(5);
-constexpr Duration longestBounceWait = std::chrono::milliseconds(250);
-constexpr Duration firstResumeWait = std::chrono::milliseconds(50);
-constexpr Duration longestResumeWait = std::chrono::milliseconds(1000);
+constexpr Duration minRedirectWait = std::chrono::milliseconds(5);
+constexpr Duration maxRedirectWait = std::chrono::milliseconds(250);
+constexpr Duration minResumeWait = std::chrono::milliseconds(50);
+constexpr Duration maxResumeWait = std::chrono::milliseconds(1000);
 
-Duration bounceWait(std::uint32_t bounces)
+Duration redirectWait(std::uint32_t count)
 {
-    const std::uint32_t doublings = std::min(bounces, 6U);
-    return std::min(longestBounceWait, firstBounceWait * (1 << doublings));
+    const std::uint32_t doublings = std::min(count, 6U);
+    return std::min(maxRedirectWait, minRedirectWait * (1 << doublings));
 }
 
 Duration resumeWaitAfter(std::uint32_t resumes)
 {
     const std::uint32_t doublings = std::min(resumes, 6U);
-    return std::min(longestResumeWait, firstResumeWait * (1 << doublings));
+    return std::min(maxResumeWait, minResumeWait * (1 << doublings));
 }
 
 RequestStep finish(RequestLifecycle &life, NextStep step, ErrorKind kind)
@@ -34,13 +34,13 @@
 
 // The directory was stale or an owner changed. Nothing ran, so any request may go to another
 // target. This costs the targets nothing, so the retry budget does not apply.
-RequestStep bounce(RequestLifecycle &life, ErrorKind kind, Instant now)
+RequestStep redirect(RequestLifecycle &life, ErrorKind kind, Instant now)
 {
     ++life.redirects;
-    const Duration wait = bounceWait(life.redirects);
+    const Duration wait = redirectWait(life.redirects);
     if (now + wait >= life.traits.deadline)
         return finish(life, NextStep::Refuse, ErrorKind::DeadlinePassed);
-    if (life.redirects > maxBounces)
+    if (life.redirects > maxRedirects)
         return finish(life, NextStep::Refuse, kind);
     life.phase = RequestPhase::Routing;
     return RequestStep{NextStep::Route, kind, wait};
@@ -54,7 +54,7 @@
 // A wrong answer stays wrong when it is fetched again, and with "may have run" the engine reports
 // that it holds no answer. Other errors may come from a broken hop, with the answer intact at the
 // target.
-bool worthResuming(const RequestLifecycle &life, ErrorKind kind)
+bool mayResume(const RequestLifecycle &life, ErrorKind kind)
 {
     const bool hopeless = kind == ErrorKind::WrongAnswer || kind == ErrorKind::MayHaveRun;
     return life.traits.resumable && !hopeless && life.resumes < maxResumes;
@@ -118,11 +118,11 @@
     if (!life.everDispatched) {
         if (endsAtCaller(end.kind))
             return finish(life, NextStep::Refuse, end.kind);
-        return bounce(life, end.kind, now);
+        return redirect(life, end.kind, now);
     }
     const Duration wait = resumeWaitAfter(life.resumes);
     const bool timeLeft = now + wait < life.traits.deadline;
-    if (timeLeft && worthResuming(life, end.kind)) {
+    if (timeLeft && mayResume(life, end.kind)) {
         ++life.resumes;
         return RequestStep{NextStep::Resume, end.kind, wait};
     }
@@ -131,8 +131,8 @@
         life.resumes = 0;
         return RequestStep{NextStep::Route, end.kind, wait};
     }
-    const ErrorKind told = meansNotRun(end.kind) ? ErrorKind::MayHaveRun : end.kind;
-    return finish(life, NextStep::Fail, told);
+    const ErrorKind reported = meansNotRun(end.kind) ? ErrorKind::MayHaveRun : end.kind;
+    return finish(life, NextStep::Fail, reported);
 }
 
 RequestStep endRouting(RequestLifecycle &life, ErrorKind kind)
--- a/libs/requests/tests/Life.cpp
+++ b/libs/requests/tests/Life.cpp
@@ -61,7 +61,7 @@
 
 } // namespace
 
-Test(life, keeps_its_promises_on_any_schedule)
+Test(life, guarantees_hold_on_any_schedule)
 {
     cr_assert(rc::check("request life", [] {
         RequestLifecycle life;
@@ -84,21 +84,22 @@
             }
             const DrawnAttempt attempt = drawAttempt();
             const std::uint32_t number = beginAttempt(life);
-            const std::uint32_t told = attempt.late ? number - 1 : number;
+            const std::uint32_t reportedAttempt = attempt.late ? number - 1 : number;
             for (const std::uint64_t position : attempt.positions)
-                RC_ASSERT(takePiece(life, told, position) == caller.take(position, !attempt.late));
+                RC_ASSERT(takePiece(life, reportedAttempt, position)
+                          == caller.take(position, !attempt.late));
             if (attempt.dispatched && !resume)
                 ++runs;
             mayHaveRun = mayHaveRun || attempt.dispatched;
             if (attempt.late) {
-                const AttemptEnd stale{told, ErrorKind::Ok, true, caller.got.size()};
+                const AttemptEnd stale{reportedAttempt, ErrorKind::Ok, true, caller.got.size()};
                 RC_ASSERT(endAttempt(life, stale, budget, now).step == NextStep::Drop);
             }
             step =
                 endAttempt(life, {number, attempt.kind, attempt.dispatched, attempt.claimedPieces},
                            budget, now);
-            const bool goesOn = step.step == NextStep::Route || step.step == NextStep::Resume;
-            if (!goesOn)
+            const bool continues = step.step == NextStep::Route || step.step == NextStep::Resume;
+            if (!continues)
                 break;
             RC_ASSERT(now < life.traits.deadline);
         }
@@ -131,7 +132,7 @@
 
 // Guards against half an answer that looks complete: the engine closes the stream early and reports
 // the end, and the delivered pieces are not compared with the number it reports.
-Test(life, a_short_answer_is_no_answer)
+Test(life, an_incomplete_answer_is_a_failure)
 {
     RequestLifecycle life;
     life.traits.deadline = Instant{} + std::chrono::seconds(60);
@@ -172,18 +173,18 @@
 namespace {
 
 /** Entry VMs with their key records, which a restart loses. */
-struct KeyWorld
+struct KeyCluster
 {
     std::vector<KeyRecords> vms;
     std::vector<bool> up;
     Instant now = Instant{} + std::chrono::hours(1);
 
-    explicit KeyWorld(std::size_t count)
+    explicit KeyCluster(std::size_t count)
         : up(count, true)
     {
         for (std::size_t index = 0; index < count; ++index)
             this->vms.push_back(makeKeyRecords({}, VmId{index + 1}, this->now));
-        this->tellAlive();
+        this->updateAlive();
         this->now += std::chrono::hours(1);
     }
 
@@ -197,7 +198,7 @@
         return alive;
     }
 
-    void tellAlive()
+    void updateAlive()
     {
         for (std::size_t index = 0; index < this->vms.size(); ++index) {
             if (this->up[index])
@@ -231,48 +232,48 @@
 
 // Guards against running a retried booking again: holders of the key's record failed, restarted or
 // changed between the caller's retries, and a VM without records took "unknown" for "new".
-Test(keys, one_key_runs_once_whatever_dies)
+Test(keys, one_key_runs_once_whatever_fails)
 {
     cr_assert(rc::check("keys", [] {
-        KeyWorld world(5);
-        const auto deeds = *rc::gen::container<std::vector<std::pair<int, int>>>(
+        KeyCluster cluster(5);
+        const auto actions = *rc::gen::container<std::vector<std::pair<int, int>>>(
             rc::gen::pair(rc::gen::inRange(0, 5), rc::gen::inRange(0, 5)));
         int runs = 0;
         std::uint64_t requestId = 1;
-        for (const auto &[deed, number] : deeds) {
+        for (const auto &[action, number] : actions) {
             const auto vm = static_cast<std::size_t>(number);
-            world.now += std::chrono::seconds(7);
-            if (deed == 0) {
-                world.up[vm] = false;
-            } else if (deed == 1) {
-                if (!world.up[vm])
-                    world.restart(vm);
-                world.up[vm] = true;
-            } else if (!world.alive().empty()) {
+            cluster.now += std::chrono::seconds(7);
+            if (action == 0) {
+                cluster.up[vm] = false;
+            } else if (action == 1) {
+                if (!cluster.up[vm])
+                    cluster.restart(vm);
+                cluster.up[vm] = true;
+            } else if (!cluster.alive().empty()) {
                 const KeyRequest request{42, 4711, ++requestId};
-                if (world.ask(request) == KeyDecision::Run) {
+                if (cluster.ask(request) == KeyDecision::Run) {
                     ++runs;
-                    for (const VmId holder : keyHolders(42, world.alive()))
-                        completeKey(world.vms[holder.value - 1], request, {}, world.now);
+                    for (const VmId holder : keyHolders(42, cluster.alive()))
+                        completeKey(cluster.vms[holder.value - 1], request, {}, cluster.now);
                 }
             }
-            world.tellAlive();
+            cluster.updateAlive();
             RC_ASSERT(runs <= 1);
         }
         RC_CLASSIFY(runs == 1, "ran");
     }));
 }
 
-Test(keys, a_repeat_while_the_first_runs_and_after_it_ended)
+Test(keys, a_retry_while_the_first_runs_and_after_it_ended)
 {
-    KeyWorld world(3);
+    KeyCluster cluster(3);
     const KeyRequest first{7, 1, 100};
-    cr_assert(world.ask(first) == KeyDecision::Run);
-    cr_assert(world.ask({7, 1, 101}) == KeyDecision::RefuseInUse);
-    cr_assert(world.ask({7, 2, 102}) == KeyDecision::RefuseConflict);
-    for (const VmId holder : keyHolders(7, world.alive()))
-        completeKey(world.vms[holder.value - 1], first, {ErrorKind::Ok, 200, "", "answer", true},
-                    world.now);
-    cr_assert(world.ask({7, 1, 103}) == KeyDecision::Replay);
-    cr_assert(world.ask({7, 2, 104}) == KeyDecision::RefuseConflict);
+    cr_assert(cluster.ask(first) == KeyDecision::Run);
+    cr_assert(cluster.ask({7, 1, 101}) == KeyDecision::RefuseInUse);
+    cr_assert(cluster.ask({7, 2, 102}) == KeyDecision::RefuseConflict);
+    for (const VmId holder : keyHolders(7, cluster.alive()))
+        completeKey(cluster.vms[holder.value - 1], first, {ErrorKind::Ok, 200, "", "answer", true},
+                    cluster.now);
+    cr_assert(cluster.ask({7, 1, 103}) == KeyDecision::Replay);
+    cr_assert(cluster.ask({7, 2, 104}) == KeyDecision::RefuseConflict);
 }
