--- a/libs/ownership/src/Ownership.cpp
+++ b/libs/ownership/src/Ownership.cpp
@@ -64,7 +64,7 @@
     return claim.phase == ClaimPhase::Owner && claim.owner == state.self;
 }
 
-void lose(TargetClaim &claim)
+void dropClaim(TargetClaim &claim)
 {
     claim.phase = ClaimPhase::None;
     claim.leaseUntil = Instant{};
@@ -150,7 +150,7 @@
     const int theirs = ownedBy(state, preferred, claim.target.zone);
     if (!foreign && ours < theirs + 2)
         return;
-    lose(claim);
+    dropClaim(claim);
     claim.released = true;
     actions.handOvers.push_back(HandOver{claim.target.target, preferred});
 }
@@ -222,7 +222,7 @@
     const bool replacesUs =
         owner != state.self && claim->phase != ClaimPhase::None && token > claim->token;
     if (replacesUs)
-        lose(*claim);
+        dropClaim(*claim);
     if (owner == state.self)
         return;
     claim->owner = owner;
@@ -265,7 +265,7 @@
     TargetClaim *claim = claimOf(state, target);
     if (claim == nullptr || claim->token >= higher)
         return;
-    lose(*claim);
+    dropClaim(*claim);
 }
 
 OwnershipActions tick(OwnershipState &state, Instant now)
@@ -279,9 +279,9 @@
             actions.append.push_back(claim.target.target);
             continue;
         }
-        const bool tells =
+        const bool announces =
             claim.phase == ClaimPhase::Confirming || claim.phase == ClaimPhase::Owner;
-        if (!tells || now < claim.renewedAt + renewEvery)
+        if (!announces || now < claim.renewedAt + renewEvery)
             continue;
         claim.renewedAt = now;
         actions.engineClaims.push_back(EngineClaim{claim.target.target, claim.token});
@@ -296,7 +296,7 @@
         if (claim.phase == ClaimPhase::None)
             continue;
         claim.released = claim.owner == state.self;
-        lose(claim);
+        dropClaim(claim);
     }
 }
 
--- a/libs/ownership/tests/OwnershipSchedules.cpp
+++ b/libs/ownership/tests/OwnershipSchedules.cpp
@@ -20,7 +20,7 @@
 const TargetId target = TargetId::of("engine");
 
 /** What a schedule can do in a step. */
-enum class Deed {
+enum class Action {
     Nothing,
     CutPeers,
     HealPeers,
@@ -37,7 +37,7 @@
 
 struct Move
 {
-    Deed deed = Deed::Nothing;
+    Action action = Action::Nothing;
     std::size_t a = 0;
     std::size_t b = 0;
 };
@@ -55,8 +55,8 @@
     bool paused = false;
     bool reachesEngine = true;
     bool reachesLog = true;
-    std::array<bool, vmCount> hears{};
-    std::array<Instant, vmCount> heardAt{}; ///< by any path
+    std::array<bool, vmCount> receivesFrom{};
+    std::array<Instant, vmCount> reportedAt{}; ///< by any path
     std::array<Instant, vmCount> exchangedAt{}; ///< by a direct exchange
 };
 
@@ -69,7 +69,7 @@
     FencingToken engineToken;
     std::vector<LogClaim> log;
     std::array<Vm, vmCount> vms;
-    std::uint64_t orders = 0;
+    std::uint64_t commands = 0;
     std::string breach;
 };
 
@@ -87,8 +87,8 @@
         Vm &vm = world.vms[index];
         vm.state = makeOwnership(OwnershipConfig{}, idOf(index), "zone", world.now);
         setTargets(vm.state, {OwnedTarget{target, "zone", fenced}});
-        vm.hears.fill(true);
-        vm.heardAt.fill(world.now);
+        vm.receivesFrom.fill(true);
+        vm.reportedAt.fill(world.now);
         vm.exchangedAt.fill(world.now);
     }
     return world;
@@ -96,7 +96,7 @@
 
 bool connected(const World &world, std::size_t a, std::size_t b)
 {
-    return world.vms[a].hears[b] && world.vms[b].hears[a] && !world.vms[a].paused
+    return world.vms[a].receivesFrom[b] && world.vms[b].receivesFrom[a] && !world.vms[a].paused
         && !world.vms[b].paused;
 }
 
@@ -114,46 +114,46 @@
 void apply(World &world, const Move &move)
 {
     Vm &vm = world.vms[move.a];
-    switch (move.deed) {
-    case Deed::CutPeers:
-        vm.hears[move.b] = false;
+    switch (move.action) {
+    case Action::CutPeers:
+        vm.receivesFrom[move.b] = false;
         break;
-    case Deed::HealPeers:
-        vm.hears[move.b] = true;
+    case Action::HealPeers:
+        vm.receivesFrom[move.b] = true;
         break;
-    case Deed::CutEngine:
+    case Action::CutEngine:
         vm.reachesEngine = false;
         break;
-    case Deed::HealEngine:
+    case Action::HealEngine:
         vm.reachesEngine = true;
         break;
-    case Deed::LogDown:
+    case Action::LogDown:
         world.logUp = false;
         break;
-    case Deed::LogUp:
+    case Action::LogUp:
         world.logUp = true;
         break;
-    case Deed::CutLog:
+    case Action::CutLog:
         vm.reachesLog = false;
         break;
-    case Deed::HealLog:
+    case Action::HealLog:
         vm.reachesLog = true;
         break;
-    case Deed::Pause:
+    case Action::Pause:
         vm.paused = true;
         break;
-    case Deed::Wake:
+    case Action::Wake:
         vm.paused = false;
         break;
-    case Deed::LoseAppend:
+    case Action::LoseAppend:
         world.loseNextAppend = true;
         break;
-    case Deed::Nothing:
+    case Action::Nothing:
         break;
     }
 }
 
-void hearPeers(World &world, std::size_t index)
+void receiveReports(World &world, std::size_t index)
 {
     Vm &vm = world.vms[index];
     std::vector<OwnerCandidate> alive{{idOf(index), "zone"}};
@@ -162,10 +162,10 @@
         if (other == index)
             continue;
         if (connectedByAnyPath(world, index, other))
-            vm.heardAt[other] = world.now;
+            vm.reportedAt[other] = world.now;
         if (connected(world, index, other))
             vm.exchangedAt[other] = world.now;
-        if (vm.heardAt[other] + detection > world.now)
+        if (vm.reportedAt[other] + detection > world.now)
             alive.push_back({idOf(other), "zone"});
         oldest = std::min(oldest, vm.exchangedAt[other]);
     }
@@ -210,7 +210,7 @@
     recordEngineAccepted(vm.state, target, claim.token, world.now, world.now);
 }
 
-void tellPeers(World &world, std::size_t index)
+void reportToPeers(World &world, std::size_t index)
 {
     const TargetClaim *claim = findClaim(world.vms[index].state, target);
     if (claim->phase != ClaimPhase::Owner)
@@ -226,7 +226,7 @@
     Vm &vm = world.vms[index];
     if (vm.paused)
         return;
-    hearPeers(world, index);
+    receiveReports(world, index);
     readLog(world, vm);
     if (vm.reachesEngine)
         noteReachable(vm.state, target, world.now);
@@ -235,25 +235,25 @@
         append(world, vm, actions.append);
     for (const EngineClaim &claim : actions.engineClaims)
         claimAtEngine(world, vm, claim);
-    tellPeers(world, index);
+    reportToPeers(world, index);
 }
 
 /** Records a breach if a VM's command would be accepted now while another VM may dispatch. */
-void lookForBreach(World &world)
+void checkForBreach(World &world)
 {
-    for (std::size_t orderer = 0; orderer < vmCount; ++orderer) {
-        const Vm &vm = world.vms[orderer];
+    for (std::size_t sender = 0; sender < vmCount; ++sender) {
+        const Vm &vm = world.vms[sender];
         if (vm.paused || !vm.reachesEngine || !mayCommand(vm.state, target, world.now))
             continue;
-        const bool obeyed =
+        const bool accepted =
             !world.fenced || findClaim(vm.state, target)->token >= world.engineToken;
-        if (!obeyed)
+        if (!accepted)
             continue;
-        ++world.orders;
+        ++world.commands;
         for (std::size_t other = 0; other < vmCount; ++other) {
             const Vm &rival = world.vms[other];
-            if (other != orderer && !rival.paused && mayDispatch(rival.state, target, world.now))
-                world.breach = "vm " + std::to_string(orderer) + " sends commands while vm "
+            if (other != sender && !rival.paused && mayDispatch(rival.state, target, world.now))
+                world.breach = "vm " + std::to_string(sender) + " sends commands while vm "
                     + std::to_string(other) + " dispatches";
         }
     }
@@ -268,7 +268,7 @@
             world.now += step;
             for (std::size_t index = 0; index < vmCount; ++index)
                 actAs(world, index);
-            lookForBreach(world);
+            checkForBreach(world);
         }
     }
     return world;
@@ -279,36 +279,36 @@
     const auto moves = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
         rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange(0, 3), rc::gen::inRange(0, 3)));
     std::vector<Move> schedule;
-    for (const auto &[deed, a, b] : moves)
-        schedule.push_back(
-            {static_cast<Deed>(deed), static_cast<std::size_t>(a), static_cast<std::size_t>(b)});
+    for (const auto &[action, a, b] : moves)
+        schedule.push_back({static_cast<Action>(action), static_cast<std::size_t>(a),
+                            static_cast<std::size_t>(b)});
     return schedule;
 }
 
 /** Adds steps without faults, so that schedules also reach the take-over. */
-void quieten(std::vector<Move> &moves, int steps)
+void appendQuietSteps(std::vector<Move> &moves, int steps)
 {
     moves.insert(moves.end(), static_cast<std::size_t>(steps), Move{});
 }
 
 } // namespace
 
-Test(ownership, no_order_under_anothers_dispatch_fenced)
+Test(ownership, no_command_while_another_dispatches_fenced)
 {
     cr_assert(rc::check("fenced engine", [] {
         std::vector<Move> moves = drawMoves();
-        quieten(moves, 10);
+        appendQuietSteps(moves, 10);
         const World world = runSchedule(true, moves);
-        RC_CLASSIFY(world.orders > 0, "some VM sent commands");
+        RC_CLASSIFY(world.commands > 0, "some VM sent commands");
         RC_ASSERT(world.breach == "");
     }));
 }
 
-Test(ownership, no_order_under_anothers_dispatch_unfenced)
+Test(ownership, no_command_while_another_dispatches_unfenced)
 {
     cr_assert(rc::check("unfenced engine", [] {
         std::vector<Move> moves = drawMoves();
-        quieten(moves, 10);
+        appendQuietSteps(moves, 10);
         const World world = runSchedule(false, moves);
         RC_ASSERT(world.breach == "");
     }));
@@ -327,14 +327,14 @@
     cr_assert(owner < vmCount);
     world.vms[owner].paused = true;
     const Instant died = world.now;
-    const auto somebodyDispatches = [&] {
+    const auto anyDispatches = [&] {
         for (std::size_t index = 0; index < vmCount; ++index) {
             if (index != owner && mayDispatch(world.vms[index].state, target, world.now))
                 return true;
         }
         return false;
     };
-    while (!somebodyDispatches() && world.now < died + std::chrono::seconds(20)) {
+    while (!anyDispatches() && world.now < died + std::chrono::seconds(20)) {
         world.now += step;
         for (std::size_t index = 0; index < vmCount; ++index)
             actAs(world, index);
