--- a/libs/membership/include/membership/Membership.h
+++ b/libs/membership/include/membership/Membership.h
@@ -82,7 +82,7 @@
 void addSeed(MembershipState &state, const Member &member, Instant now);
 
 /** Applies members' states received from a peer. */
-void applyGossip(MembershipState &state, const std::vector<Member> &news, Instant now);
+void applyGossip(MembershipState &state, const std::vector<Member> &gossip, Instant now);
 
 /** A message from this VM itself was received. */
 void noteHeard(MembershipState &state, VmId vm, std::uint64_t incarnation, Instant now);
--- a/libs/membership/src/Membership.cpp
+++ b/libs/membership/src/Membership.cpp
@@ -54,11 +54,11 @@
 
 // A higher incarnation wins; within one, the worse state wins, since only the member itself may
 // clear a suspicion and it does so by a new incarnation.
-bool supersedes(const Member &news, const Member &known)
+bool supersedes(const Member &gossip, const Member &known)
 {
-    if (news.incarnation != known.incarnation)
-        return news.incarnation > known.incarnation;
-    return news.state > known.state;
+    if (gossip.incarnation != known.incarnation)
+        return gossip.incarnation > known.incarnation;
+    return gossip.state > known.state;
 }
 
 void add(MembershipState &state, const Member &member, Instant now)
@@ -72,12 +72,12 @@
     ++state.version;
 }
 
-void refuteIfNeeded(MembershipState &state, const Member &news)
+void refuteIfNeeded(MembershipState &state, const Member &gossip)
 {
-    const bool accused = news.state != MemberState::Alive
-        && news.incarnation >= state.self.incarnation && state.self.state == MemberState::Alive;
-    if (accused)
-        state.self.incarnation = news.incarnation + 1;
+    const bool declaredFailed = gossip.state != MemberState::Alive
+        && gossip.incarnation >= state.self.incarnation && state.self.state == MemberState::Alive;
+    if (declaredFailed)
+        state.self.incarnation = gossip.incarnation + 1;
 }
 
 void shuffleOrder(MembershipState &state)
@@ -120,7 +120,7 @@
     }
 }
 
-void askOthers(MembershipState &state, Known &silent, std::vector<Probe> &probes)
+void addIndirectProbes(MembershipState &state, Known &silent, std::vector<Probe> &probes)
 {
     silent.indirect = true;
     const std::size_t count = state.others.size();
@@ -163,9 +163,9 @@
     add(state, seed, now);
 }
 
-void applyGossip(MembershipState &state, const std::vector<Member> &news, Instant now)
+void applyGossip(MembershipState &state, const std::vector<Member> &gossip, Instant now)
 {
-    for (const Member &member : news) {
+    for (const Member &member : gossip) {
         if (member.vm == state.self.vm) {
             refuteIfNeeded(state, member);
             continue;
@@ -225,7 +225,7 @@
     for (Known &known : state.others) {
         const bool silent = known.probing && known.probedAt + state.config.probeTimeout <= now;
         if (silent && !known.indirect) {
-            askOthers(state, known, probes);
+            addIndirectProbes(state, known, probes);
             continue;
         }
         const bool silentToAll =
@@ -250,7 +250,7 @@
 
 std::vector<Member> nextGossip(MembershipState &state)
 {
-    std::vector<Member> news{state.self};
+    std::vector<Member> gossip{state.self};
     std::vector<Known *> fresh;
     for (Known &known : state.others) {
         if (known.gossipBudget > 0)
@@ -261,12 +261,12 @@
                                                   : a->member.vm < b->member.vm;
     });
     for (Known *known : fresh) {
-        if (static_cast<int>(news.size()) > state.config.gossipPerMessage)
+        if (static_cast<int>(gossip.size()) > state.config.gossipPerMessage)
             break;
         --known->gossipBudget;
-        news.push_back(known->member);
+        gossip.push_back(known->member);
     }
-    return news;
+    return gossip;
 }
 
 void leave(MembershipState &state)
--- a/libs/membership/tests/Detector.cpp
+++ b/libs/membership/tests/Detector.cpp
@@ -50,8 +50,8 @@
         ++this->messages;
         if (!this->reaches(from, to))
             return false;
-        const std::vector<Member> news = nextGossip(this->vms[from]);
-        applyGossip(this->vms[to], news, this->now);
+        const std::vector<Member> gossip = nextGossip(this->vms[from]);
+        applyGossip(this->vms[to], gossip, this->now);
         noteHeard(this->vms[to], VmId{from + 1}, this->vms[from].self.incarnation, this->now);
         if (!this->reaches(to, from))
             return false;
@@ -117,7 +117,7 @@
 
 // Guards against targets that keep changing owners because of one bad link: two VMs do not reach
 // each other, all others reach both, and silence towards one VM was taken for a failure.
-Test(membership, one_cut_link_kills_nobody)
+Test(membership, one_cut_link_fails_no_member)
 {
     Cluster cluster(5);
     cluster.run(std::chrono::seconds(3));
@@ -154,7 +154,7 @@
         cr_assert_eq(cluster.aliveSeenBy(index), 6);
 }
 
-Test(membership, one_that_leaves_is_gone_at_once_for_those_who_hear_it)
+Test(membership, a_leave_takes_effect_where_it_is_received)
 {
     Cluster cluster(4);
     cluster.run(std::chrono::seconds(3));
@@ -179,7 +179,7 @@
 
 // Guards against assigning a target to a VM that failed long ago: the lagging VM list still had it,
 // and being listed was taken for being alive.
-Test(membership, a_listed_vm_that_was_never_heard_is_no_member)
+Test(membership, a_listed_vm_that_never_reported_is_no_member)
 {
     MembershipState state = makeMembership({}, memberOf(0), 1, Instant{});
     addSeed(state, memberOf(1), Instant{});
