--- a/libs/serving/tests/Engines.cpp
+++ b/libs/serving/tests/Engines.cpp
@@ -30,6 +30,7 @@
 
 } // namespace
 
+// Guards against loading an adapter that a usable engine already holds.
 Test(engines, a_resident_adapter_is_used_where_it_is)
 {
     const std::vector<EngineView> views{engine("e1"), engine("e2", &holds), engine("e3")};
@@ -81,6 +82,7 @@
     cr_assert_eq(chooseEngine(views, need(), {}, weights).engine, preferred.engine);
 }
 
+// Guards against a load at an engine whose adapter slots are all in use.
 Test(engines, an_engine_without_an_idle_slot_is_not_asked_to_load)
 {
     std::vector<EngineView> views{engine("e1")};
@@ -88,6 +90,7 @@
     cr_assert(chooseEngine(views, need(), {}, weights).step == EngineStep::Full);
 }
 
+// Guards against a call that is sent to an engine with an older version of its adapter.
 Test(engines, an_older_version_does_not_count_as_resident)
 {
     EngineNeed newer = need();
@@ -105,6 +108,7 @@
     cr_assert(chooseEngine(views, need(), {}, weights).step == EngineStep::None);
 }
 
+// Guards against refusing calls for resident adapters while no VM may send commands.
 Test(engines, resident_adapters_are_served_without_a_lease_holder)
 {
     std::vector<EngineView> views{engine("e1", &holds), engine("e2")};
--- a/libs/serving/tests/Events.cpp
+++ b/libs/serving/tests/Events.cpp
@@ -73,6 +73,7 @@
     }));
 }
 
+// Guards against bytes that are lost or repeated where the received pieces are cut.
 Test(events, any_cut_gives_the_same_bytes)
 {
     cr_assert(rc::check("cuts", [] {
@@ -101,6 +102,7 @@
     }));
 }
 
+// Guards against ids taken from other fields or from malformed values.
 Test(events, ids_are_read_only_from_id_lines)
 {
     cr_assert_eq(eventId("id: 7\ndata: x\n\n").value_or(0), 7);
--- a/libs/serving/tests/HarmfulCalls.cpp
+++ b/libs/serving/tests/HarmfulCalls.cpp
@@ -44,6 +44,7 @@
 
 } // namespace
 
+// Guards against a threshold other than three crashes, and against a block without an end.
 Test(harmful_calls, three_crashes_block_a_call_and_two_do_not)
 {
     std::deque<CallEvidence> evidence = threeCrashes();
@@ -57,6 +58,7 @@
     cr_assert(isSuspect(judge(evidence), harmful));
 }
 
+// Guards against counting the observations of several VMs as several crashes.
 Test(harmful_calls, one_crash_seen_by_several_vms_counts_once)
 {
     const std::deque<CallEvidence> evidence{
@@ -99,6 +101,7 @@
     cr_assert_null(findHarmful(verdict, neighbor));
 }
 
+// Guards against blocking a harmless call that ran at the same crashes as a harmful one.
 Test(harmful_calls, two_calls_at_the_same_crashes_wait_for_more_evidence)
 {
     std::deque<CallEvidence> evidence{crashed("a", 0s, {harmful, neighbor}),
@@ -118,6 +121,7 @@
     cr_assert_eq(judge(evidence).calls.size(), 2, "nothing tells them apart: targets come first");
 }
 
+// Guards against refusing other callers because of one caller's harmful call.
 Test(harmful_calls, the_same_content_of_another_caller_is_another_call)
 {
     const CallIdentity sameContent{harmful.content, 99};
@@ -205,6 +209,7 @@
 
 } // namespace
 
+// Compares the verdict with direct counts of crashes, for evidence in random order.
 Test(harmful_calls, the_planted_call_is_found_and_no_other)
 {
     const bool holds = rc::check("judgeCalls against plain counts", [] {
--- a/libs/serving/tests/Identities.cpp
+++ b/libs/serving/tests/Identities.cpp
@@ -4,6 +4,7 @@
 
 using namespace monsoonbay;
 
+// Guards against an identity that leaves out a part of the call or the border between two parts.
 Test(identities, calls_are_the_same_by_method_host_path_body_and_caller)
 {
     const CallIdentity call = identifyCall("POST", "h.example", "/a/1?b=2", "body", "10.0.0.9");
--- a/libs/serving/tests/Leases.cpp
+++ b/libs/serving/tests/Leases.cpp
@@ -80,6 +80,7 @@
     cr_assert(!findsTwoHolders(LeaseTiming{}, Mutation{}));
 }
 
+// The same for random schedules, with faults at any tick.
 Test(leases, random_schedules_have_no_two_holders)
 {
     cr_assert(rc::check("drawn", [] {
@@ -95,6 +96,7 @@
     }));
 }
 
+// Guards against a model that does not notice a new holder that sends commands too early.
 Test(leases, the_model_finds_a_successor_that_does_not_wait)
 {
     LeaseTiming hasty;
@@ -102,6 +104,7 @@
     cr_assert(findsTwoHolders(hasty, Mutation{}));
 }
 
+// Guards against a model that does not notice a lease extended by a peer that reaches the store.
 Test(leases, the_model_finds_trust_in_a_peer_that_reaches_the_store)
 {
     Mutation mutation;
@@ -109,6 +112,7 @@
     cr_assert(findsTwoHolders(LeaseTiming{}, mutation));
 }
 
+// Guards against a model that does not notice a lease on a clock that stops in a pause.
 Test(leases, the_model_finds_a_clock_that_misses_a_pause)
 {
     Mutation mutation;
@@ -130,6 +134,8 @@
     cr_assert_gt(ticksActive(outage, ticks, timing), undisturbed - 70);
 }
 
+// Guards against a model that does not notice records added although others were added since the
+// read.
 Test(leases, the_model_finds_records_that_are_added_blindly)
 {
     Mutation mutation;
@@ -252,6 +258,7 @@
     cr_assert(waiting.releases.empty());
 }
 
+// Guards against commands to a partition that was reassigned, or after the lease ended.
 Test(leases, a_partition_that_was_taken_away_gets_no_commands)
 {
     const LeaseTiming timing;
