--- a/libs/requests/tests/Life.cpp
+++ b/libs/requests/tests/Life.cpp
@@ -61,6 +61,8 @@
 
 } // namespace
 
+// Guards against a second run of a request that is not idempotent, a refusal after a possible run,
+// and pieces delivered twice or out of order.
 Test(life, guarantees_hold_on_any_schedule)
 {
     cr_assert(rc::check("request life", [] {
@@ -143,6 +145,7 @@
     cr_assert(step.step == NextStep::Fail);
 }
 
+// Guards against retries that amplify an overload.
 Test(life, retries_stop_when_the_budget_is_spent)
 {
     RetryBudget budget;
@@ -155,6 +158,7 @@
     cr_assert_leq(allowed, 111);
 }
 
+// Guards against a service that takes all capacity of an entry VM.
 Test(admission, no_service_shuts_the_others_out)
 {
     AdmissionState state;
@@ -264,6 +268,7 @@
     }));
 }
 
+// Guards against a second run for a retry, and against one key for two different requests.
 Test(keys, a_retry_while_the_first_runs_and_after_it_ended)
 {
     KeyCluster cluster(3);
