--- a/libs/membership/tests/Detector.cpp
+++ b/libs/membership/tests/Detector.cpp
@@ -95,6 +95,7 @@
 
 } // namespace
 
+// Guards against listed VMs that stay unknown to each other.
 Test(membership, all_find_each_other)
 {
     Cluster cluster(7);
@@ -103,6 +104,7 @@
         cr_assert_eq(cluster.aliveSeenBy(index), 7);
 }
 
+// Guards against slow detection of a failed VM.
 Test(membership, a_dead_vm_is_seen_by_all_within_three_seconds)
 {
     Cluster cluster(7);
@@ -154,6 +156,7 @@
         cr_assert_eq(cluster.aliveSeenBy(index), 6);
 }
 
+// Guards against a VM that left and still counts as alive where its leave was received.
 Test(membership, a_leave_takes_effect_where_it_is_received)
 {
     Cluster cluster(4);
@@ -163,6 +166,7 @@
     cr_assert_eq(cluster.aliveSeenBy(1), 3);
 }
 
+// Guards against messages per VM that grow with the number of VMs.
 Test(membership, messages_of_a_vm_do_not_grow_with_all_vms)
 {
     std::vector<double> perVm;
