--- a/libs/serving/include/serving/EngineChoice.h
+++ b/libs/serving/include/serving/EngineChoice.h
@@ -77,7 +77,7 @@
     auto operator<=>(const EngineChoice &) const = default;
 };
 
-/** Where long prompts go, in favour of calls with a shorter objective; see chooseByForecast(). */
+/** Where chooseByForecast() sends long prompts, in favour of calls with a shorter objective. */
 enum class LongPromptPolicy : std::uint8_t {
     Unrestricted, ///< anywhere: only their own forecast decides
     FewestShortRuns, ///< of the engines that meet their objective, one with the fewest such calls
