--- a/libs/membership/src/Membership.cpp
+++ b/libs/membership/src/Membership.cpp
@@ -9,7 +9,7 @@
 
 using Known = MembershipState::Known;
 
-// The state carries its own generator, so that two runs with the same events are the same.
+// The state has its own random generator, so that runs with the same events are reproducible.
 std::uint64_t nextRandom(MembershipState &state)
 {
     state.random = rendezvousScore(state.random, 0x9e3779b97f4a7c15ULL);
@@ -54,11 +54,11 @@
 
 // A higher incarnation wins; within one, the worse state wins, since only the member itself may
 // clear a suspicion and it does so by a new incarnation.
-bool supersedes(const Member &news, const Member &known)
+bool supersedes(const Member &gossip, const Member &known)
 {
-    if (news.incarnation != known.incarnation)
-        return news.incarnation > known.incarnation;
-    return news.state > known.state;
+    if (gossip.incarnation != known.incarnation)
+        return gossip.incarnation > known.incarnation;
+    return gossip.state > known.state;
 }
 
 void add(MembershipState &state, const Member &member, Instant now)
@@ -72,12 +72,12 @@
     ++state.version;
 }
 
-void refuteIfNeeded(MembershipState &state, const Member &news)
+void refuteIfNeeded(MembershipState &state, const Member &gossip)
 {
-    const bool accused = news.state != MemberState::Alive
-        && news.incarnation >= state.self.incarnation && state.self.state == MemberState::Alive;
-    if (accused)
-        state.self.incarnation = news.incarnation + 1;
+    const bool declaredFailed = gossip.state != MemberState::Alive
+        && gossip.incarnation >= state.self.incarnation && state.self.state == MemberState::Alive;
+    if (declaredFailed)
+        state.self.incarnation = gossip.incarnation + 1;
 }
 
 void shuffleOrder(MembershipState &state)
@@ -120,7 +120,7 @@
     }
 }
 
-void askOthers(MembershipState &state, Known &silent, std::vector<Probe> &probes)
+void addIndirectProbes(MembershipState &state, Known &silent, std::vector<Probe> &probes)
 {
     silent.indirect = true;
     const std::size_t count = state.others.size();
@@ -155,16 +155,17 @@
     const bool known = member.vm == state.self.vm || findKnown(state, member.vm) != nullptr;
     if (known)
         return;
-    // The list lags: a VM on it may be long gone. It starts as a suspect, to be heard or dropped.
+    // The list lags, so that a VM on it may be gone. It starts as a suspect until it reports or is
+    // declared dead.
     Member seed = member;
     seed.incarnation = 0;
     seed.state = MemberState::Suspect;
     add(state, seed, now);
 }
 
-void applyGossip(MembershipState &state, const std::vector<Member> &news, Instant now)
+void applyGossip(MembershipState &state, const std::vector<Member> &gossip, Instant now)
 {
-    for (const Member &member : news) {
+    for (const Member &member : gossip) {
         if (member.vm == state.self.vm) {
             refuteIfNeeded(state, member);
             continue;
@@ -187,12 +188,12 @@
         return;
     known->lastContactAt = now;
     known->probing = false;
-    // Hearing a suspect clears the suspicion here at once; the others wait for the member's own
-    // refutation, which the gossip that follows will provoke.
+    // A message from a suspect clears the suspicion here at once. The other VMs wait for the
+    // member's own refutation, which the gossip that follows triggers.
     const bool returned =
         incarnation > known->member.incarnation || known->member.state == MemberState::Suspect;
-    // After a long partition the two sides hold each other dead and the news of it is no longer
-    // told. A dead member that speaks has to hear of the accusation, or it would never refute it.
+    // After a long partition the two sides have each other marked dead and no longer gossip it. A
+    // dead member that sends a message has to be sent its state, or it would never refute it.
     if (!returned && known->member.state != MemberState::Alive)
         known->gossipBudget = std::max(known->gossipBudget, 1);
     if (!returned || known->member.state == MemberState::Left)
@@ -224,7 +225,7 @@
     for (Known &known : state.others) {
         const bool silent = known.probing && known.probedAt + state.config.probeTimeout <= now;
         if (silent && !known.indirect) {
-            askOthers(state, known, probes);
+            addIndirectProbes(state, known, probes);
             continue;
         }
         const bool silentToAll =
@@ -249,7 +250,7 @@
 
 std::vector<Member> nextGossip(MembershipState &state)
 {
-    std::vector<Member> news{state.self};
+    std::vector<Member> gossip{state.self};
     std::vector<Known *> fresh;
     for (Known &known : state.others) {
         if (known.gossipBudget > 0)
@@ -260,12 +261,12 @@
                                                   : a->member.vm < b->member.vm;
     });
     for (Known *known : fresh) {
-        if (static_cast<int>(news.size()) > state.config.gossipPerMessage)
+        if (static_cast<int>(gossip.size()) > state.config.gossipPerMessage)
             break;
         --known->gossipBudget;
-        news.push_back(known->member);
+        gossip.push_back(known->member);
     }
-    return news;
+    return gossip;
 }
 
 void leave(MembershipState &state)
@@ -281,7 +282,7 @@
     if (state.self.state == MemberState::Alive)
         alive.push_back(state.self);
     for (const Known &known : state.others) {
-        // A seed that was never heard is no member yet: nothing may be given to it.
+        // A seed that never sent anything is not a member yet: nothing may be assigned to it.
         const bool heardOnce = known.member.incarnation > 0;
         if (heardOnce && countsAsAlive(known.member.state))
             alive.push_back(known.member);
--- a/libs/membership/tests/Detector.cpp
+++ b/libs/membership/tests/Detector.cpp
@@ -20,7 +20,7 @@
     return member;
 }
 
-/** Entry VMs whose messages arrive at once, or not at all. */
+/** Entry VMs whose messages arrive at once or are lost. */
 struct Cluster
 {
     std::vector<MembershipState> vms;
@@ -50,8 +50,8 @@
         ++this->messages;
         if (!this->reaches(from, to))
             return false;
-        const std::vector<Member> news = nextGossip(this->vms[from]);
-        applyGossip(this->vms[to], news, this->now);
+        const std::vector<Member> gossip = nextGossip(this->vms[from]);
+        applyGossip(this->vms[to], gossip, this->now);
         noteHeard(this->vms[to], VmId{from + 1}, this->vms[from].self.incarnation, this->now);
         if (!this->reaches(to, from))
             return false;
@@ -95,6 +95,7 @@
 
 } // namespace
 
+// Guards against listed VMs that stay unknown to each other.
 Test(membership, all_find_each_other)
 {
     Cluster cluster(7);
@@ -103,6 +104,7 @@
         cr_assert_eq(cluster.aliveSeenBy(index), 7);
 }
 
+// Guards against slow detection of a failed VM.
 Test(membership, a_dead_vm_is_seen_by_all_within_three_seconds)
 {
     Cluster cluster(7);
@@ -115,9 +117,9 @@
     }
 }
 
-// Symptom: one bad link between two VMs made targets change owners again and again. Sequence: A and
-// B cannot hear each other, all others hear both. Cause: silence towards one was taken for death.
-Test(membership, one_cut_link_kills_nobody)
+// Guards against targets that keep changing owners because of one bad link: two VMs do not reach
+// each other, all others reach both, and silence towards one VM was taken for a failure.
+Test(membership, one_cut_link_fails_no_member)
 {
     Cluster cluster(5);
     cluster.run(std::chrono::seconds(3));
@@ -130,9 +132,8 @@
     }
 }
 
-// Symptom: after a partition was healed the two sides never saw each other again. Sequence: cut for
-// a minute, each side holds the other dead, healed. Cause: the dead were no longer told that they
-// were held dead, so they had nothing to refute.
+// Guards against two sides that stay apart after a partition of a minute was healed: each side has
+// the other marked dead but no longer sends that state, so that there is nothing to refute.
 Test(membership, two_sides_find_each_other_after_a_partition)
 {
     Cluster cluster(6);
@@ -155,7 +156,8 @@
         cr_assert_eq(cluster.aliveSeenBy(index), 6);
 }
 
-Test(membership, one_that_leaves_is_gone_at_once_for_those_who_hear_it)
+// Guards against a VM that left and still counts as alive where its leave was received.
+Test(membership, a_leave_takes_effect_where_it_is_received)
 {
     Cluster cluster(4);
     cluster.run(std::chrono::seconds(3));
@@ -164,6 +166,7 @@
     cr_assert_eq(cluster.aliveSeenBy(1), 3);
 }
 
+// Guards against messages per VM that grow with the number of VMs.
 Test(membership, messages_of_a_vm_do_not_grow_with_all_vms)
 {
     std::vector<double> perVm;
@@ -178,9 +181,9 @@
     cr_assert_leq(perVm[1], perVm[0] * 1.1);
 }
 
-// Symptom: a target went to a VM that had died long ago. Sequence: the lagging VM list still names
-// it. Cause: being listed was taken for being alive.
-Test(membership, a_listed_vm_that_was_never_heard_is_no_member)
+// Guards against assigning a target to a VM that failed long ago: the lagging VM list still had it,
+// and being listed was taken for being alive.
+Test(membership, a_listed_vm_that_never_reported_is_no_member)
 {
     MembershipState state = makeMembership({}, memberOf(0), 1, Instant{});
     addSeed(state, memberOf(1), Instant{});
--- a/libs/requests/tests/Life.cpp
+++ b/libs/requests/tests/Life.cpp
@@ -1,4 +1,4 @@
-// The life of a request against a naive version, and its promises.
+// Compares the state machine of a request with a direct version, and checks its guarantees.
 
 #include <set>
 #include <vector>
@@ -14,12 +14,12 @@
 
 namespace {
 
-/** What one attempt does in a drawn schedule. */
+/** What one attempt does in a random schedule. */
 struct DrawnAttempt
 {
     ErrorKind kind = ErrorKind::Ok;
     bool dispatched = false;
-    std::vector<std::uint64_t> positions; ///< pieces as they arrive, any order, any number
+    std::vector<std::uint64_t> positions; ///< of the pieces in order of arrival, random
     bool late = false; ///< its events carry an older attempt's number
     std::uint64_t claimedPieces = 0;
 };
@@ -45,7 +45,7 @@
     return attempt;
 }
 
-/** The naive version of delivery: a list that grows by the next piece only. */
+/** Reference for delivery: a list to which only the next piece can be appended. */
 struct NaiveCaller
 {
     std::vector<std::uint64_t> got;
@@ -61,7 +61,9 @@
 
 } // namespace
 
-Test(life, keeps_its_promises_on_any_schedule)
+// Guards against a second run of a request that is not idempotent, a refusal after a possible run,
+// and pieces delivered twice or out of order.
+Test(life, guarantees_hold_on_any_schedule)
 {
     cr_assert(rc::check("request life", [] {
         RequestLifecycle life;
@@ -71,7 +73,7 @@
         RetryBudget budget;
         NaiveCaller caller;
         Instant now{};
-        int runs = 0; // attempts that may have started the request anew at a target
+        int runs = 0; // attempts that may have started the request at a target again
         bool mayHaveRun = false;
         RequestStep step{NextStep::Route, ErrorKind::Ok, {}};
         for (int round = 0; round < 200; ++round) {
@@ -84,21 +86,22 @@
             }
             const DrawnAttempt attempt = drawAttempt();
             const std::uint32_t number = beginAttempt(life);
-            const std::uint32_t told = attempt.late ? number - 1 : number;
+            const std::uint32_t reportedAttempt = attempt.late ? number - 1 : number;
             for (const std::uint64_t position : attempt.positions)
-                RC_ASSERT(takePiece(life, told, position) == caller.take(position, !attempt.late));
+                RC_ASSERT(takePiece(life, reportedAttempt, position)
+                          == caller.take(position, !attempt.late));
             if (attempt.dispatched && !resume)
                 ++runs;
             mayHaveRun = mayHaveRun || attempt.dispatched;
             if (attempt.late) {
-                const AttemptEnd stale{told, ErrorKind::Ok, true, caller.got.size()};
+                const AttemptEnd stale{reportedAttempt, ErrorKind::Ok, true, caller.got.size()};
                 RC_ASSERT(endAttempt(life, stale, budget, now).step == NextStep::Drop);
             }
             step =
                 endAttempt(life, {number, attempt.kind, attempt.dispatched, attempt.claimedPieces},
                            budget, now);
-            const bool goesOn = step.step == NextStep::Route || step.step == NextStep::Resume;
-            if (!goesOn)
+            const bool continues = step.step == NextStep::Route || step.step == NextStep::Resume;
+            if (!continues)
                 break;
             RC_ASSERT(now < life.traits.deadline);
         }
@@ -113,8 +116,8 @@
     }));
 }
 
-// Symptom: a crew was booked twice. Sequence: the target did the booking, its answer was lost, the
-// request was sent to another target. Cause: a lost answer was taken for "not run".
+// Guards against a booking made twice: the target made it, its answer was lost, and the request was
+// sent to another target because a lost answer was taken for "not run".
 Test(life, a_lost_answer_of_a_non_idempotent_request_is_never_sent_again)
 {
     RequestLifecycle life;
@@ -129,9 +132,9 @@
     cr_assert(step.kind == ErrorKind::MayHaveRun);
 }
 
-// Symptom: a clerk read half a summary as if it were all. Sequence: the engine closed the stream
-// early and said it was done. Cause to rule out: the pieces are not counted against the end.
-Test(life, a_short_answer_is_no_answer)
+// Guards against half an answer that looks complete: the engine closes the stream early and reports
+// the end, and the delivered pieces are not compared with the number it reports.
+Test(life, an_incomplete_answer_is_a_failure)
 {
     RequestLifecycle life;
     life.traits.deadline = Instant{} + std::chrono::seconds(60);
@@ -142,6 +145,7 @@
     cr_assert(step.step == NextStep::Fail);
 }
 
+// Guards against retries that amplify an overload.
 Test(life, retries_stop_when_the_budget_is_spent)
 {
     RetryBudget budget;
@@ -154,6 +158,7 @@
     cr_assert_leq(allowed, 111);
 }
 
+// Guards against a service that takes all capacity of an entry VM.
 Test(admission, no_service_shuts_the_others_out)
 {
     AdmissionState state;
@@ -171,19 +176,19 @@
 
 namespace {
 
-/** Entry VMs with their key records; a restart loses them. */
-struct KeyWorld
+/** Entry VMs with their key records, which a restart loses. */
+struct KeyCluster
 {
     std::vector<KeyRecords> vms;
     std::vector<bool> up;
     Instant now = Instant{} + std::chrono::hours(1);
 
-    explicit KeyWorld(std::size_t count)
+    explicit KeyCluster(std::size_t count)
         : up(count, true)
     {
         for (std::size_t index = 0; index < count; ++index)
             this->vms.push_back(makeKeyRecords({}, VmId{index + 1}, this->now));
-        this->tellAlive();
+        this->updateAlive();
         this->now += std::chrono::hours(1);
     }
 
@@ -197,7 +202,7 @@
         return alive;
     }
 
-    void tellAlive()
+    void updateAlive()
     {
         for (std::size_t index = 0; index < this->vms.size(); ++index) {
             if (this->up[index])
@@ -229,50 +234,51 @@
 
 } // namespace
 
-// Symptom: a repeated booking ran again. Sequence: holders of the key's record died, restarted or
-// changed between the caller's repeats. Cause: a VM without memory took "unknown" for "new".
-Test(keys, one_key_runs_once_whatever_dies)
+// Guards against running a retried booking again: holders of the key's record failed, restarted or
+// changed between the caller's retries, and a VM without records took "unknown" for "new".
+Test(keys, one_key_runs_once_whatever_fails)
 {
     cr_assert(rc::check("keys", [] {
-        KeyWorld world(5);
-        const auto deeds = *rc::gen::container<std::vector<std::pair<int, int>>>(
+        KeyCluster cluster(5);
+        const auto actions = *rc::gen::container<std::vector<std::pair<int, int>>>(
             rc::gen::pair(rc::gen::inRange(0, 5), rc::gen::inRange(0, 5)));
         int runs = 0;
         std::uint64_t requestId = 1;
-        for (const auto &[deed, number] : deeds) {
+        for (const auto &[action, number] : actions) {
             const auto vm = static_cast<std::size_t>(number);
-            world.now += std::chrono::seconds(7);
-            if (deed == 0) {
-                world.up[vm] = false;
-            } else if (deed == 1) {
-                if (!world.up[vm])
-                    world.restart(vm);
-                world.up[vm] = true;
-            } else if (!world.alive().empty()) {
+            cluster.now += std::chrono::seconds(7);
+            if (action == 0) {
+                cluster.up[vm] = false;
+            } else if (action == 1) {
+                if (!cluster.up[vm])
+                    cluster.restart(vm);
+                cluster.up[vm] = true;
+            } else if (!cluster.alive().empty()) {
                 const KeyRequest request{42, 4711, ++requestId};
-                if (world.ask(request) == KeyDecision::Run) {
+                if (cluster.ask(request) == KeyDecision::Run) {
                     ++runs;
-                    for (const VmId holder : keyHolders(42, world.alive()))
-                        completeKey(world.vms[holder.value - 1], request, {}, world.now);
+                    for (const VmId holder : keyHolders(42, cluster.alive()))
+                        completeKey(cluster.vms[holder.value - 1], request, {}, cluster.now);
                 }
             }
-            world.tellAlive();
+            cluster.updateAlive();
             RC_ASSERT(runs <= 1);
         }
         RC_CLASSIFY(runs == 1, "ran");
     }));
 }
 
-Test(keys, a_repeat_while_the_first_runs_and_after_it_ended)
+// Guards against a second run for a retry, and against one key for two different requests.
+Test(keys, a_retry_while_the_first_runs_and_after_it_ended)
 {
-    KeyWorld world(3);
+    KeyCluster cluster(3);
     const KeyRequest first{7, 1, 100};
-    cr_assert(world.ask(first) == KeyDecision::Run);
-    cr_assert(world.ask({7, 1, 101}) == KeyDecision::RefuseInUse);
-    cr_assert(world.ask({7, 2, 102}) == KeyDecision::RefuseConflict);
-    for (const VmId holder : keyHolders(7, world.alive()))
-        completeKey(world.vms[holder.value - 1], first, {ErrorKind::Ok, 200, "", "answer", true},
-                    world.now);
-    cr_assert(world.ask({7, 1, 103}) == KeyDecision::Replay);
-    cr_assert(world.ask({7, 2, 104}) == KeyDecision::RefuseConflict);
+    cr_assert(cluster.ask(first) == KeyDecision::Run);
+    cr_assert(cluster.ask({7, 1, 101}) == KeyDecision::RefuseInUse);
+    cr_assert(cluster.ask({7, 2, 102}) == KeyDecision::RefuseConflict);
+    for (const VmId holder : keyHolders(7, cluster.alive()))
+        completeKey(cluster.vms[holder.value - 1], first, {ErrorKind::Ok, 200, "", "answer", true},
+                    cluster.now);
+    cr_assert(cluster.ask({7, 1, 103}) == KeyDecision::Replay);
+    cr_assert(cluster.ask({7, 2, 104}) == KeyDecision::RefuseConflict);
 }
--- a/libs/serving/benchmark/Choices.cpp
+++ b/libs/serving/benchmark/Choices.cpp
@@ -1,4 +1,4 @@
-// A decision is on the way of every call of a VM with a tenth of a core.
+// Every call waits for a choice of an engine, on VMs that have a tenth of a core.
 
 #include <algorithm>
 #include <chrono>
@@ -15,7 +15,7 @@
 constexpr int engineCount = 160;
 constexpr int adapterSlots = 7;
 
-/** Calls for adapters of which most are at some engine; time of the slowest in a hundred, us. */
+/** Calls for adapters most of which are resident somewhere; reports the 99th percentile, us. */
 void choose(benchmark::State &state, double shortestObjectiveMs)
 {
     std::mt19937 random(3);
@@ -46,11 +46,11 @@
     std::vector<double> times;
     for (auto _ : state) {
         need.adapter = "base/adapter-" + std::to_string(random() % 2000);
-        const auto begun = std::chrono::steady_clock::now();
+        const auto startedAt = std::chrono::steady_clock::now();
         benchmark::DoNotOptimize(chooseEngine(views, need, {}, weights));
-        const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
-        state.SetIterationTime(took.count());
-        times.push_back(took.count() * 1e6);
+        const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - startedAt;
+        state.SetIterationTime(elapsed.count());
+        times.push_back(elapsed.count() * 1e6);
     }
     const auto at = times.begin() + static_cast<std::ptrdiff_t>(times.size() * 99 / 100);
     std::nth_element(times.begin(), at, times.end());
--- a/libs/serving/tests/HarmfulCalls.cpp
+++ b/libs/serving/tests/HarmfulCalls.cpp
@@ -16,9 +16,9 @@
 
 const Instant start = Instant{} + 1000s;
 const CallIdentity harmful{7, 1};
-const CallIdentity beside{8, 2};
+const CallIdentity neighbor{8, 2};
 
-CallEvidence ended(const std::string &target, Duration at, std::vector<CallIdentity> calls)
+CallEvidence crashed(const std::string &target, Duration at, std::vector<CallIdentity> calls)
 {
     return {target, 0, std::move(calls), start + at};
 }
@@ -36,17 +36,18 @@
     return findHarmfulCalls(items);
 }
 
-/** Three ends under the harmful call, seen by different VMs. */
-std::deque<CallEvidence> threeEnds()
+/** Three crashes under the harmful call, seen by different VMs. */
+std::deque<CallEvidence> threeCrashes()
 {
-    return {ended("a", 0s, {harmful}), ended("b", 1s, {harmful}), ended("c", 2s, {harmful})};
+    return {crashed("a", 0s, {harmful}), crashed("b", 1s, {harmful}), crashed("c", 2s, {harmful})};
 }
 
 } // namespace
 
-Test(harmful_calls, three_ends_condemn_a_call_and_two_do_not)
+// Guards against a threshold other than three crashes, and against a block without an end.
+Test(harmful_calls, three_crashes_block_a_call_and_two_do_not)
 {
-    std::deque<CallEvidence> evidence = threeEnds();
+    std::deque<CallEvidence> evidence = threeCrashes();
     const HarmfulCalls verdict = judge(evidence);
     cr_assert_eq(verdict.calls.size(), 1);
     cr_assert_eq(verdict.calls[0].crashes, 3);
@@ -57,19 +58,20 @@
     cr_assert(isSuspect(judge(evidence), harmful));
 }
 
-Test(harmful_calls, one_end_seen_by_several_vms_counts_once)
+// Guards against counting the observations of several VMs as several crashes.
+Test(harmful_calls, one_crash_seen_by_several_vms_counts_once)
 {
-    const std::deque<CallEvidence> evidence{ended("a", 0ms, {harmful}), ended("a", 40ms, {harmful}),
-                                            ended("a", 90ms, {harmful})};
+    const std::deque<CallEvidence> evidence{
+        crashed("a", 0ms, {harmful}), crashed("a", 40ms, {harmful}), crashed("a", 90ms, {harmful})};
     cr_assert(judge(evidence).calls.empty());
 }
 
-// Symptom: a call was found harmful after two ends. Sequence: it came to two VMs while the target
-// was down behind a proxy that accepts; both learnt of the end by the target's new start.
-Test(harmful_calls, what_the_list_tells_of_one_new_start_is_one_end)
+// Guards against counting one crash twice: two VMs sent the call while the target was down behind a
+// proxy that accepts connections, and both learnt of the crash from the target's new start.
+Test(harmful_calls, one_new_start_in_the_list_is_one_crash)
 {
-    std::deque<CallEvidence> evidence = threeEnds();
-    evidence[1] = ended("a", 900ms, {harmful});
+    std::deque<CallEvidence> evidence = threeCrashes();
+    evidence[1] = crashed("a", 900ms, {harmful});
     evidence[0].nextStartTime = 5;
     evidence[1].nextStartTime = 5;
     cr_assert(judge(evidence).calls.empty());
@@ -77,57 +79,59 @@
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
-// A target that is started anew under its id, and ends again under the same call, ended twice.
-Test(harmful_calls, ends_of_one_target_after_another_count_each)
+// Guards against counting two crashes of a target that restarts under the same id as one.
+Test(harmful_calls, successive_crashes_of_one_target_count_each)
 {
-    const std::deque<CallEvidence> evidence{ended("a", 0s, {harmful}), ended("a", 3s, {harmful}),
-                                            ended("a", 6s, {harmful})};
+    const std::deque<CallEvidence> evidence{
+        crashed("a", 0s, {harmful}), crashed("a", 3s, {harmful}), crashed("a", 6s, {harmful})};
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
-// Symptom: a caller who did nothing was turned away for an hour. Sequence: its call, sent again
-// after each loss, was under way beside a harmful one at three ends of four. Cause: ends counted
-// for each call by itself, though the harmful one explains all of them.
-Test(harmful_calls, a_call_beside_a_harmful_one_is_not_to_blame)
+// Guards against blocking a harmless call for an hour: it was sent again after each loss and ran
+// next to a harmful one at three crashes of four, though the harmful call explains all of them.
+Test(harmful_calls, a_call_next_to_a_harmful_one_is_not_blamed)
 {
     const std::deque<CallEvidence> evidence{
-        ended("a", 0s, {harmful}), ended("a", 20ms, {beside}), ended("b", 1s, {harmful, beside}),
-        ended("c", 2s, {beside, harmful}), ended("d", 3s, {harmful})};
+        crashed("a", 0s, {harmful}), crashed("a", 20ms, {neighbor}),
+        crashed("b", 1s, {harmful, neighbor}), crashed("c", 2s, {neighbor, harmful}),
+        crashed("d", 3s, {harmful})};
     const HarmfulCalls verdict = judge(evidence);
     cr_assert_eq(verdict.calls.size(), 1);
     cr_assert(findHarmful(verdict, harmful) != nullptr);
-    cr_assert_null(findHarmful(verdict, beside));
+    cr_assert_null(findHarmful(verdict, neighbor));
 }
 
-Test(harmful_calls, two_calls_at_the_same_ends_wait_for_what_tells_them_apart)
+// Guards against blocking a harmless call that ran at the same crashes as a harmful one.
+Test(harmful_calls, two_calls_at_the_same_crashes_wait_for_more_evidence)
 {
-    std::deque<CallEvidence> evidence{ended("a", 0s, {harmful, beside}),
-                                      ended("b", 1s, {harmful, beside}),
-                                      ended("c", 2s, {harmful, beside})};
+    std::deque<CallEvidence> evidence{crashed("a", 0s, {harmful, neighbor}),
+                                      crashed("b", 1s, {harmful, neighbor}),
+                                      crashed("c", 2s, {harmful, neighbor})};
     cr_assert(judge(evidence).calls.empty());
-    evidence.push_back(answered(3s, beside));
+    evidence.push_back(answered(3s, neighbor));
     cr_assert_eq(judge(evidence).calls.size(), 1, "the other was answered");
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
     evidence.pop_back();
-    evidence.push_back(ended("d", 3s, {harmful}));
+    evidence.push_back(crashed("d", 3s, {harmful}));
     cr_assert_eq(judge(evidence).calls.size(), 1, "one more end without the other");
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
-    evidence.back().calls.push_back(beside);
+    evidence.back().calls.push_back(neighbor);
     cr_assert(judge(evidence).calls.empty());
-    evidence.push_back(ended("e", 4s, {harmful, beside}));
+    evidence.push_back(crashed("e", 4s, {harmful, neighbor}));
     cr_assert_eq(judge(evidence).calls.size(), 2, "nothing tells them apart: targets come first");
 }
 
-Test(harmful_calls, another_callers_call_of_the_same_content_is_its_own)
+// Guards against refusing other callers because of one caller's harmful call.
+Test(harmful_calls, the_same_content_of_another_caller_is_another_call)
 {
     const CallIdentity sameContent{harmful.content, 99};
-    cr_assert_null(findHarmful(judge(threeEnds()), sameContent));
+    cr_assert_null(findHarmful(judge(threeCrashes()), sameContent));
 }
 
-// A caller that turns up at several addresses has none that tells its calls from others'.
-Test(harmful_calls, a_content_that_comes_from_many_callers_is_harmful_whoever_sends_it)
+// Guards against a harmful caller with several addresses: no address identifies its calls.
+Test(harmful_calls, a_harmful_content_of_many_callers_is_blocked_for_all)
 {
-    std::deque<CallEvidence> evidence = threeEnds();
+    std::deque<CallEvidence> evidence = threeCrashes();
     evidence[1].calls = {{harmful.content, 50}};
     evidence[2].calls = {{harmful.content, 60}};
     const HarmfulCalls verdict = judge(evidence);
@@ -135,30 +139,31 @@
     cr_assert(findHarmful(verdict, {harmful.content, 1234}) != nullptr);
 }
 
-// Symptom would be a popular call that nobody gets an answer to any more: it is under way somewhere
-// whenever a target ends for reasons of its own. What is answered ends no targets.
-Test(harmful_calls, an_answer_voids_the_ends_before_it_and_shortly_after_it)
+// Guards against blocking a popular call, which is running somewhere whenever a target crashes for
+// other reasons. An answered call causes no crashes.
+Test(harmful_calls, an_answer_clears_a_call_of_crashes_before_and_shortly_after)
 {
-    std::deque<CallEvidence> evidence = threeEnds();
+    std::deque<CallEvidence> evidence = threeCrashes();
     evidence.push_back(answered(500ms, harmful));
     cr_assert(judge(evidence).calls.empty());
     cr_assert_not(isSuspect(judge(evidence), harmful));
     for (const Duration at : {answerClearsFor, answerClearsFor + 1s, answerClearsFor + 2s})
-        evidence.push_back(ended("d", at, {harmful}));
+        evidence.push_back(crashed("d", at, {harmful}));
     cr_assert(judge(evidence).calls.empty(), "two ends count");
     cr_assert(isSuspect(judge(evidence), harmful));
-    evidence.push_back(ended("d", answerClearsFor + 3s, {harmful}));
+    evidence.push_back(crashed("d", answerClearsFor + 3s, {harmful}));
     cr_assert(findHarmful(judge(evidence), harmful) != nullptr);
 }
 
-// Symptom: the news were full of answers. Sequence: a call that many callers make was under way for
-// one of them at an end; each answer to any of them was told to all VMs. Cause: the content stayed
-// suspect for the sake of the one caller.
-Test(harmful_calls, answers_that_change_nothing_are_not_worth_telling)
+// Guards against state updates full of answers: a call that many callers send was running for one
+// of them at a crash, its content stayed suspect, and each answer to any caller was sent to all
+// VMs.
+Test(harmful_calls, answers_that_change_nothing_need_no_report)
 {
     const CallIdentity other{harmful.content, 2};
-    std::deque<CallEvidence> evidence{ended("a", 0s, {harmful})};
-    cr_assert(isSuspect(judge(evidence), other), "the first answer voids it for all callers");
+    std::deque<CallEvidence> evidence{crashed("a", 0s, {harmful})};
+    cr_assert(isSuspect(judge(evidence), other),
+              "the first answer clears the content for all callers");
     evidence.push_back(answered(1s, other));
     cr_assert_not(isSuspect(judge(evidence), other));
     cr_assert(isSuspect(judge(evidence), harmful), "not yet answered itself");
@@ -168,25 +173,25 @@
 
 namespace {
 
-/** Ends under one planted call and others beside it, as several VMs tell them. */
-std::deque<CallEvidence> plantedEnds(std::mt19937_64 &random, int ends, int others)
+/** Crashes under one planted call and others next to it, as several VMs report them. */
+std::deque<CallEvidence> plantedCrashes(std::mt19937_64 &random, int ends, int others)
 {
     std::deque<CallEvidence> evidence;
     for (int end = 0; end < ends; ++end) {
         const std::string target = std::to_string(random() % 4);
         const Duration at = end * 2s;
-        evidence.push_back(ended(target, at, {harmful}));
+        evidence.push_back(crashed(target, at, {harmful}));
         for (int other = 0; other < others; ++other) {
             if (random() % 3 == 0)
-                evidence.push_back(ended(target, at + std::chrono::milliseconds(random() % 100),
-                                         {{100 + static_cast<std::uint64_t>(other), 5}}));
+                evidence.push_back(crashed(target, at + std::chrono::milliseconds(random() % 100),
+                                           {{100 + static_cast<std::uint64_t>(other), 5}}));
         }
     }
     std::shuffle(evidence.begin(), evidence.end(), random);
     return evidence;
 }
 
-/** In how many ends each content was, counted in the plainest way. */
+/** Number of crashes at which each content was running, counted directly. */
 std::map<std::uint64_t, int> naiveCounts(const std::deque<CallEvidence> &evidence)
 {
     std::map<std::uint64_t, std::set<Instant>> ends;
@@ -204,13 +209,14 @@
 
 } // namespace
 
+// Compares the verdict with direct counts of crashes, for evidence in random order.
 Test(harmful_calls, the_planted_call_is_found_and_no_other)
 {
     const bool holds = rc::check("judgeCalls against plain counts", [] {
         std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
         const int ends = 1 + static_cast<int>(random() % 9);
         std::deque<CallEvidence> evidence =
-            plantedEnds(random, ends, static_cast<int>(random() % 12));
+            plantedCrashes(random, ends, static_cast<int>(random() % 12));
         const std::map<std::uint64_t, int> counts = naiveCounts(evidence);
         const HarmfulCalls verdict = judge(evidence);
         int asOften = 0;
