--- a/libs/access/benchmark/Keys.cpp
+++ b/libs/access/benchmark/Keys.cpp
@@ -1,5 +1,4 @@
-// Keys are looked up on the way of every call, and changed one by one on a VM with a tenth of a
-// core.
+// Keys are looked up for every call and updated one by one, also on VMs with a tenth of a CPU core.
 
 #include <benchmark/benchmark.h>
 
--- a/libs/access/include/access/KeyTable.h
+++ b/libs/access/include/access/KeyTable.h
@@ -13,7 +13,7 @@
 
 namespace monsoonbay {
 
-/** SHA-256 of a caller's key. */
+/** SHA-256 of a caller's API key. */
 struct KeyDigest
 {
     std::array<std::uint64_t, 4> words{};
@@ -31,18 +31,18 @@
 
 KeyDigest digestOfKey(std::string_view key);
 
-/** Tells keys apart in logs, and gives none away. */
+/** Identifies a key in logs without revealing it. */
 std::string shortText(const KeyDigest &digest);
 
-/** Which workspace each key belongs to. About 80 bytes a key. */
+/** Maps API keys to workspaces. About 80 bytes per key. */
 struct KeyTable
 {
     std::unordered_map<KeyDigest, std::uint32_t, KeyDigestHash> workspaceByKey;
-    std::vector<std::string> names; ///< of workspaces; a place is never used again
+    std::vector<std::string> names; ///< of workspaces; indices are never reused
     std::unordered_map<std::string, std::uint32_t> indexByName;
 };
 
-/** What a change of the configuration did to keys. */
+/** Effect of a configuration change on keys. */
 struct KeyChanges
 {
     int added = 0;
@@ -51,11 +51,14 @@
     auto operator<=>(const KeyChanges &) const = default;
 };
 
-/** Brings the table from one configuration to the next; costs what differs, not what there is. */
+/**
+ * Updates the table from one configuration to the next. The cost depends on the size of the
+ * difference, not of the configurations.
+ */
 KeyChanges updateKeys(KeyTable &table, const std::vector<Workspace> &before,
                       const std::vector<Workspace> &after);
 
-/** The workspace that holds the key; null if none does. */
+/** The workspace that owns the key; null if there is none. */
 const std::string *workspaceOf(const KeyTable &table, const KeyDigest &key);
 
 } // namespace monsoonbay
--- a/libs/access/include/access/Workspace.h
+++ b/libs/access/include/access/Workspace.h
@@ -9,12 +9,13 @@
 
 namespace monsoonbay {
 
-/** A workspace as the configuration has it: who may call, and how much. */
+/** A workspace in the configuration: its API keys and its limits. */
 struct Workspace
 {
     std::string name;
-    std::vector<std::string> keys; ///< secrets; they go to no log, peer or target
-    std::optional<int> priority; ///< of its calls, before their routes'; 0 goes first
+    std::vector<std::string> keys; ///< secrets; never logged or sent to peers or targets
+    std::optional<int> priority; ///< of its calls, overrides that of their routes; 0 is the most
+                                 ///< urgent
     WorkspaceLimit limit;
 
     auto operator<=>(const Workspace &) const = default;
--- a/libs/access/src/Confirmation.cpp
+++ b/libs/access/src/Confirmation.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/** In quick changes a version is confirmed while one of the next few is already heard of. */
+/** When versions change quickly, one is confirmed while some of the next are already known. */
 constexpr std::size_t mostVersions = 8;
 
 /**
- * Part of the bound after which keys are no longer honoured. What is left of it covers a read that
- * was told of no change although there was one, as for a second before a history is dropped.
+ * Keys are accepted for this share of the bound only. The rest covers a read that reported no
+ * change although there was one, as happens for about a second before a history is dropped.
  */
 constexpr double trustedShare = 0.8;
 
@@ -47,11 +47,12 @@
     return {version, askedAt - std::max(age, Duration::zero())};
 }
 
-// Let a key be taken at T and the VM not know of it. The read that confirmed the version in force
-// began at C, and the store had acknowledged nothing newer before that: C < T. A call that its
-// caller sent at S is looked at here at N >= S. It is honoured only if N <= C + 0.8 x bound, so
-// S <= N < T + bound: no call that was sent later than the bound after the taking runs. C is on a
-// clock that runs on while the VM is suspended, so one that wakes up finds it old.
+// Let a key be revoked at T without the VM knowing. The read that confirmed the version in force
+// started at C, and the store had acknowledged nothing newer before: C < T. A call that its caller
+// sent at S is checked here at N >= S. It is accepted only if N <= C + 0.8 x bound, so S <= N < T +
+// bound: no call runs that was sent later than the bound after the revocation. C is taken from a
+// clock that keeps counting while the VM is suspended, so after a suspension the confirmation is
+// outdated.
 bool mayTrustKeys(const AccessPolicy &policy, std::optional<Instant> confirmed, Instant now)
 {
     if (!policy.strict)
--- a/libs/access/src/KeyTable.cpp
+++ b/libs/access/src/KeyTable.cpp
@@ -40,7 +40,7 @@
     std::span<const std::string> others;
     if (other != nullptr)
         others = other->keys;
-    // What a change leaves as it was stands at the ends of the lists, but for a few keys.
+    // Skip the unchanged keys at both ends of the lists, which are all but a few.
     while (!keys.empty() && !others.empty() && keys.front() == others.front()) {
         keys = keys.subspan(1);
         others = others.subspan(1);
@@ -74,7 +74,8 @@
     return text;
 }
 
-// A key may go from one workspace to another in one change, so all are taken before any is given.
+// A key may move from one workspace to another in one change, so all removals come before
+// additions.
 KeyChanges updateKeys(KeyTable &table, const std::vector<Workspace> &before,
                       const std::vector<Workspace> &after)
 {
@@ -101,7 +102,7 @@
     return changes;
 }
 
-// Found by the digest, and compared by it: how long that takes tells nothing of the keys.
+// Lookup and comparison use the digest, so the time they take reveals nothing about the keys.
 const std::string *workspaceOf(const KeyTable &table, const KeyDigest &key)
 {
     const auto found = table.workspaceByKey.find(key);
--- a/libs/access/tests/Access.cpp
+++ b/libs/access/tests/Access.cpp
@@ -27,7 +27,7 @@
     return workspaceOf(table, digestOfKey(key));
 }
 
-/** Workspaces of a few names that share out a few keys. */
+/** Workspaces with a few names, among which a few keys are distributed. */
 std::vector<Workspace> drawWorkspaces()
 {
     std::map<std::string, std::vector<std::string>> byName;
@@ -52,10 +52,10 @@
     cr_assert_eq(*holderOf(table, "k1"), "a");
     cr_assert_eq(*holderOf(table, "k3"), "b");
     cr_assert_null(holderOf(table, "k4"));
-    cr_assert_null(holderOf(table, ""), "no key is nobody's");
+    cr_assert_null(holderOf(table, ""), "an empty key belongs to no workspace");
 }
 
-// Guards against a key that is still honoured for the workspace it was taken from.
+// Guards against a key that is still accepted for the workspace from which it was moved.
 Test(access, a_key_that_goes_to_another_workspace_is_the_others)
 {
     KeyTable table;
@@ -65,10 +65,10 @@
     updateKeys(table, first, second);
     cr_assert_eq(*holderOf(table, "k1"), "b");
     updateKeys(table, second, {workspace("b", {"k1"})});
-    cr_assert_null(holderOf(table, "k2"), "its workspace is gone");
+    cr_assert_null(holderOf(table, "k2"), "its workspace was removed");
 }
 
-// Whatever changes come one after the other, the table holds just what the last one says.
+// After any sequence of changes, the table holds exactly what the last configuration says.
 Test(access, changes_end_where_a_new_table_would)
 {
     cr_assert(rc::check("changes", [] {
@@ -107,7 +107,7 @@
     cr_assert(confirmationFromAnswer(7, -5s, start).at == start, "an age is never negative");
 }
 
-// Guards against an older word that makes a confirmation older again.
+// Guards against an outdated message that moves a confirmation back in time.
 Test(access, the_latest_confirmation_of_a_version_counts)
 {
     Confirmations confirmations;
@@ -117,19 +117,20 @@
     cr_assert(!confirmedAt(confirmations, 8));
     for (std::int64_t version = 8; version < 100; ++version)
         recordConfirmation(confirmations, {version, start});
-    cr_assert(!confirmedAt(confirmations, 7), "old versions are forgotten");
+    cr_assert(!confirmedAt(confirmations, 7), "old versions are dropped");
     cr_assert(confirmedAt(confirmations, 99) == start);
     cr_assert_leq(confirmations.latest.size(), 8);
 }
 
-// Guards against keys honoured by a VM that cannot know that they were taken.
+// Guards against keys accepted by a VM that cannot know that they were revoked.
 Test(access, keys_are_trusted_for_as_long_as_the_bound_allows)
 {
     const AccessPolicy strict{true, 5s};
     cr_assert(mayTrustKeys(strict, start, start + 3900ms));
     cr_assert(!mayTrustKeys(strict, start, start + 4100ms));
     cr_assert(!mayTrustKeys(strict, std::nullopt, start));
-    cr_assert(mayTrustKeys({false, 5s}, std::nullopt, start), "a cut-off zone serves on");
+    cr_assert(mayTrustKeys({false, 5s}, std::nullopt, start),
+              "a partitioned zone continues to serve");
 }
 
 Test(access, no_schedule_honours_a_key_after_the_bound)
--- a/libs/access/tests/AccessModel.cpp
+++ b/libs/access/tests/AccessModel.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Duration tick = std::chrono::milliseconds(1000);
-constexpr std::int64_t takenIn = 2; ///< version that takes the key
-constexpr std::int64_t givenIn = 3; ///< version that gives it to another workspace
+constexpr std::int64_t takenIn = 2; ///< version that revokes the key
+constexpr std::int64_t givenIn = 3; ///< version that assigns it to another workspace
 
 struct Told
 {
@@ -32,12 +32,12 @@
     Instant takenAt{};
     Vm reader;
     Vm learner;
-    Duration suspended{}; ///< of the learner, that its clock has not counted
+    Duration suspended{}; ///< time that the learner's clock has not counted
     bool learnerStands = false;
     std::optional<Instant> readSince;
-    std::int64_t readFound = 0; ///< at the beginning of the read
+    std::int64_t readFound = 0; ///< version at the start of the read
     std::optional<Instant> askedSince;
-    Told answered; ///< at the beginning of the exchange
+    Told answered; ///< state at the start of the exchange
 };
 
 enum class Step : std::uint8_t {
@@ -122,7 +122,7 @@
         const bool forgets = this->fault == AccessFault::ForgetsOwnWait;
         Confirmation heard = confirmationFromAnswer(told.version, told.age,
                                                     forgets ? this->learnersClock(world) : asked);
-        // Only the version is told with an exchange; the document may come at any time after.
+        // Only the version is part of an exchange; the document may arrive at any later time.
         if (this->fault == AccessFault::IgnoresVersion)
             heard.version = world.learner.version;
         else
@@ -208,7 +208,7 @@
         return {true, 2 * tick};
     }
 
-    /** The key that was taken in `takenIn`, for the workspace that held it before. */
+    /** True if the VM accepts the key revoked in `takenIn` for the workspace that had it before. */
     bool honours(const Vm &vm, Instant clock) const
     {
         const bool holds = vm.version > 0 && vm.version < takenIn;
