--- a/libs/core/include/core/Digest.h
+++ b/libs/core/include/core/Digest.h
@@ -10,7 +10,7 @@
 
 Sha256 sha256(std::string_view text);
 
-/** SHA-256 of a text in lower-case hex; used for service tokens. */
+/** SHA-256 of a text in lower-case hexadecimal; used for service tokens. */
 std::string sha256Hex(std::string_view text);
 
 /** Compares two texts in time that depends only on their lengths. */
--- a/libs/core/include/core/Error.h
+++ b/libs/core/include/core/Error.h
@@ -5,7 +5,7 @@
 
 namespace monsoonbay {
 
-/** What can happen to a request or an order. The message of each kind names the remedy. */
+/** Results of a request or command. The message of each kind says what to do about it. */
 enum class ErrorKind {
     Ok = 0,
     BadRequest,
@@ -36,9 +36,9 @@
     CallerGone,
 };
 
-/** How a request ended towards its caller. */
+/** How a request ended for its caller. */
 enum class Ending {
-    Answered, ///< the whole answer was delivered, once
+    Answered, ///< the complete answer was delivered once
     Refused, ///< it did not run
     Failed, ///< it ran, or may have run
 };
@@ -53,10 +53,10 @@
 /** Stable short name of a kind, used in problem documents and metrics. */
 std::string_view errorName(ErrorKind kind) noexcept;
 
-/** True if this kind by itself says that the request did not run. */
+/** True if this kind implies that the request did not run. */
 bool meansNotRun(ErrorKind kind) noexcept;
 
-/** HTTP status that a caller sees for this kind. */
+/** HTTP status sent to the caller for this kind. */
 int httpStatusOf(ErrorKind kind) noexcept;
 
 } // namespace monsoonbay
--- a/libs/core/include/core/Ids.h
+++ b/libs/core/include/core/Ids.h
@@ -12,7 +12,7 @@
 /** 64-bit hash of a text; stable across processes, versions and machines. */
 std::uint64_t stableHash(std::string_view text, std::uint64_t seed = 0) noexcept;
 
-/** An id made from a name by stableHash; the tag keeps ids of different things apart. */
+/** Id derived from a name by stableHash; the tag makes ids of different things distinct types. */
 template <typename Tag> struct Id
 {
     std::uint64_t value = 0;
@@ -30,7 +30,7 @@
 using VmId = Id<struct VmTag>;
 using ServiceId = Id<struct ServiceTag>;
 
-/** An adapter in one version, as callers name it: "name@version". */
+/** An adapter in one version, as named by callers: "name@version". */
 struct AdapterRef
 {
     std::string name;
--- a/libs/core/include/core/Jitter.h
+++ b/libs/core/include/core/Jitter.h
@@ -4,7 +4,7 @@
 
 namespace monsoonbay {
 
-/** Up to a quarter longer, so that callers do not come back together; `draw` is in [0, 1). */
+/** Adds up to a quarter, so that callers do not retry at the same moment; `draw` is in [0, 1). */
 inline Duration withJitter(Duration wait, double draw) noexcept
 {
     constexpr double jitter = 0.25;
--- a/libs/core/include/core/KeyedSums.h
+++ b/libs/core/include/core/KeyedSums.h
@@ -6,8 +6,8 @@
 namespace monsoonbay {
 
 /**
- * Sums that are kept by name, for what has addUsage(), subtractUsage() and isUnused(). What is
- * added is whole numbers, so that it can be taken off exactly.
+ * Sums by name, for types with addUsage(), subtractUsage() and isUnused(). Values are whole
+ * numbers, so subtracting what was added is exact.
  */
 template <typename Use> using KeyedSums = std::unordered_map<std::string, Use>;
 
@@ -18,7 +18,7 @@
         addUsage(sums[name], use);
 }
 
-/** Takes all of `uses`, which were added before, off `sums`; what nothing uses any more goes. */
+/** Subtracts all of `uses`, which were added before, from `sums` and erases what becomes unused. */
 template <typename Use> void subtractUsages(KeyedSums<Use> &sums, const KeyedSums<Use> &uses)
 {
     for (const auto &[name, use] : uses) {
--- a/libs/core/include/core/Time.h
+++ b/libs/core/include/core/Time.h
@@ -7,8 +7,8 @@
 namespace monsoonbay {
 
 /**
- * The time line of all decisions: it counts through a pause of the VM (CLOCK_BOOTTIME).
- * Decision libraries only take instants as values; only the daemon reads the clock.
+ * The clock of all decisions: it keeps counting while the VM is suspended (CLOCK_BOOTTIME).
+ * Decision libraries take instants as arguments; only the daemon reads the clock.
  */
 struct BootClock
 {
@@ -39,7 +39,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/** Whole milliseconds, as logs tell them. */
+/** Whole milliseconds, for logs. */
 inline std::string millisText(Duration duration)
 {
     return std::to_string(toMillis(duration));
--- a/libs/core/include/core/WindowCounts.h
+++ b/libs/core/include/core/WindowCounts.h
@@ -10,15 +10,15 @@
 namespace monsoonbay {
 
 /**
- * Counts of a window that slides, kept by parts of its length. One part more is kept than the
- * window has, as the newest is never a whole one: sums are of the whole window or a little more.
+ * Counts in a sliding window that is divided into parts. One more part is kept than the window has,
+ * as the newest part is still incomplete: sums cover the window or slightly more.
  */
 template <typename Count, std::size_t partsInWindow> struct WindowCounts
 {
     static constexpr std::int64_t inWindow = partsInWindow;
 
     std::array<Count, partsInWindow + 1> parts{};
-    std::int64_t newest = 0; ///< number of the newest part, by the clock
+    std::int64_t newest = 0; ///< number of the newest part, counted from the clock's epoch
 
     Count &part(std::int64_t number)
     {
@@ -31,14 +31,14 @@
     }
 };
 
-/** How many parts older than the newest the part of `at` is. */
+/** Number of parts between the newest part and the one that contains `at`. */
 template <typename Count, std::size_t partsInWindow>
 std::int64_t ageOf(const WindowCounts<Count, partsInWindow> &counts, Duration window, Instant at)
 {
     return counts.newest - at.time_since_epoch() / (window / counts.inWindow);
 }
 
-/** Goes on to `now` and returns its part; what has left the window is forgotten. */
+/** Advances to `now` and returns its part; parts that have left the window are cleared. */
 template <typename Count, std::size_t partsInWindow>
 Count &advance(WindowCounts<Count, partsInWindow> &counts, Duration window, Instant now)
 {
@@ -50,12 +50,12 @@
     return counts.part(counts.newest);
 }
 
-/** Sum of the parts that are `youngest` to `oldest` parts older than the newest. */
+/** Sum of the parts whose age, in parts before the newest, is `youngest` to `oldest`. */
 template <typename Count, std::size_t partsInWindow>
 Count sumOf(const WindowCounts<Count, partsInWindow> &counts, std::int64_t youngest = 0,
             std::int64_t oldest = partsInWindow)
 {
-    // Before its first window is over, a clock has no older parts.
+    // Until a first window has passed since the clock's epoch, there are no older parts.
     const std::int64_t last = std::min({oldest, counts.inWindow, counts.newest});
     Count sum = 0;
     for (std::int64_t age = youngest; age <= last; ++age)
--- a/libs/core/src/Digest.cpp
+++ b/libs/core/src/Digest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Looked up once: that takes longer than a digest. */
+/** Fetched once, as fetching takes longer than computing a digest. */
 const EVP_MD *sha256Algorithm()
 {
     static const EVP_MD *const algorithm = EVP_MD_fetch(nullptr, "SHA256", nullptr);
@@ -34,7 +34,7 @@
     const bool made = EVP_DigestInit_ex2(context.get(), sha256Algorithm(), nullptr) == 1
         && EVP_DigestUpdate(context.get(), text.data(), text.size()) == 1
         && EVP_DigestFinal_ex(context.get(), digest.data(), nullptr) == 1;
-    // Only without memory; a digest that is not one would let a wrong key through.
+    // Fails only when out of memory. An incomplete digest could match a wrong key.
     if (!made)
         throw std::bad_alloc();
     return digest;
--- a/libs/core/src/Time.cpp
+++ b/libs/core/src/Time.cpp
@@ -4,8 +4,8 @@
 
 namespace monsoonbay {
 
-// CLOCK_MONOTONIC stands still while a VM is suspended, so a paused owner would wake with a
-// lease that looks fresh while its successor already orders. CLOCK_BOOTTIME counts the pause.
+// CLOCK_MONOTONIC stops while a VM is suspended, so a suspended lease holder would resume with a
+// lease that looks valid while its successor already sends commands. CLOCK_BOOTTIME keeps counting.
 BootClock::time_point BootClock::now() noexcept
 {
     timespec now{};
--- a/libs/core/tests/Core.cpp
+++ b/libs/core/tests/Core.cpp
@@ -14,8 +14,8 @@
         cr_assert(parseAdapterRef(malformed).name.empty(), "%s", malformed);
 }
 
-// Symptom: a caller was told a neighbouring kind's status. Cause: a kind was added to the
-// enumeration and its row elsewhere in the table.
+// Guards against a caller that gets the status of a neighbouring kind: a kind was added to the
+// enumeration, and its row at another position of the table.
 Test(core, every_error_kind_has_its_own_row)
 {
     for (int code = 0; code <= static_cast<int>(ErrorKind::CallerGone); ++code) {
