--- a/libs/transfer/benchmark/Packing.cpp
+++ b/libs/transfer/benchmark/Packing.cpp
@@ -1,6 +1,5 @@
 // A configuration of 4,250 routes, packed once by the VM that reads it from the store and unpacked
-// by each of its mates. Passed on as it was written it took 1.6 MB of a link; packed it takes 0.1
-// MB.
+// by each of its zone peers. Unpacked it took 1.6 MB of a link's traffic; packed it takes 0.1 MB.
 
 #include "transfer/PackedDocument.h"
 
--- a/libs/transfer/include/transfer/DocumentCache.h
+++ b/libs/transfer/include/transfer/DocumentCache.h
@@ -7,46 +7,46 @@
 
 namespace monsoonbay {
 
-/** A document beside the newest, kept for those that are in the middle of reading it. */
+/** A document other than the newest, kept for readers that have a part of it. */
 struct CachedDocument
 {
     PackedDocument packed;
-    Instant readAt{}; ///< a part was read last
+    Instant readAt{}; ///< last read of a part
 };
 
-/** The newest document of a VM, from which others read in parts. */
+/** The documents of a VM that others read in parts: the newest, and older ones still in use. */
 struct DocumentCache
 {
     PackedDocument newest;
     Instant newestReadAt{}; ///< zero: never
-    std::deque<CachedDocument> cachedDocuments; ///< replaced ones, and changes; newest first
-    std::deque<PackedDocument> bases; ///< whole ones that were replaced lately, newest first
+    std::deque<CachedDocument> cachedDocuments; ///< replaced documents and deltas; newest first
+    std::deque<PackedDocument> bases; ///< recently replaced complete documents, newest first
 };
 
-/** Which part is asked for. */
+/** A request for a part. */
 struct PartRequest
 {
-    std::int64_t version = 0; ///< of the document that the asker has a part of; 0: the newest
+    std::int64_t version = 0; ///< of the document that the reader has a part of; 0: the newest
     std::uint64_t digest = 0;
     std::uint64_t offset = 0;
     std::size_t maxBytes = 0;
-    std::uint64_t baseDigest = 0; ///< of the whole document that the asker has; 0: none
+    std::uint64_t baseDigest = 0; ///< of the complete document that the reader has; 0: none
 
     auto operator<=>(const PartRequest &) const = default;
 };
 
-/** Puts a newer document in the place of the newest. */
+/** Replaces the newest document. */
 void setNewest(DocumentCache &shelf, PackedDocument packed, Instant now);
 
-/** Keeps a document that others may read, beside the newest. */
+/** Keeps a document for other readers next to the newest one. */
 void addCached(DocumentCache &shelf, PackedDocument packed, Instant now);
 
-/** True if the document that the asker has a part of is there. */
+/** True if the document that the reader has a part of is available. */
 bool hasRequested(const DocumentCache &shelf, const PartRequest &wanted);
 
 /**
- * The part asked for. If there is no such document: of what changed since the one that the asker
- * has, or else of the newest, from the beginning.
+ * The requested part. If that document is no longer available: the beginning of a delta from the
+ * reader's complete document, or else of the newest document.
  */
 DocumentPart readPart(DocumentCache &shelf, const PartRequest &wanted, Instant now);
 
--- a/libs/transfer/include/transfer/DocumentParts.h
+++ b/libs/transfer/include/transfer/DocumentParts.h
@@ -9,7 +9,7 @@
 
 namespace monsoonbay {
 
-/** Some bytes of a packed document, and which one it is. */
+/** Consecutive bytes of a packed document, and the identity of that document. */
 struct DocumentPart
 {
     std::int64_t version = 0; ///< 0: the sender has no document
@@ -23,29 +23,29 @@
     auto operator<=>(const DocumentPart &) const = default;
 };
 
-/** A packed document of which not all has come yet. */
+/** A packed document that has been received only partly. */
 struct PartialDocument
 {
     std::uint64_t totalBytes = 0;
-    PackedDocument packed; ///< its bytes so far, from the beginning
+    PackedDocument packed; ///< bytes received so far, from the beginning
 
     auto operator<=>(const PartialDocument &) const = default;
 };
 
 enum class PartOutcome : std::uint8_t {
-    More, ///< it was added; others are missing
-    Whole, ///< it was the last one
-    Useless, ///< it does not go on where the document ends so far
-    Later, ///< the sender is reading the document itself, and has no more of it yet
+    More, ///< added; more parts are missing
+    Whole, ///< added; the document is complete
+    Useless, ///< not added, as it does not continue the bytes received so far
+    Later, ///< empty, as the sender itself has not received more of the document yet
 };
 
-/** The part that begins at `offset`, of at most `maxBytes`; empty past the end. */
+/** The part that starts at `offset`, of at most `maxBytes`; empty past the end. */
 DocumentPart partOf(const PackedDocument &packed, std::uint64_t offset, std::size_t maxBytes);
 
-/** The same of a document of which not all has come: empty where it ends so far. */
+/** The same for a partly received document; empty past the bytes received so far. */
 DocumentPart partOf(const PartialDocument &partial, std::uint64_t offset, std::size_t maxBytes);
 
-/** Adds a part; the first part of another document takes the place of the one so far. */
+/** Adds a part. The first part of another document replaces what was received so far. */
 PartOutcome appendPart(PartialDocument &partial, DocumentPart part);
 
 } // namespace monsoonbay
--- a/libs/transfer/include/transfer/PackedDocument.h
+++ b/libs/transfer/include/transfer/PackedDocument.h
@@ -9,30 +9,34 @@
 namespace monsoonbay {
 
 /**
- * A document as VMs pass it on: compressed, and told from others by its digest. It is whole, or
- * what changed since another one that the reader has.
+ * A document as sent between VMs: compressed and identified by its digest. It is either complete or
+ * a delta from another document that the reader has.
  */
 struct PackedDocument
 {
-    std::int64_t version = 0; ///< 0: there is none
+    std::int64_t version = 0; ///< 0: none
     std::uint64_t digest = 0; ///< of `bytes`
-    std::uint64_t plainBytes = 0; ///< when unpacked
+    std::uint64_t plainBytes = 0; ///< uncompressed length
     std::string bytes;
-    std::uint64_t baseDigest = 0; ///< of the whole one that this is a change of; 0: this is whole
+    std::uint64_t baseDigest = 0; ///< of the complete document that a delta is based on; 0: this is
+                                  ///< complete
 
     auto operator<=>(const PackedDocument &) const = default;
 };
 
 PackedDocument packDocument(std::int64_t version, std::string_view plain);
 
-/** What changed since a whole document; nothing if it is damaged. */
+/** A packed delta from the complete document `base`; nothing if that is damaged. */
 std::optional<PackedDocument> packDelta(const PackedDocument &base, std::int64_t version,
                                         std::string_view plain);
 
-/** The document, if it is whole; nothing if it is damaged or longer than any that is taken. */
+/** The uncompressed document; nothing if this is a delta, damaged or too long. */
 std::optional<std::string> unpackDocument(const PackedDocument &packed);
 
-/** The document, also if it is a change of `base`; nothing if it is damaged, or of another one. */
+/**
+ * The uncompressed document, also from a delta based on `base`; nothing if it is damaged or has
+ * another base.
+ */
 std::optional<std::string> unpackWithBase(const PackedDocument &base, const PackedDocument &packed);
 
 } // namespace monsoonbay
--- a/libs/transfer/include/transfer/PartSizing.h
+++ b/libs/transfer/include/transfer/PartSizing.h
@@ -6,12 +6,12 @@
 namespace monsoonbay {
 
 /**
- * Longest part of a document. Callers' answers wait behind a part on the same link: 13 ms where it
- * carries 10 Mbit/s.
+ * Longest part of a document. Answers to callers wait behind it on the same link: 13 ms at 10
+ * Mbit/s.
  */
 constexpr std::size_t maxPartBytes = std::size_t{16} * 1024;
 
-/** How many bytes a reader asks for next. */
+/** Adaptive number of bytes that a reader requests next. */
 struct PartSizing
 {
     std::size_t nextBytes = maxPartBytes;
@@ -19,7 +19,7 @@
     auto operator<=>(const PartSizing &) const = default;
 };
 
-/** A part came, or did not come in time. */
+/** A part arrived, or did not arrive in time. */
 void growParts(PartSizing &partSize) noexcept;
 void shrinkParts(PartSizing &partSize) noexcept;
 
--- a/libs/transfer/src/DocumentCache.cpp
+++ b/libs/transfer/src/DocumentCache.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/** A reader that goes on asks again within a few ms; one that has not in this time has left. */
+/** An active reader asks again within a few ms; one that has been silent for this long has left. */
 constexpr Duration readerSilence = std::chrono::seconds(2);
-/** Bounds the memory where versions follow one another faster than they can be read. */
+/** Bounds the memory when versions follow each other faster than they can be read. */
 constexpr std::size_t mostFormers = 8;
-/** Versions that a reader may be behind, and still be given what changed only. */
+/** Number of versions that a reader may be behind and still receive a delta. */
 constexpr std::size_t mostBases = 4;
 
 bool isWanted(const PackedDocument &packed, const PartRequest &wanted)
@@ -28,7 +28,7 @@
         shelf.cachedDocuments.resize(mostFormers);
 }
 
-/** The document that the asker has a part of, beside the newest; null if there is none. */
+/** The document other than the newest that the reader has a part of; null if there is none. */
 CachedDocument *findWanted(DocumentCache &shelf, const PartRequest &wanted)
 {
     const auto found = std::find_if(
@@ -38,8 +38,8 @@
 }
 
 /**
- * What changed since the asker's document; null if that is not kept. It is made once for all
- * askers, also where it is as long as the whole.
+ * Delta from the reader's complete document; null if that is no longer kept. It is computed once
+ * for all readers, even if it turns out as long as the complete document.
  */
 CachedDocument *changeFor(DocumentCache &shelf, std::uint64_t baseDigest, Instant now)
 {
@@ -73,8 +73,8 @@
 
 } // namespace
 
-// Symptom without those that were replaced: where configurations change faster than a link carries
-// one, each reader begins anew with each, and none is ever in force.
+// Replaced documents are kept for their readers. Otherwise, when configurations change faster than
+// a link transfers one, each reader would start over with every version and never put one in force.
 void setNewest(DocumentCache &shelf, PackedDocument packed, Instant now)
 {
     if (shelf.newestReadAt != Instant{})
--- a/libs/transfer/src/DocumentChange.cpp
+++ b/libs/transfer/src/DocumentChange.cpp
@@ -14,17 +14,17 @@
 namespace {
 
 /**
- * Documents are cut where their bytes say so, not at fixed offsets: what is inserted moves no cut
- * behind it. A chunk is about as long as an entry of a document of routes, so that a changed entry
- * costs little more than itself.
+ * Content-defined chunking: cuts depend on the bytes and not on fixed offsets, so an insertion
+ * moves no later cut. A chunk is about as long as an entry of a document of routes, so a changed
+ * entry costs little more than its own length.
  */
 constexpr std::size_t leastChunk = 32;
 constexpr std::size_t mostChunk = 512;
-constexpr std::uint64_t cutMask = (1ULL << 6U) - 1; // one byte in 64, beyond the least
+constexpr std::uint64_t cutMask = (1ULL << 6U) - 1; // one byte in 64 after the minimum
 
 /**
- * A shorter run of the base is not worth its 8 bytes: these don't compress, and the bytes around it
- * compress worse in pieces.
+ * A shorter range of the base is not worth its 8 bytes: these do not compress, and the bytes around
+ * it compress worse when split.
  */
 constexpr std::size_t leastNewRun = 256;
 
@@ -35,7 +35,8 @@
 {
     std::uint64_t rolling = 0;
     for (std::size_t index = 0; index < bytes.size() && index < mostChunk; ++index) {
-        // Bytes leave the sum after 64 steps, so that it is the same wherever a chunk began.
+        // Bytes are shifted out of the sum after 64 steps, so it does not depend on where the chunk
+        // started.
         rolling = (rolling << 1U) + (static_cast<unsigned char>(bytes[index]) + 1) * hashStep;
         const bool cut = ((rolling >> 32U) & cutMask) == 0;
         if (cut && index + 1 >= leastChunk)
@@ -44,14 +45,14 @@
     return std::min(bytes.size(), mostChunk);
 }
 
-/** Bytes with which both begin. */
+/** Length of the common prefix. */
 std::size_t sharedBytes(std::string_view left, std::string_view right)
 {
     const auto differ = std::mismatch(left.begin(), left.end(), right.begin(), right.end());
     return static_cast<std::size_t>(differ.first - left.begin());
 }
 
-/** Some bytes of the base, or, where `fromBase` is false, of the change itself. */
+/** A byte range of the base or, if `fromBase` is false, of the new document. */
 struct Run
 {
     bool fromBase = false;
@@ -94,7 +95,10 @@
             this->change += static_cast<char>((number >> shift) & 0xFFU);
     }
 
-    /** A run's offset and length as one number; the highest bit marks one of the base. */
+    /**
+     * Writes a range's offset and length as one number; the offset is 0 for bytes of the delta
+     * itself, and one higher than in the base otherwise.
+     */
     void flush()
     {
         if (this->last.length == 0)
@@ -158,11 +162,11 @@
         offset += chunk.size();
     }
     ChangeWriter writer(document);
-    std::size_t next = 0; // in the base, behind the last run of it
+    std::size_t next = 0; // in the base, past the last copied range
     for (std::size_t offset = 0; offset < document.size();) {
         const std::string_view chunk = document.substr(offset, firstChunk(document.substr(offset)));
-        // Entries are alike in parts: of several places that have a chunk, the one where the last
-        // run ended makes the run longer, and any other would begin a new one.
+        // Parts of entries repeat. If a chunk occurs at several offsets of the base, the one where
+        // the last range ended extends that range, while any other would start a new one.
         if (next > base.size() || base.substr(next, chunk.size()) != chunk) {
             const auto known = offsets.find(chunk);
             const bool isWorth = known != offsets.end()
@@ -195,7 +199,7 @@
             return std::nullopt;
         const std::uint64_t offset = *run >> 32U;
         const std::size_t bytes = *run & std::numeric_limits<std::uint32_t>::max();
-        // A damaged length must not take the memory of the VM.
+        // A damaged length must not exhaust the VM's memory.
         if (bytes > *length - document.size())
             return std::nullopt;
         if (offset == 0) {
--- a/libs/transfer/src/PackedDocument.cpp
+++ b/libs/transfer/src/PackedDocument.cpp
@@ -12,11 +12,12 @@
 namespace {
 
 /**
- * The fastest level: 315 KB of routes become 23 KB in 1.1 ms; zlib's default makes it 21 KB in 2.2.
+ * The fastest level: 315 KB of routes become 23 KB in 1.1 ms; zlib's default level gives 21 KB in
+ * 2.2 ms.
  */
 constexpr int compressionLevel = Z_BEST_SPEED;
 
-/** More than any configuration; a damaged length must not take the memory of the VM. */
+/** Larger than any configuration. A damaged length must not exhaust the VM's memory. */
 constexpr std::uint64_t longestPlain = 64ULL * 1024 * 1024;
 
 const Bytef *bytesOf(std::string_view text)
@@ -48,7 +49,7 @@
     packed.bytes.resize(length);
     const int result = compress2(reinterpret_cast<Bytef *>(packed.bytes.data()), &length,
                                  bytesOf(plain), plain.size(), compressionLevel);
-    // With a buffer of that bound it can only run out of memory.
+    // With a buffer of compressBound() bytes this only fails when out of memory.
     assert(result == Z_OK);
     static_cast<void>(result);
     packed.bytes.resize(length);
--- a/libs/transfer/src/PartSizing.cpp
+++ b/libs/transfer/src/PartSizing.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Fits one packet with room for the heads around it; less would not be any faster. */
+/** Fits into one packet with its headers; a shorter part would not arrive any sooner. */
 constexpr std::size_t shortestPart = 1024;
 
 } // namespace
@@ -16,8 +16,8 @@
     partSize.nextBytes = std::min(2 * partSize.nextBytes, maxPartBytes);
 }
 
-// Where a hundred mates read from one VM at once, or its link is slow, a part of the usual length
-// may take longer than is waited for; a shorter one still comes.
+// If a hundred zone peers read from one VM at once, or its link is slow, a part of the usual length
+// may take longer than the timeout; a shorter one still arrives.
 void shrinkParts(PartSizing &partSize) noexcept
 {
     partSize.nextBytes = std::max(partSize.nextBytes / 2, shortestPart);
--- a/libs/transfer/tests/Changes.cpp
+++ b/libs/transfer/tests/Changes.cpp
@@ -33,7 +33,7 @@
     cr_assert(holds);
 }
 
-// Guards against a wrong configuration made of another base, or of damaged bytes.
+// Guards against a wrong configuration built from another base or from damaged bytes.
 Test(changes, a_damaged_change_or_another_base_gives_no_other_document)
 {
     const std::string base = documentOf(200, 5000);
@@ -48,7 +48,7 @@
     }
 }
 
-// Guards against a whole configuration over each weak link for each small change of it.
+// Guards against sending a complete configuration over each slow link for every small change.
 Test(changes, a_small_change_of_a_long_document_is_short)
 {
     const PackedDocument base = packDocument(1, documentOf(5000, 5000));
@@ -58,10 +58,10 @@
     cr_assert(change.has_value());
     cr_assert_lt(change->bytes.size(), grown.bytes.size() / 50);
     cr_assert(unpackWithBase(base, *change) == unpackDocument(grown));
-    cr_assert(!unpackDocument(*change), "it is no document by itself");
+    cr_assert(!unpackDocument(*change), "a delta cannot be unpacked without its base");
 }
 
-// Guards against a VM that answers nobody while it makes the same change for each of its readers.
+// Guards against a VM that blocks while it computes the same delta for each of its readers.
 Test(changes, a_change_is_made_once_for_all_readers_however_long_it_is)
 {
     DocumentCache shelf;
@@ -73,7 +73,7 @@
     cr_assert_eq(shelf.cachedDocuments.size(), 1);
 }
 
-// Guards against readers that are given changes of a configuration which they do not have.
+// Guards against sending deltas to readers that do not have the base.
 Test(changes, only_a_reader_with_the_base_is_given_changes)
 {
     DocumentCache shelf;
--- a/libs/transfer/tests/Parts.cpp
+++ b/libs/transfer/tests/Parts.cpp
@@ -12,7 +12,7 @@
 
 constexpr Instant begin{std::chrono::seconds(100)};
 
-/** What a reader asks for next. */
+/** The reader's next request. */
 PartRequest wantedNext(const PartialDocument &partial, std::size_t maxBytes)
 {
     return {partial.packed.version, partial.packed.digest, partial.packed.bytes.size(), maxBytes};
@@ -41,8 +41,8 @@
     cr_assert(holds);
 }
 
-// Symptom would be a document that is taken although bytes of two are mixed in it. Parts come late,
-// twice, from other documents and from elsewhere; only those that go on are added.
+// Guards against accepting a document with bytes of two mixed. Parts arrive late, twice, from other
+// documents and from other offsets; only continuing parts may be added.
 Test(parts, parts_of_others_and_parts_out_of_turn_are_dropped)
 {
     const bool holds = rc::check([] {
@@ -71,16 +71,16 @@
 {
     PackedDocument document = packed(3, std::string(5000, 'x'));
     document.bytes[10] = static_cast<char>(document.bytes[10] ^ 1);
-    cr_assert(!unpackDocument(document), "its digest does not fit");
+    cr_assert(!unpackDocument(document), "the digest does not match");
     document = packed(3, std::string(5000, 'x'));
     document.plainBytes = std::uint64_t{1} << 60;
-    cr_assert(!unpackDocument(document), "no VM has memory for that");
+    cr_assert(!unpackDocument(document), "the stated length is too large");
     document.plainBytes = 4999;
-    cr_assert(!unpackDocument(document), "it is longer than was said");
+    cr_assert(!unpackDocument(document), "the document is longer than stated");
 }
 
-// Symptom would be a configuration that is never in force where the operator changes it faster than
-// a link carries it: each reader begins anew with each version.
+// Guards against a configuration that is never put in force because the operator changes it faster
+// than a link transfers it, and each reader starts over with each version.
 Test(parts, a_reader_goes_on_while_newer_documents_come)
 {
     DocumentCache shelf;
@@ -98,7 +98,7 @@
     }
     cr_assert(outcome == PartOutcome::Whole);
     cr_assert_eq(partial.packed.version, 1);
-    cr_assert_leq(shelf.cachedDocuments.size(), 2, "what nobody reads is not kept");
+    cr_assert_leq(shelf.cachedDocuments.size(), 2, "documents without readers are dropped");
 }
 
 Test(parts, what_its_reader_has_left_is_forgotten)
