--- a/libs/serving/include/serving/AdapterScheduler.h
+++ b/libs/serving/include/serving/AdapterScheduler.h
@@ -14,44 +14,46 @@
 
 namespace monsoonbay {
 
-/** An adapter in a slot of an engine, as its holder knows it. */
+/** State of one adapter in a slot of an engine, as its lease holder knows it. */
 struct AdapterSlot
 {
     std::int64_t version = 0;
     bool loading = false;
-    Instant readyAt{}; ///< while loading: when it is expected to be there
-    Instant lastUsedAt{}; ///< last time some VM was seen to use it
-    bool unloadDeferred = false; ///< it will be dropped when the calls that use it have ended
-    bool fetched = false; ///< from the weight store, not from the engine's own memory
-    Instant requestedAt{}; ///< when its load was accepted
-    Instant probedAt{}; ///< a first call was let through to see whether it is there
-    int concurrentLoads =
-        1; ///< loads from the weight store then, over all engines, this one counted
-    double loadsSinceTouch = -1; ///< at this engine, when it was last there; below 0: it never was
-    std::int64_t sequence = 0; ///< the engine's count of orders with its load
-    bool evaluated = true; ///< what became of its load has taught
-    int earlyCalls = 0; ///< refused since it was ordered
-    int runs = 0; ///< calls that use it now, as far as the VMs have told
+    Instant readyAt{}; ///< while loading: when the load is expected to be done
+    Instant lastUsedAt{}; ///< when calls of some VM were last known to use it
+    bool unloadDeferred = false; ///< it is unloaded when the calls that use it have ended
+    bool fetched = false; ///< from the weight store, not from the engine's host memory
+    Instant requestedAt{}; ///< when the load was accepted
+    Instant probedAt{}; ///< when a first call was let through to test whether the load is done
+    int concurrentLoads = 1; ///< from the weight store over all engines, including this one
+    double loadsSinceTouch = -1; ///< loads at this engine since its last stay; below 0: never there
+    std::int64_t sequence = 0; ///< the engine's count of accepted commands including its load
+    bool evaluated = true; ///< the outcome of its load has been used to update the estimates
+    int earlyCalls = 0; ///< calls refused since the load was accepted because it was not done
+    int runs = 0; ///< calls that use it now, as reported by the VMs
 };
 
-/** State of one engine at the VM that orders it. */
+/**
+ * Adapter slots of one engine at the VM that holds the lease on it, with the rules for which load
+ * or unload command comes next.
+ */
 struct AdapterScheduler
 {
-    std::int64_t startTime = 0; ///< start of the engine that all this is of; see TargetEntry
+    std::int64_t startTime = 0; ///< of the engine start that this belongs to; see TargetEntry
     int adapterSlots = 0;
-    std::int64_t sequence = -1; ///< orders the engine has accepted; below 0: not known
-    std::int64_t minSequence = 0; ///< a report that counts fewer is older than what is known
-    Instant acceptedAt{}; ///< of the last order
+    std::int64_t sequence = -1; ///< commands that the engine has accepted; below 0: unknown
+    std::int64_t minSequence = 0; ///< a report with a lower count is outdated
+    Instant acceptedAt{}; ///< when the last command was accepted
     std::unordered_map<std::string, AdapterSlot> slots; ///< by adapter key
-    std::set<std::string> models; ///< base models that are there
-    Instant modelReadyAt{}; ///< when the model under way is expected; zero: none is
-    HostCopies copies; ///< adapters that load fast again
+    std::set<std::string> models; ///< base models that are loaded
+    Instant modelReadyAt{}; ///< when the base model being loaded is expected; zero: none is
+    HostCopies copies; ///< adapters that the engine still has in host memory
 };
 
-/** Takes what the engine reports of itself. */
+/** What an engine reports about itself. */
 struct EngineReport
 {
-    std::int64_t startTime = 0; ///< start of the engine that this is of; see TargetEntry
+    std::int64_t startTime = 0; ///< of the reporting engine; see TargetEntry
     std::int64_t sequence = 0;
     std::set<std::string> models;
     std::unordered_map<std::string, std::int64_t> resident;
@@ -59,20 +61,22 @@
 };
 
 /**
- * The engine was started anew under its id: it holds nothing, counts its orders anew, and what was
- * under way at it is of no account. A report tells the rest.
+ * The engine has restarted under the same id: it holds nothing and its command count starts over.
+ * Discards everything but the number of slots; the next report brings the new state.
  */
 void resetScheduler(AdapterScheduler &scheduler, std::int64_t born);
 
-/** Takes a report; false, and nothing changed, if it is older than what is known already. */
+/**
+ * Applies a report. Returns false and changes nothing if the report is older than the known state.
+ */
 bool applyEngineReport(AdapterScheduler &scheduler, const EngineReport &report, Instant now);
 
 enum class SchedulerStep : std::uint8_t {
-    Ready, ///< it is there
-    Wait, ///< it is being loaded
+    Ready, ///< the adapter is resident
+    Wait, ///< the adapter is being loaded, or as many loads as allowed are
     Unload, ///< unload `victim` first
-    Load, ///< order the load
-    NoSlot, ///< every slot that would have to go is in use
+    Load, ///< send the load command
+    NoSlot, ///< no slot can be freed, as all are in use
 };
 
 struct SchedulerDecision
@@ -83,14 +87,16 @@
     auto operator<=>(const SchedulerDecision &) const = default;
 };
 
-/** What to do so that `adapter` becomes resident in at least `version`. */
+/** What to do next so that `adapter` becomes resident in at least `version`. */
 SchedulerDecision nextCommand(const AdapterScheduler &scheduler, const std::string &adapter,
                               std::int64_t version, Instant now);
 
-/** Loads an engine may have under way; a fifth is refused by the engines of the users' sheets. */
+/**
+ * Loads that an engine may have running at once; the engines in the users' traces refuse a fifth.
+ */
 constexpr int maxLoadsPerEngine = 4;
 
-/** What is known of loads at all engines. */
+/** What was learnt about loads over all engines. */
 struct LoadEstimator
 {
     LoadTimeModel times;
@@ -99,17 +105,17 @@
     auto operator<=>(const LoadEstimator &) const = default;
 };
 
-/** What a load is expected to take, and what that rests on. */
+/** Expected time of a load and what the estimate is based on. */
 struct LoadEstimate
 {
     Duration time{};
-    int concurrentLoads = 1; ///< loads from the weight store over all engines, this one counted
-    bool fetched = false; ///< it comes from there
+    int concurrentLoads = 1; ///< from the weight store over all engines, including this one
+    bool fetched = false; ///< from the weight store, not from the engine's host memory
 
     auto operator<=>(const LoadEstimate &) const = default;
 };
 
-/** `fetchesUnderWay`: loads from the weight store at all engines, this one not counted. */
+/** `fetchesUnderWay`: running loads from the weight store at all engines, not counting this one. */
 LoadEstimate estimateLoad(const AdapterScheduler &scheduler, const std::string &adapter,
                           int fetchesUnderWay, const LoadEstimator &estimator);
 
@@ -117,78 +123,81 @@
                         std::int64_t version, const LoadEstimate &estimate, Instant now);
 
 /**
- * The engine refused a call for an adapter that was taken to be there. Right after its load was
- * due, the load takes longer than expected, and is looked at again a little later; otherwise
- * nothing is known of the engine's slots until it has reported.
+ * The engine refused a call because an adapter that was expected to be resident is missing. Shortly
+ * after the load was due this means that the load takes longer than expected, and it is checked
+ * again a little later; otherwise the state of the slots is unknown until the next report.
  */
 void recordMissing(AdapterScheduler &scheduler, const std::string &adapter,
                    LoadEstimator &estimator, Instant now);
 
 /**
- * The engine refused an order as busy. True if that is because a load that was taken as done is
- * still under way, so that it has no room for one more; that load is then looked at again later.
+ * The engine refused a load command as busy. Returns true if the reason is that a load assumed to
+ * be done is still running, so that the engine is at its limit of loads; that load is checked again
+ * later.
  */
 bool recordBusyRefusal(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now);
 
-/** Loads under way are expected by what was learnt since they were ordered. */
+/** Extends the expected times of running loads by what was learnt since they were accepted. */
 void extendLoadEstimates(AdapterScheduler &scheduler, const LoadTimeModel &pace);
 
 /**
- * How long a call waits for the outcome of the one that was let through first after a load; zero
- * if it goes now. While the time of loads is in doubt one call goes first and the others wait, or
- * all of them would be refused, each at the cost of a repeat.
+ * How long a call waits for the outcome of the first call that uses a newly loaded adapter; zero if
+ * it may go now. While load times are uncertain, one call goes first as a probe: if all went and
+ * the load were not done, each refusal would cost a retry.
  */
 Duration probeCallDelay(AdapterScheduler &scheduler, const std::string &adapter,
                         const LoadTimeModel &pace, Instant now);
 
 /**
- * True if a load is expected to go on for long after the time that it would take alone: a report
- * may show that it is done already.
+ * True if a load is expected to go on for long after the time that it would take without concurrent
+ * loads, so that a report may show that it is already done.
  */
 bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &pace, Instant now);
 
 /**
- * Takes loads that a report shows as done, also one that is too old to be taken as a whole; true if
- * there was any. It teaches that such loads take no longer.
+ * Marks the loads done that a report shows as done, even if the report is too old to be applied as
+ * a whole. Returns true if there were any. The estimates learn that such loads take no longer.
  */
 bool applyCompletedLoads(AdapterScheduler &scheduler, const EngineReport &report,
                          LoadEstimator &estimator, Instant now);
 
-/** Takes what has become of loads whose calls would have been refused by now. */
+/**
+ * Updates the estimates with loads that were done in time: a call would have been refused by now.
+ */
 void learnFromLoads(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now);
 
-/** Loads from the weight store that are under way at the engine. */
+/** Running loads from the weight store at the engine. */
 int fetchesUnderWay(const AdapterScheduler &scheduler) noexcept;
 void recordUnloaded(AdapterScheduler &scheduler, const std::string &adapter);
 
-/** The engine drops it only when its calls have ended: somebody used it after all. */
+/** The engine unloads the adapter only once its calls have ended, as it turned out to be in use. */
 void recordDeferredUnload(AdapterScheduler &scheduler, const std::string &adapter);
 
-/** True if some adapter will be dropped when its calls have ended: only a report tells when. */
+/** True if an adapter will be unloaded once its calls have ended; only a report shows when. */
 bool hasDeferredUnload(const AdapterScheduler &scheduler) noexcept;
 
-/** A call for it has been let through and is on its way. */
+/** A call that uses the adapter was admitted and has not reached the engine yet. */
 void recordPendingCall(AdapterScheduler &scheduler, const std::string &adapter, Instant now);
 
-/** An order was accepted; the engine counts one more. */
+/** A command was accepted; the engine's count goes up by one. */
 void advanceSequence(AdapterScheduler &scheduler, Instant now);
 
-/** It is not known whether the last order was accepted; a report has to tell. */
+/** The outcome of the last command is unknown; a report has to bring the count. */
 void invalidateSequence(AdapterScheduler &scheduler);
 
-/** Takes how many calls of all VMs use each adapter now. */
+/** Sets how many calls of all VMs use each adapter now. */
 void updateRuns(AdapterScheduler &scheduler, const std::map<std::string, int> &runs, Instant now);
 
-/** Slots that could take another adapter now. */
+/** Slots that can take another adapter now. */
 int idleSlots(const AdapterScheduler &scheduler, Instant now);
 
 /**
- * When a slot can be taken for another adapter at the earliest, if no further call uses it; zero:
- * that depends on when calls end.
+ * Earliest time at which a slot can take another adapter, provided that no further call uses it;
+ * zero: that depends on when calls end.
  */
 Instant nextFreeSlotTime(const AdapterScheduler &scheduler, Instant now);
 
-/** Marks loads whose time has come as done; true if any was. */
+/** Marks loads done whose expected time has passed; true if there were any. */
 bool completeDueLoads(AdapterScheduler &scheduler, Instant now);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/AdvertisedLimit.h
+++ b/libs/serving/include/serving/AdvertisedLimit.h
@@ -9,33 +9,34 @@
 namespace monsoonbay {
 
 /**
- * Calls a second that a target takes from all VMs together, by its own word, and what this VM sends
- * it under that limit.
+ * Rate limit, in calls a second from all VMs together, that a target advertises, and what this VM
+ * has sent to it.
  *
- * No message is needed: each VM keeps to an even part of the limit. Where that is less than a call
- * in a span, it draws in each span whether it may send one.
+ * No messages are exchanged for it: each VM keeps to an equal share of the limit. A fractional
+ * share is rounded up or down at random in each window.
  */
 struct AdvertisedLimit
 {
-    static constexpr Duration span = std::chrono::seconds(4); ///< in which a part is counted
+    static constexpr Duration span = std::chrono::seconds(4); ///< window in which calls are counted
     static constexpr std::size_t partsInSpan = 8;
 
-    double perSecond = 0; ///< of all VMs; 0: no limit is named
+    double perSecond = 0; ///< over all VMs; 0: no limit is advertised
     WindowCounts<std::uint32_t, partsInSpan> sent;
-    std::int64_t drawnWindow = 0; ///< number of the span that the part was last drawn for
-    std::uint32_t share = 0; ///< calls of this VM in the span
+    std::int64_t drawnWindow = 0; ///< number of the window that `share` was last drawn for
+    std::uint32_t share = 0; ///< calls that this VM may send in the window
 };
 
-/** Takes the target's newest word; nothing lifts the limit. True if it is a new one. */
+/** Applies the target's newest limit; nothing removes it. True if the limit has changed. */
 bool updateLimit(AdvertisedLimit &limit, std::optional<double> perSecond) noexcept;
 
 /**
- * True if this VM may send the target a call now. `vms`: that may send to it, heard or not; 0: not
- * known, so that none may be sent. `draw`: from 0 to 1, for a new span.
+ * True if this VM may send the target a call now. `vms` is the number of VMs that may send to it,
+ * including those that this VM does not hear from; with 0 (unknown) no call is admitted. `draw` is
+ * a random number in [0, 1) that rounds the share of a new window.
  */
 bool admitsCall(AdvertisedLimit &limit, int vms, double draw, Instant now) noexcept;
 
-/** A call goes to the target. */
+/** Counts a call sent to the target. */
 void recordSent(AdvertisedLimit &limit, Instant now) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/CapacityQueue.h
+++ b/libs/serving/include/serving/CapacityQueue.h
@@ -10,53 +10,53 @@
 
 namespace monsoonbay {
 
-/** How long a call waits for a place at an engine. */
+/** How long a call waits for capacity at an engine. */
 struct WaitLimits
 {
     Duration usual{};
-    Duration extended{}; ///< longer than usual for a call that lets others go first after that
+    Duration extended{}; ///< at least `usual`, after which the call yields to others
 
     auto operator<=>(const WaitLimits &) const = default;
 };
 
-/** What the patience of a call depends on. */
+/** What the wait limits of a call depend on. */
 struct WaitLimitInputs
 {
-    Duration objective{}; ///< for its first event; zero: its route names none
-    Duration timeLeft{}; ///< that its caller waits
-    double promptMs = 0; ///< that an engine reads its prompt
-    Duration minObjective{}; ///< of all routes to the service; zero: none names one
+    Duration objective{}; ///< latency objective for the first event; zero: the route sets none
+    Duration timeLeft{}; ///< until the caller's deadline
+    double promptMs = 0; ///< time an engine takes to prefill the prompt
+    Duration minObjective{}; ///< of all routes to the service; zero: none sets one
 
     auto operator<=>(const WaitLimitInputs &) const = default;
 };
 
 WaitLimits waitLimits(const WaitLimitInputs &facts) noexcept;
 
-/** A call that waits for a place. */
+/** A call waiting for capacity. */
 struct WaitingCall
 {
     std::uint64_t id = 0;
-    int rank = 0; ///< of its route; 0 goes first
+    int rank = 0; ///< priority of its route; 0 is served first
     Instant since{};
-    Instant softDeadline{}; ///< end of its usual patience; after that others go first
-    Instant deadline{}; ///< end of its patience
-    Instant notBefore{}; ///< it has just found no place
-    bool adapterReady = false; ///< its adapter is at an engine that has room: it needs no load
+    Instant softDeadline{}; ///< end of the usual wait limit; after it other calls go first
+    Instant deadline{}; ///< end of the wait
+    Instant notBefore{}; ///< it has just found no capacity and is not woken before this time
+    bool adapterReady = false; ///< resident at an engine with capacity, so no load is needed
 
     auto operator<=>(const WaitingCall &) const = default;
 };
 
-/** How fast waiting calls find places; what is long past counts less. */
+/** Rate at which waiting calls get capacity; older observations decay exponentially. */
 struct CapacityRate
 {
-    Instant updatedAt{}; ///< when the other two were right
-    double busySeconds = 0; ///< with calls waiting
-    double found = 0; ///< places that waiting calls found in that time
+    Instant updatedAt{}; ///< time up to which the decay is applied
+    double busySeconds = 0; ///< time during which calls were waiting
+    double found = 0; ///< waiting calls that got capacity in that time
 
     auto operator<=>(const CapacityRate &) const = default;
 };
 
-/** Calls of one service that wait for a place. */
+/** Calls of one service that wait for capacity. */
 struct CapacityQueue
 {
     std::vector<WaitingCall> calls;
@@ -65,43 +65,43 @@
     auto operator<=>(const CapacityQueue &) const = default;
 };
 
-/** More calls than this do not wait at one VM. */
+/** Limit on waiting calls at one VM. */
 constexpr std::size_t maxWaitingCalls = 512;
 
-/** False, and nothing changed, if too many wait already. */
+/** Returns false and changes nothing if the queue is full. */
 bool enqueueCall(CapacityQueue &queue, const WaitingCall &call, Instant now);
 
 void dequeueCall(CapacityQueue &queue, std::uint64_t id, Instant now);
 
-/** A call that waited has found a place. */
+/** A waiting call got capacity. */
 void recordCapacityFound(CapacityQueue &queue, Instant now);
 
-/** Rank by which a call is served now: one less for each half of its usual patience waited. */
+/** Effective rank of a call: one lower for each half of its usual wait limit that has passed. */
 int agedRank(const WaitingCall &call, Instant now) noexcept;
 
 /** True if `first` is served before `second`. */
 bool isServedBefore(const WaitingCall &first, const WaitingCall &second, Instant now) noexcept;
 
 /**
- * Calls to be woken while there is room for `loads` more loads, in the order in which they are
- * served: so many, and those whose adapter is there.
+ * Calls to wake when `loads` more loads can start, in the order in which they are served: that many
+ * calls that need a load, and all whose adapter is resident.
  */
 std::vector<std::uint64_t> callsToWake(const CapacityQueue &queue, int loads, Instant now);
 
-/** Where a service has room for loads now, or is said to have later. */
+/** Where a service can start loads, now or later. */
 struct ServiceCapacity
 {
-    int loads = 0; ///< that could begin now
-    bool unknownLater = false; ///< some engine may get room at any time
-    std::vector<Instant>
-        expectedAt; ///< when each other engine can begin a load, as its holder expects
+    int loads = 0; ///< loads that can start now
+    bool unknownLater = false; ///< some engine may get capacity at any moment
+    std::vector<Instant> expectedAt; ///< when the other engines can start a load, by their
+                                     ///< lease holders' estimates
 
     auto operator<=>(const ServiceCapacity &) const = default;
 };
 
 /**
- * Time until a call that is not in the queue yet can expect a place: by its turn, and by when
- * engines begin loads, each of which takes `loadTime`. Zero: at once, or nothing is known.
+ * Expected wait of a call that is not queued yet, from its position in the queue and from when
+ * engines can start loads that take `loadTime` each. Zero: no wait, or nothing is known.
  */
 Duration expectedCapacityWait(const CapacityQueue &queue, const WaitingCall &call,
                               const ServiceCapacity &room, Duration loadTime, Instant now);
--- a/libs/serving/include/serving/LoadDecline.h
+++ b/libs/serving/include/serving/LoadDecline.h
@@ -8,44 +8,46 @@
 
 namespace monsoonbay {
 
-/** Why the holder of an engine does not begin a load. The values go over the wire. */
+/** Why the lease holder of an engine does not start a load. The values are part of the protocol. */
 enum class DeclineReason : std::uint8_t {
     Unspecified = 0,
-    NoSlot = 1, ///< calls use every slot
-    QueueTooLong = 2, ///< other loads are ordered first, until it is too late for the caller
-    EngineSilent = 3, ///< the engine does not answer or refuses orders
-    ModelMissing = 4, ///< its base model is not there
-    NotHolder = 5, ///< the VM that was asked may not order the engine
+    NoSlot = 1, ///< all slots are in use by calls
+    QueueTooLong = 2, ///< too many other loads go first for the caller's time limit
+    EngineSilent = 3, ///< the engine does not answer, or refuses commands
+    ModelMissing = 4, ///< the base model is not loaded
+    NotHolder = 5, ///< the VM that was asked does not hold the lease on the engine
 };
 
-/** A load that was declined. */
+/** A declined load request. */
 struct LoadDecline
 {
     DeclineReason reason = DeclineReason::Unspecified;
-    Duration retryIn{}; ///< until a load could begin, as the holder expects; zero: not known
+    Duration retryIn{}; ///< until a load can start, as estimated by the lease holder; zero: unknown
 
     auto operator<=>(const LoadDecline &) const = default;
 };
 
-/** Until when a VM asks for no load at an engine, after one was declined there. */
+/** Backoff of a VM at one engine after a declined load request. */
 struct LoadBackoff
 {
-    Instant until{}; ///< zero: it may ask
+    Instant until{}; ///< no load requests before this time; zero: no backoff
     DeclineReason reason = DeclineReason::Unspecified;
-    bool forecast = false; ///< the holder expects that a load could begin then
+    bool forecast = false; ///< `until` is the lease holder's estimate of when a load can start
 
     auto operator<=>(const LoadBackoff &) const = default;
 };
 
-/** A value from the wire; one that is not known here counts as not said. */
+/** Decodes a value from the wire; unknown values become `Unspecified`. */
 DeclineReason declineReasonOf(std::uint64_t value) noexcept;
 
-/** For logs. */
+/** Text for logs. */
 std::string_view reasonName(DeclineReason reason) noexcept;
 
 LoadBackoff backoffAfter(const LoadDecline &decline, Instant now) noexcept;
 
-/** True if the engine is not to be asked now by a call that a load has to begin for in `begin`. */
+/**
+ * True if a call whose load has to start within `begin` must not request it from the engine now.
+ */
 bool blocksLoadRequest(const LoadBackoff &mark, Instant now, Duration begin) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/LoadQueue.h
+++ b/libs/serving/include/serving/LoadQueue.h
@@ -9,12 +9,12 @@
 
 namespace monsoonbay {
 
-/** Callers that wait until an engine is ordered to load one adapter. */
+/** Callers waiting for the same adapter to be loaded at one engine. */
 struct QueuedLoad
 {
     std::string adapter;
     int callers = 0;
-    int rank = 0; ///< of the most urgent that has asked; 0 goes first
+    int rank = 0; ///< of the most urgent caller; 0 goes first
 
     auto operator<=>(const QueuedLoad &) const = default;
 };
@@ -27,23 +27,23 @@
     auto operator<=>(const LoadQueue &) const = default;
 };
 
-/** A caller of that rank begins to wait for a load of `adapter`. */
+/** Adds a caller of the given rank that waits for `adapter`. */
 void joinQueue(LoadQueue &queue, const std::string &adapter, int rank);
 
-/** A caller of `adapter` no longer waits. */
+/** Removes a caller that waited for `adapter`. */
 void leaveQueue(LoadQueue &queue, const std::string &adapter);
 
 /**
- * Loads of other adapters that are to be ordered before the one of `adapter`: those that more
- * urgent callers wait for, then those of more callers, then those that were asked for before.
- * Adapters that are at the engine, or on their way, need no order.
+ * Number of loads of other adapters that go before the one of `adapter`: those with a more urgent
+ * caller first, then those with more callers, then those requested earlier. Adapters that are
+ * resident or being loaded are not counted.
  */
 int loadsAhead(const LoadQueue &queue, const AdapterScheduler &scheduler,
                const std::string &adapter);
 
 /**
- * When a load can be expected to be ordered that has `ahead` others before it, each of which takes
- * `loadTime`. The engine takes orders from `ordersFrom` on.
+ * Expected time at which a load starts that has `ahead` others before it, each of which takes
+ * `loadTime`. The engine accepts commands from `ordersFrom` on.
  */
 Instant expectedBegin(const AdapterScheduler &scheduler, int ahead, Duration loadTime,
                       Instant ordersFrom) noexcept;
--- a/libs/serving/include/serving/LoadTimeModel.h
+++ b/libs/serving/include/serving/LoadTimeModel.h
@@ -9,46 +9,54 @@
 namespace monsoonbay {
 
 /**
- * Classes of "loads under way over all engines". Each reaches half as far again as the one before,
- * so that within one a crowded store's time differs little, and 24 classes reach over 10,000.
+ * Number of classes by which concurrent loads (over all engines) are grouped. Each class reaches
+ * 1.5 times as far as the one before, so load times within a class differ little also when the
+ * weight store is saturated; 24 classes cover more than 10,000 loads.
  */
 constexpr std::size_t concurrencyClasses = 24;
 
 /**
- * Expected times of loads, learnt from what becomes of them: whether a call that comes when its
- * load is due is taken, or comes too early.
+ * Expected load times, learnt from outcomes: whether a call that arrives when its load is due is
+ * accepted by the engine or refused because the load is not done.
  */
 struct LoadTimeModel
 {
-    std::array<Duration, concurrencyClasses> expected{}; ///< by class; zero: nothing was seen yet
-    int onTimeStreak = 0; ///< loads in a row that were done when they were expected
-    std::array<bool, concurrencyClasses> sawEarlyCall{}; ///< by class: some call has come too early
+    std::array<Duration, concurrencyClasses> expected{}; ///< by class; zero: no observation yet
+    int onTimeStreak = 0; ///< consecutive loads that were done when expected
+    std::array<bool, concurrencyClasses> sawEarlyCall{}; ///< by class: some call arrived before its
+                                                         ///< load was done
 
     auto operator<=>(const LoadTimeModel &) const = default;
 };
 
-/** Class of a number of loads under way, the load in question counted. */
+/** Class of a number of concurrent loads, including the load in question. */
 std::size_t concurrencyClassOf(int underWay) noexcept;
 
-/** Expected time of a load from the weight store. */
+/** Expected time to load an adapter from the weight store. */
 Duration fetchTime(const LoadTimeModel &pace, int underWay) noexcept;
 
-/** Expected time of a load from the engine's own memory. */
+/** Expected time to load an adapter that the engine still has in host memory. */
 Duration hostCopyTime(const LoadTimeModel &pace) noexcept;
 
-/** A call that came `waited` after its load was ordered was refused: it was not done yet. */
+/** A call was refused `waited` after its load was accepted, as the load was not done yet. */
 void recordEarlyCall(LoadTimeModel &pace, int underWay, Duration waited) noexcept;
 
-/** A load was done `waited` after it was ordered. */
+/** A load was done by `waited` after it was accepted. */
 void recordLoadOnTime(LoadTimeModel &pace, int underWay, Duration waited) noexcept;
 
-/** A load with `underWay` loads under way was seen to be done after `elapsed`, or before. */
+/**
+ * A report showed that a load with `underWay` concurrent loads was done at most `elapsed` after it
+ * was accepted.
+ */
 void recordLoadSeenDone(LoadTimeModel &pace, int underWay, Duration elapsed) noexcept;
 
-/** True if calls came too early lately, or nothing was seen yet. */
+/** True if calls recently arrived too early, or there are no observations yet. */
 bool isUncertain(const LoadTimeModel &pace) noexcept;
 
-/** When to look again at a load that was not done after `waited`, the `early`th time it was not. */
+/**
+ * Delay until the next check of a load that was not done after `waited`, found so for the `early`th
+ * time.
+ */
 Duration recheckDelay(Duration waited, int early) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PendingLoads.h
+++ b/libs/serving/include/serving/PendingLoads.h
@@ -13,7 +13,9 @@
 
 namespace monsoonbay {
 
-/** Adapters that are being loaded at one engine, and when each is expected to be there. */
+/**
+ * Adapters being loaded at one engine, each with the time at which the load is expected to be done.
+ */
 struct PendingLoads
 {
     std::map<std::string, Instant> doneAt; ///< by adapter key
@@ -22,19 +24,19 @@
 };
 
 /**
- * Takes what the holder names as being loaded. What is named for the first time is expected after
- * `expected(adapter)`; what was named before keeps its time.
+ * Replaces the set of loading adapters with the one that the lease holder reports. An adapter that
+ * is new in it is expected after `expected(adapter)`; one that was there before keeps its time.
  */
 void updatePendingLoads(PendingLoads &loads, const std::set<std::string> &adapters,
                         const std::function<Duration(const std::string &)> &expected, Instant now);
 
-/** Time until the adapter is expected; nothing if it is not being loaded, or is overdue. */
+/** Remaining time until the adapter is loaded; nothing if it is not being loaded or is overdue. */
 std::optional<Duration> timeUntilLoaded(const PendingLoads &loads, const std::string &adapter,
                                         Instant now);
 
 /**
- * The engine at which the adapter is being loaded and the call's turn comes first; nothing if none
- * has room, or that takes longer than `patienceMs`.
+ * The engine at which the adapter is being loaded and the call would start first; nothing if none
+ * has capacity or the wait exceeds `patienceMs`.
  */
 std::optional<std::size_t> chooseLoadingEngine(const std::vector<EngineView> &engines,
                                                const EngineNeed &need,
--- a/libs/serving/include/serving/PlainTargetChoice.h
+++ b/libs/serving/include/serving/PlainTargetChoice.h
@@ -7,21 +7,22 @@
 
 namespace monsoonbay {
 
-/** What a VM knows of a target without adapters. */
+/** What a VM knows about a target without adapters. */
 struct PlainTargetView
 {
     std::string id;
     std::string zone;
     int slots = 1;
-    int runs = 0; ///< own calls under way there
+    int runs = 0; ///< calls of this VM running there
     bool usable = true; ///< neither leaving nor ejected
 
     auto operator<=>(const PlainTargetView &) const = default;
 };
 
 /**
- * The target with the fewest own calls for its slots; one in the own zone goes first, as bytes
- * between zones are paid for. `draw` breaks ties, so that VMs do not all choose the same one.
+ * Chooses the target with the fewest calls of this VM per slot, preferring the VM's own zone, as
+ * traffic between zones costs money. `draw` breaks ties at random, so that VMs do not all choose
+ * the same target.
  */
 std::optional<std::size_t> choosePlainTarget(const std::vector<PlainTargetView> &targets,
                                              const std::string &zone,
--- a/libs/serving/include/serving/PrefillRate.h
+++ b/libs/serving/include/serving/PrefillRate.h
@@ -7,10 +7,10 @@
 
 namespace monsoonbay {
 
-/** How fast the engines of a service read prompts, as this VM's own calls show it. */
+/** Prefill rate of a service's engines, measured from this VM's own calls. */
 struct PrefillRate
 {
-    /** One call that found nothing waiting at its engine. */
+    /** Rate measured by one call that found no tokens waiting at its engine. */
     struct Sample
     {
         double tokensPerMs = 0;
@@ -19,25 +19,26 @@
         auto operator<=>(const Sample &) const = default;
     };
 
-    std::array<Sample, 32> samples{}; ///< the newest take the place of the oldest
+    std::array<Sample, 32> samples{}; ///< ring buffer
     std::size_t nextSample = 0;
     double tokensPerMs = 0; ///< 0: too few samples
 
     auto operator<=>(const PrefillRate &) const = default;
 };
 
-/** A call as a sample of the pace. */
+/** Observation of one call. */
 struct PrefillSample
 {
-    double unreadTokens = 0; ///< of its prompt, that the engine had to read
-    double waitingTokens = 0; ///< of other calls there when it was sent, as far as known
+    double unreadTokens = 0; ///< prompt tokens that the engine had to prefill
+    double waitingTokens = 0; ///< tokens of other calls known to wait at the engine when the call
+                              ///< was sent
     Duration untilFirstEvent{};
 };
 
-/** Takes a call into account; those that tell little of the pace are left out. */
+/** Adds an observation; short prompts and calls that had to queue are ignored. */
 void addPrefillSample(PrefillRate &pace, const PrefillSample &sample, Instant now) noexcept;
 
-/** Tokens per ms; `fallback` while too little is known, and never far from it. */
+/** Tokens per ms; `fallback` without enough samples, and always within a fixed factor of it. */
 double prefillRate(const PrefillRate &pace, double fallback) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PrefixIndex.h
+++ b/libs/serving/include/serving/PrefixIndex.h
@@ -10,97 +10,109 @@
 
 namespace monsoonbay {
 
-/** Prefixes that are kept for one engine. */
+/** Limit on prefixes kept for one engine. */
 constexpr std::size_t maxPrefixesPerEngine = 256;
-/** Prefixes that are kept for all engines, 3 MB; divided evenly among the engines in the book. */
+/** Limit on prefixes kept for all engines (3 MB), divided evenly among the engines in the index. */
 constexpr std::size_t maxPrefixesInIndex = 40'960;
-/** Engines in the book. */
+/** Limit on engines in the index. */
 constexpr std::size_t maxEnginesInIndex = 4'096;
 
-/** A shorter prefix is not told: reading it takes less than the accuracy of an estimate. */
+/**
+ * Shorter prefixes are not reported: prefilling them takes less than the accuracy of an estimate.
+ */
 constexpr int minReportedTokens = 1'000;
-/** Tokens of a told prefix beyond which it is taken for a bad value. */
+/** Reported prefixes with more tokens are treated as invalid. */
 constexpr int maxReportedTokens = 1'000'000;
-/** A prefix that was told, or heard of, is not told again within this time. */
+/** A prefix that was sent or received is not reported again within this time. */
 constexpr Duration prefixReportInterval = std::chrono::seconds(2);
-/** A prefix that was found missing is neither believed nor told for this time. */
+/** After a cache miss a prefix is neither trusted nor reported for this time. */
 constexpr Duration missingPrefixHold = std::chrono::seconds(5);
-/** Engines that are not known to have read any prefix for this long leave the book. */
+/** Engines without any known prefix read for this long are removed from the index. */
 constexpr Duration unusedEngineExpiry = std::chrono::seconds(60);
 
-/** What is believed of one prefix at one engine. */
+/** What is assumed about one prefix at one engine. */
 struct CachedPrefix
 {
-    int tokens = 0; ///< 0: not believed to be there
-    Instant readAt{}; ///< when it was read last, as far as is known
-    Instant reportedAt{}; ///< when it was told or heard of last; zero: never
-    Instant doubtedUntil{}; ///< it was found missing
+    int tokens = 0; ///< 0: assumed not to be cached
+    Instant readAt{}; ///< when it was last known to be read
+    Instant reportedAt{}; ///< when it was last sent to or received from other VMs; zero: never
+    Instant doubtedUntil{}; ///< set by a cache miss
 
     auto operator<=>(const CachedPrefix &) const = default;
 };
 
-/** Prefixes that one engine is believed to keep. */
+/** Prefixes that one engine is assumed to have cached. */
 struct EnginePrefixes
 {
     std::unordered_map<std::uint64_t, CachedPrefix> byHash; ///< by hash of the prefix
-    double tokens = 0; ///< of all of them
+    double tokens = 0; ///< sum over all prefixes
     Instant readAt{};
 };
 
 /**
- * Prefixes of prompts that engines have read, and so need not read again, by what own and other
- * VMs' calls have shown. A belief only: engines do not say what they keep.
+ * Prompt prefixes that engines have prefilled and therefore need not prefill again, as observed by
+ * the calls of this and of other VMs. These are assumptions: engines do not report what they have
+ * cached.
  */
 struct PrefixIndex
 {
     std::unordered_map<std::uint64_t, EnginePrefixes> engines; ///< by engineKey()
-    std::size_t limit = maxPrefixesPerEngine; ///< of prefixes of one engine
+    std::size_t limit = maxPrefixesPerEngine; ///< on prefixes of one engine
 };
 
 /**
- * The first event of an own call has come: the engine has read its prompt. Returns the prefixes
- * that other VMs are to be told of.
+ * The first event of one of this VM's calls has arrived, so the engine has read its prompt. Returns
+ * the prefixes to report to other VMs.
  */
 std::vector<PromptPrefix> recordRead(PrefixIndex &book, std::uint64_t engine,
                                      const std::vector<PromptPrefix> &prefixes, Instant now);
 
-/** Another VM says that the engine has read a prefix. True if that is to be told on. */
+/** Another VM reports that the engine has read a prefix. True if it is to be passed on. */
 bool recordReported(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix,
                     Instant now);
 
-/** These prefixes were believed to be at the engine, and were not. */
+/** These prefixes were assumed to be cached at the engine and were not. */
 void recordMissing(PrefixIndex &book, std::uint64_t engine,
                    const std::vector<PromptPrefix> &prefixes, Instant now);
 
-/** Tokens at the beginning of a prompt with these prefixes that the engine is believed to keep. */
+/**
+ * Tokens at the beginning of a prompt with these prefixes that the engine is assumed to have
+ * cached.
+ */
 double cachedPrefixTokens(const PrefixIndex &book, std::uint64_t engine,
                           const std::vector<PromptPrefix> &prefixes);
 
-/** Tokens of prompts that an engine can keep while calls hold so many; infinite if not known. */
+/**
+ * Tokens of the engine's KV memory that can hold cached prompts while running calls hold
+ * `heldTokens`; infinite if its size is unknown.
+ */
 double prefixCacheCapacity(double kvTokens, double heldTokens) noexcept;
 
-/** The engine has memory for so many tokens of prompts: drops what was read least recently. */
+/** Evicts the least recently read prefixes until those that remain fit into `tokens`. */
 void evictToFit(PrefixIndex &book, std::uint64_t engine, double tokens);
 
-/** The engine has unloaded the adapter with this prefixTag(), or replaced it. */
+/** The engine has unloaded or replaced the adapter with this prefixTag(). */
 void forgetAdapter(PrefixIndex &book, std::uint64_t engine, std::uint64_t tag);
 
-/** The engine has started anew. */
+/** The engine has restarted. */
 void forgetEngine(PrefixIndex &book, std::uint64_t engine);
 
-/** Drops engines that have read no prefix for unusedEngineExpiry. */
+/** Removes engines without a prefix read for unusedEngineExpiry. */
 void forgetUnused(PrefixIndex &book, Instant now);
 
-/** How long a call waited for its first event, against what it was expected to wait for. */
+/** Time to the first event of a call, and what it was expected to depend on. */
 struct FirstEventTiming
 {
-    Duration untilFirst{}; ///< from sending it to its first event
+    Duration untilFirst{}; ///< from sending the call to its first event
     double promptTokens = 0;
-    double cachedPrefixTokens = 0; ///< of them, as was believed when it was sent
-    double aheadTokens = 0; ///< that other calls had waiting at the engine
+    double cachedPrefixTokens = 0; ///< prompt tokens assumed to be cached when the call was sent
+    double aheadTokens = 0; ///< tokens of other calls waiting at the engine
 };
 
-/** True if the engine read the whole prompt although a part of it was believed to be there. */
+/**
+ * True if the time shows that the engine prefilled the whole prompt although a part of it was
+ * assumed to be cached.
+ */
 bool indicatesCacheMiss(const FirstEventTiming &trial, double promptTokensPerMs) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PrefixLog.h
+++ b/libs/serving/include/serving/PrefixLog.h
@@ -9,11 +9,11 @@
 
 namespace monsoonbay {
 
-/** Prefixes that one message may carry. */
+/** Limit on prefixes in one message. */
 constexpr std::size_t maxPrefixesPerMessage = 300;
-/** Entries of a log; three messages' worth, so that readers that ask at their pace lose none. */
+/** Limit on entries of a log: three messages' worth, so that regular readers miss none. */
 constexpr std::size_t maxPrefixLogEntries = 1'024;
-/** What no reader has asked for within this time is no longer worth telling. */
+/** Entries older than this are no longer sent. */
 constexpr Duration prefixLogRetention = std::chrono::seconds(3);
 
 /** An engine has read a prefix. */
@@ -25,49 +25,54 @@
     auto operator<=>(const PrefixRead &) const = default;
 };
 
-/** Whose call showed it, which says to whom it is told on. */
+/** Where the observation was made; decides to which readers it is sent. */
 enum class PrefixSource : std::uint8_t {
     Own,
-    Zone, ///< another VM of the zone that reports here
-    Elsewhere, ///< told by the own relay, or by the relay of another zone
+    Zone, ///< another VM of the zone, which reports to this one
+    Elsewhere, ///< received from this VM's relay or from the relay of another zone
 };
 
-/** A change of the log. */
+/** An entry of the log. */
 struct LoggedPrefix
 {
     std::uint64_t number = 0;
     PrefixRead read;
     PrefixSource source = PrefixSource::Own;
-    std::uint64_t sourceVm = 0; ///< of that VM; 0: this one
+    std::uint64_t sourceVm = 0; ///< the VM that reported it; 0: this one
     Instant at{};
 
     auto operator<=>(const LoggedPrefix &) const = default;
 };
 
 /**
- * What a VM has learnt lately of prefixes. Numbered apart from the other news of a VM: it is as
- * much as the calls, it may be lost, and must not hold the others up.
+ * Prefixes that a VM has recently learnt of. Sequence numbers are separate from those of other
+ * state updates, as there are as many entries as calls, and they may be lost and must not delay the
+ * other updates.
  */
 struct PrefixLog
 {
     std::deque<LoggedPrefix> entries; ///< oldest first
-    std::uint64_t last = 0; ///< number of the newest ever
+    std::uint64_t last = 0; ///< sequence number of the newest entry ever
 };
 
-/** Who asks what is in a log. */
+/** Reader of a log. */
 struct PrefixReader
 {
-    std::uint64_t seen = 0; ///< the last number that it has
-    std::uint64_t sourceVm = 0; ///< its own word is not told back to it
-    bool zonePeer =
-        false; ///< of the own zone; another zone's relay hears only of calls of this zone
-    bool relay = false; ///< the relay that this VM reports to hears only of own calls
+    std::uint64_t seen = 0; ///< last sequence number that it has
+    std::uint64_t sourceVm = 0; ///< it does not get back what it reported itself
+    bool zonePeer = false; ///< it is in this VM's zone; the relay of another zone only gets
+                           ///< observations from this zone
+    bool relay = false; ///< it is the relay that this VM reports to, which only gets this VM's own
+                        ///< observations
 };
 
 void logPrefix(PrefixLog &log, const PrefixRead &read, PrefixSource source, std::uint64_t sourceVm,
                Instant now);
 
-/** What the reader is to be told, by engine; the newest if it is too much for a message. */
+/**
+ * Entries that the reader needs, sorted by engine; the newest ones if there are too many for one
+ * message.
+ */
 std::vector<PrefixRead> prefixesFor(const PrefixLog &log, const PrefixReader &reader, Instant now);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/Route.h
+++ b/libs/serving/include/serving/Route.h
@@ -9,14 +9,14 @@
 
 namespace monsoonbay {
 
-/** What may be repeated of a call. */
+/** Retry behaviour of a route's calls. */
 enum class CallKind : std::uint8_t {
     Idempotent, ///< may run more than once
     NonIdempotent, ///< runs at most once for each attempt of the caller
-    Streaming, ///< answered by a series of events; repeated only where it may be resumed
+    Streaming, ///< answered by an event stream; retried only if the stream can be resumed
 };
 
-/** A share of a route's traffic and the service that takes it. */
+/** A service and its weight in the traffic split of a route. */
 struct ServiceShare
 {
     std::string service;
@@ -25,20 +25,20 @@
     auto operator<=>(const ServiceShare &) const = default;
 };
 
-/** Which service answers the calls below a host and a path, and how. */
+/** Maps calls by host and path prefix to services, with the limits that hold for them. */
 struct Route
 {
     std::string name;
     std::string host;
     std::string pathPrefix; ///< begins and ends with a slash
     CallKind kind = CallKind::Idempotent;
-    bool resumable = false; ///< a broken stream may go on at another target
-    bool unauthenticated = false; ///< calls need no key
-    bool sharedPrefixes = false; ///< calls share the beginnings of their prompts
-    Duration timeout{}; ///< longest time a caller is kept waiting
-    Duration latencyObjective{}; ///< to the whole answer, or to a stream's first event
-    Duration gapObjective{}; ///< longest pause between the events of a stream
-    int priority = 0; ///< 0 goes first
+    bool resumable = false; ///< a broken stream may continue at another target
+    bool unauthenticated = false; ///< calls need no API key
+    bool sharedPrefixes = false; ///< calls share prompt prefixes
+    Duration timeout{}; ///< longest time that a caller is kept waiting
+    Duration latencyObjective{}; ///< to the complete answer, or to the first event of a stream
+    Duration gapObjective{}; ///< longest pause between two events of a stream
+    int priority = 0; ///< 0 is the most urgent
     int maxAttempts = 1; ///< targets that one attempt of the caller may be sent to
     std::vector<ServiceShare> services;
 
--- a/libs/serving/include/serving/ServiceRetryBudget.h
+++ b/libs/serving/include/serving/ServiceRetryBudget.h
@@ -7,17 +7,17 @@
 
 namespace monsoonbay {
 
-/** How many sends beyond the first of each call a service may see, over all VMs. */
+/** Retry budget of a service over all VMs: sends beyond the first one of each call. */
 struct RetryPolicy
 {
     double ratio = 0.2; ///< of the calls in the window
-    double slack = 50; ///< beside the ratio, over all VMs
+    double slack = 50; ///< allowed in addition to the ratio, over all VMs
     Duration window = std::chrono::seconds(10);
 
     auto operator<=>(const RetryPolicy &) const = default;
 };
 
-/** Counts of one VM for one service, by parts of the window. */
+/** Calls and retries of one VM for one service in a sliding window. */
 struct ServiceRetryBudget
 {
     static constexpr std::size_t parts = 20; ///< of the window
@@ -28,33 +28,35 @@
 
 void recordCall(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant now);
 
-/** Among whom the slack of a budget is divided, as one VM knows it. */
+/** How the slack of a budget is divided among VMs, as known to one VM. */
 struct SlackSharing
 {
-    int vms = 0; ///< that may send again, heard or not; 0: not known yet
-    Instant from{}; ///< this VM has no part of the slack before
+    int vms = 0; ///< VMs that may retry, including those that this VM does not hear from; 0: not
+                 ///< known yet
+    Instant from{}; ///< before this time the VM has no share of the slack
 
     auto operator<=>(const SlackSharing &) const = default;
 };
 
 /**
- * When a VM that started at `start` may use its part of the slack: a window later, as the window
- * may still hold what was sent by the boot before it, or by the others when they were fewer.
+ * Time from which a VM that started at `start` may use its share of the slack: one window later, as
+ * the window may still contain retries of its previous boot, or of the other VMs from when there
+ * were fewer.
  */
 Instant slackAvailableFrom(const RetryPolicy &policy, Instant start) noexcept;
 
-/** Takes one repeat out of this VM's share; false if the share is used up. */
+/** Takes one retry from this VM's share; false if the share is used up. */
 bool tryTakeRetry(ServiceRetryBudget &budget, const RetryPolicy &policy,
                   const SlackSharing &sharing, Instant now);
 
 /**
- * A repeat that was taken at `takenAt` is sent now, after a wait for a place: it counts from now
- * on, as the target that gets it counts it.
+ * A retry granted at `takenAt` is sent only now, after waiting for capacity. It is counted from now
+ * on, as it is at the target that receives it.
  */
 void recordRetrySent(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant takenAt,
                      Instant now);
 
-/** Repeats that this VM has taken in the window, as of the last call or repeat. */
+/** Retries of this VM in the window, as of the last call or retry. */
 std::uint32_t retriesTaken(const ServiceRetryBudget &budget) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/ServingConfig.h
+++ b/libs/serving/include/serving/ServingConfig.h
@@ -14,7 +14,7 @@
 
 namespace monsoonbay {
 
-/** What callers may send, and how slowly. */
+/** Limits on callers' requests. */
 struct CallerLimits
 {
     std::uint32_t maxHeaderBytes = 16 * 1024;
@@ -25,19 +25,19 @@
     auto operator<=>(const CallerLimits &) const = default;
 };
 
-/** A whole configuration as the operator wrote it. */
+/** A complete configuration as written by the operator. */
 struct ServingConfig
 {
     std::int64_t version = 0;
     std::vector<Route> routes;
     std::vector<ServiceSpec> services;
-    std::vector<Workspace> workspaces; ///< none: calls need no key
+    std::vector<Workspace> workspaces; ///< empty: calls need no API key
     CallerLimits limits;
 
     auto operator<=>(const ServingConfig &) const = default;
 };
 
-/** Routes and services of one configuration, indexed for look-up; never changed once built. */
+/** Routes and services of one configuration, indexed for lookup. Immutable. */
 class RouteTable
 {
 public:
@@ -46,7 +46,7 @@
 
     const ServingConfig &config() const noexcept;
 
-    /** The route of that host with the longest prefix that begins the path; null if none does. */
+    /** The route of the host with the longest matching path prefix; null if there is none. */
     const Route *findRoute(std::string_view host, std::string_view path) const;
 
     /** Null if there is no such service. */
@@ -55,20 +55,22 @@
     /** Null if there is no such workspace. */
     const Workspace *findWorkspace(const std::string &name) const;
 
-    /** Least objective for the first event among the routes to a service; zero: none names one. */
+    /**
+     * Smallest objective for the first event among the routes to a service; zero: none sets one.
+     */
     Duration minObjective(const std::string &service) const;
 
     /**
-     * Least objective for the first event among the routes to a service that name one; nothing if
-     * they all name the same.
+     * Smallest objective for the first event among the routes to a service that set one; nothing if
+     * all of them set the same.
      */
     std::optional<Duration> shortestObjective(const std::string &service) const;
 
-    /** Longest time that a caller waits for a stream of the service which it may take up again. */
+    /** Longest timeout among the resumable routes to a service. */
     Duration maxResumableTimeout(const std::string &service) const;
 
 private:
-    /** Least and largest objective of the routes to a service. */
+    /** Smallest and largest objective among the routes to a service. */
     struct Objectives
     {
         Duration least{};
@@ -83,7 +85,7 @@
     std::unordered_map<std::string, std::size_t> workspaceByName;
 };
 
-/** True if `offered` may replace a configuration of version `current`: it never goes back. */
+/** True if `offered` is newer than `current`; versions never go back. */
 bool mayReplace(std::int64_t current, std::int64_t offered) noexcept;
 
 /** Picks a service of a route by weight; `draw` is in [0, 1). Empty if the route has none. */
--- a/libs/serving/include/serving/SoftwareVersions.h
+++ b/libs/serving/include/serving/SoftwareVersions.h
@@ -8,7 +8,7 @@
 
 namespace monsoonbay {
 
-/** When targets of one version of their software could take work, as far as this VM knows. */
+/** When targets of one software version could take work, as known to this VM. */
 struct SoftwareObservation
 {
     Instant since{};
@@ -17,33 +17,38 @@
     auto operator<=>(const SoftwareObservation &) const = default;
 };
 
-/** The versions of their software that targets of one service have had lately. */
+/** Software versions of the targets of one service that were seen recently. */
 struct SoftwareVersions
 {
-    std::map<std::string, SoftwareObservation> seen; ///< by the name that the targets' entries give
+    std::map<std::string, SoftwareObservation> seen; ///< by the version in the targets' entries
 
     auto operator<=>(const SoftwareVersions &) const = default;
 };
 
 /**
- * A version that is new beside others gets no streams for so long. By then each VM whose list of
- * targets is not old knows of it, and none takes the others for the only ones.
+ * A version that is new next to others starts no streams for this time. After it every VM whose
+ * target list is current knows of the version, and none assumes that the others are the only ones.
  */
 constexpr Duration softwareSettleTime = std::chrono::milliseconds(2000);
 
-/** True if the targets' entries name their versions; then one without a name is not known yet. */
+/**
+ * True if the targets' entries state versions; an entry without one then means that the version is
+ * not known yet.
+ */
 bool namesVersions(const SoftwareVersions &versions);
 
-/** Targets of that version can take work at `now`; a version that is not known yet is none. */
+/**
+ * Targets of that version can take work at `now`. An empty version is ignored if others are named.
+ */
 void recordSoftware(SoftwareVersions &versions, const std::string &software, Instant now);
 
-/** Forgets the versions of which no target has taken work since then. */
+/** Removes versions whose targets were last able to take work before `before`. */
 void forgetSoftware(SoftwareVersions &versions, Instant before);
 
-/** The one version that targets have had since then; nothing: none, or several. */
+/** The only version seen since then; nothing if there was none, or more than one. */
 std::optional<std::string> onlySoftware(const SoftwareVersions &versions, Instant since);
 
-/** False if streams are not to begin at that version yet; see softwareSettleTime. */
+/** False if no streams may start at that version yet; see softwareSettleTime. */
 bool isSettled(const SoftwareVersions &versions, const std::string &software, Instant now);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/StreamOrigins.h
+++ b/libs/serving/include/serving/StreamOrigins.h
@@ -13,42 +13,42 @@
 
 namespace monsoonbay {
 
-/** Of which version of its software the target was that began a stream. */
+/** Software version of the target that started a stream. */
 struct StreamOrigin
 {
     std::string software;
-    Instant until{}; ///< its caller waits no longer
+    Instant until{}; ///< deadline of the caller
 
     auto operator<=>(const StreamOrigin &) const = default;
 };
 
-/** A stream by the id of the attempt that brought its first event, 64 bits of a hash of it. */
+/** Identifies a stream: 64-bit hash of the id of the attempt that received its first event. */
 using StreamId = std::uint64_t;
 
 StreamId streamIdOf(std::string_view attemptId) noexcept;
 
-/** Streams that callers may take up again; bounded in number, the oldest go first. */
+/** Origins of the streams that callers may resume; bounded, the oldest are dropped first. */
 struct StreamOrigins
 {
     std::unordered_map<StreamId, StreamOrigin> byId;
-    std::deque<std::pair<Instant, StreamId>> order; ///< as noted
+    std::deque<std::pair<Instant, StreamId>> order; ///< in order of insertion
 };
 
-/** What is known of 20,000 streams takes 2.5 MB; a VM begins some 500 in 15 s. */
+/** Origins of 20,000 streams take 2.5 MB; a VM starts about 500 streams in 15 s. */
 constexpr std::size_t maxStreamOrigins = 20000;
 
-/** Notes what began a stream; what was noted of it first holds. */
+/** Records the origin of a stream; an origin recorded before is kept. */
 void recordOrigin(StreamOrigins &origins, StreamId id, StreamOrigin origin, Instant now);
 
-/** Forgets streams whose callers wait no longer. */
+/** Removes streams whose callers' deadline has passed. */
 void forgetOrigins(StreamOrigins &origins, Instant now);
 
-/** Nothing: it is not known, or its caller waits no longer. */
+/** Software version of the target that started the stream; nothing if unknown or expired. */
 std::optional<std::string> originOf(const StreamOrigins &origins, StreamId id, Instant now);
 
 /**
- * The `count` of `names` that keep what is known of a stream, by rendezvous hashing: each VM finds
- * the same, and the loss of a name moves only what it kept.
+ * Indices of the `count` VMs in `names` that store the origin of a stream, by rendezvous hashing:
+ * all VMs choose the same ones, and the loss of one only moves the streams that it stored.
  */
 std::vector<std::size_t> chooseReplicas(StreamId id, const std::vector<std::string> &names,
                                         std::size_t count);
--- a/libs/serving/include/serving/TargetEntry.h
+++ b/libs/serving/include/serving/TargetEntry.h
@@ -11,7 +11,7 @@
 
 namespace monsoonbay {
 
-/** An adapter in one version that an engine says it holds. */
+/** An adapter that an engine reports as resident, with its version. */
 struct HeldAdapter
 {
     std::string adapter; ///< as adapterKey() writes it
@@ -20,7 +20,7 @@
     auto operator<=>(const HeldAdapter &) const = default;
 };
 
-/** One target as the platform's list describes it. */
+/** One target as described by the platform's list. */
 struct TargetEntry
 {
     std::string id;
@@ -29,25 +29,28 @@
     std::string zone;
     int slots = 1;
     bool leaving = false;
-    std::string software; ///< version of the target's own software; empty: it does not say
-    std::int64_t startTime = 0; ///< when this start of the target began, ms; 0: it does not say
+    std::string software; ///< version of the target's software; empty: unknown
+    std::int64_t startTime = 0; ///< start time of the target by its own clock, in ms; 0: unknown
     std::vector<std::string> models;
     std::vector<HeldAdapter> adapters;
 
     auto operator<=>(const TargetEntry &) const = default;
 };
 
-/** How two words about a target stand to each other. */
+/** How two pieces of information about a target compare by the start they belong to. */
 enum class StartOrder : std::uint8_t {
-    Same, ///< of the same start of the target, or one of them does not say
-    Newer, ///< the offered word is of a later start: all that was known before is void
-    Older, ///< the offered word is of an earlier start and tells nothing any more
+    Same, ///< both belong to the same start, or one of them does not tell
+    Newer, ///< the offered one belongs to a later start: everything known before is void
+    Older, ///< the offered one belongs to an earlier start and is void
 };
 
-/** Compares the starts that two words about one target are of; see TargetEntry::born. */
+/**
+ * Compares the starts of a target that two pieces of information belong to; see
+ * TargetEntry::startTime.
+ */
 StartOrder compareStarts(std::int64_t knownBorn, std::int64_t offeredBorn) noexcept;
 
-/** Name of an adapter of a model, as it is used as a key: "model/adapter". */
+/** Key of an adapter of a model: "model/adapter". */
 std::string adapterKey(const std::string &model, const std::string &adapter);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/TargetLinks.h
+++ b/libs/serving/include/serving/TargetLinks.h
@@ -6,51 +6,51 @@
 
 namespace monsoonbay {
 
-/** What connections of this VM to one target came to lately. */
+/** Latest results of connections from this VM to one target. */
 struct LinkObservation
 {
-    Instant failedAt{}; ///< an attempt to connect, or a connection, was given up; zero: never
-    Instant reachedAt{}; ///< it accepted a connection; zero: never
+    Instant failedAt{}; ///< last failed connect or broken connection; zero: never
+    Instant reachedAt{}; ///< last accepted connection; zero: never
 
     auto operator<=>(const LinkObservation &) const = default;
 };
 
 enum class LinkState : std::uint8_t {
-    Unknown, ///< nothing was tried lately
+    Unknown, ///< no recent attempt
     Reached,
     Failed,
 };
 
-/** What this VM has seen last of its link to a target. */
+/** State of this VM's link to a target by the newest result. */
 LinkState linkState(const LinkObservation &sight, Instant now) noexcept;
 
-/** How the links of this VM to the targets of one service stand. */
+/** States of this VM's links to the targets of one service. */
 struct LinkCounts
 {
     int listed = 0; ///< targets that may take work
     int reached = 0;
-    int failed = 0; ///< not reached from here, though other VMs got answers there lately
-    bool otherServiceLost = false; ///< links of this VM to another service are lost
+    int failed = 0; ///< unreachable from here although other VMs recently got answers there
+    bool otherServiceLost = false; ///< this VM has lost its links to another service
 
     auto operator<=>(const LinkCounts &) const = default;
 };
 
-/** True if it may be the links of this VM that fail, and not the targets; probes tell. */
+/** True if this VM's links may have failed rather than the targets; probes then decide. */
 bool linksSeemLost(const LinkCounts &counts) noexcept;
 
 /** Whether this VM has lost its links to the targets of one service. */
 struct ServiceLinks
 {
     bool lost = false;
-    Instant since{}; ///< when they were lost last
-    bool checking = false; ///< probes are under way, as they seem to be
-    Instant checkedAt{}; ///< when that was last begun
-    int goodRounds = 0; ///< of probes, one after the other
+    Instant since{}; ///< when they were last lost
+    bool checking = false; ///< probes are running because the links seem lost
+    Instant checkedAt{}; ///< when the last check started
+    int goodRounds = 0; ///< consecutive successful rounds of probes
 
     auto operator<=>(const ServiceLinks &) const = default;
 };
 
-/** What one round of probes came to. */
+/** Result of one round of probes. */
 struct ProbeRound
 {
     int tried = 0;
@@ -59,10 +59,10 @@
     auto operator<=>(const ProbeRound &) const = default;
 };
 
-/** True if probes of targets that other VMs reach reach none of them, or hardly one. */
+/** True if probes reach none, or hardly any, of the targets that other VMs reach. */
 bool confirmsLoss(const ProbeRound &round) noexcept;
 
-/** Takes a round of probes while links are lost. True: they are back by this. */
+/** Applies a round of probes while the links are lost. True if the links have recovered by it. */
 bool recordProbes(ServiceLinks &links, const ProbeRound &round) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/TargetTable.h
+++ b/libs/serving/include/serving/TargetTable.h
@@ -8,57 +8,60 @@
 
 namespace monsoonbay {
 
-/** What this VM believes of one target. */
+/** What this VM knows about one target. */
 struct TargetRecord
 {
     TargetEntry entry;
-    bool gone = false; ///< its entry was removed while the list was being followed
-    Instant expiredAt{}; ///< when the entry was found missing after an outage; zero: it is there
+    bool gone = false; ///< its entry was removed while the list could be read
+    Instant expiredAt{}; ///< when the entry was found missing after an outage of the store; zero:
+                         ///< it is there
 
     auto operator<=>(const TargetRecord &) const = default;
 };
 
-/** The platform's list of targets as this VM last saw it. */
+/** The platform's list of targets as last seen by this VM. */
 struct TargetTable
 {
     std::unordered_map<std::string, TargetRecord> records;
-    std::unordered_map<std::string, Instant> droppedAt; ///< lately
-    Instant lastReadAt{}; ///< of the list, by whichever VM; zero: never
-    Instant lastOwnReadAt{}; ///< by this VM itself
-    Instant failingSince{}; ///< reads have failed since then; zero: the last one did not
-    Instant outageEndedAt{}; ///< when the list could be read again after a gap
+    std::unordered_map<std::string, Instant> droppedAt; ///< recently removed targets
+    Instant lastReadAt{}; ///< last read of the list by any VM; zero: never
+    Instant lastOwnReadAt{}; ///< last read by this VM
+    Instant failingSince{}; ///< reads have failed since then; zero: the last one succeeded
+    Instant outageEndedAt{}; ///< when the list became readable again after an outage
 };
 
 /**
- * When reads have failed for this long, removals may be mere expiries: targets could not renew
- * their entries either. Three heartbeats of 1.2 s are the shortest expiry; this is well below.
+ * After failed reads for this long, missing entries may have expired, as the targets could not
+ * renew them either. The shortest expiry is three heartbeats of 1.2 s; this value is well below it.
  */
 constexpr Duration outageThreshold = std::chrono::milliseconds(1800);
 
-/** Targets that live are listed again within two seconds of an outage's end, says the platform. */
+/**
+ * The platform guarantees that live targets are listed again within two seconds of an outage's end.
+ */
 constexpr Duration relistGrace = std::chrono::milliseconds(2200);
 
 /**
- * The list is read every 0.7 s and told on within 0.2 s. A target that leaves gets nothing new 2 s
- * later, also if a read of one's own has to come first.
+ * The list is read every 0.7 s and passed on within 0.2 s. This bound leaves time for a read of
+ * one's own, so that a leaving target gets no new work 2 s after it says so.
  */
 constexpr Duration maxListAge = std::chrono::milliseconds(1100);
 
-/** The list was read at `now`, whatever it said. Call before the changes of that read. */
+/** This VM has read the list at `now`. Call before applying the changes from that read. */
 void recordListRead(TargetTable &book, Instant now);
 
-/** An attempt to read the list failed. */
+/** A read of the list by this VM failed. */
 void recordListFailure(TargetTable &book, Instant now);
 
 /**
- * Another VM read the list at `readAt`, and its reads have failed for `failing` until now: what it
- * knows of an outage holds here too, should this VM be the next to read.
+ * Another VM read the list at `readAt`, and its reads have failed for the last `failing`. Its
+ * knowledge of an outage is kept in case this VM is the next one to read.
  */
 void recordPeerListRead(TargetTable &book, Instant readAt, Duration failing, Instant now);
 
 /**
- * True if what is known of the list is so old that a target may have left without notice: the VM
- * that reads it for others is slow, or its word is late.
+ * True if the list is so old that a target may have left unnoticed, because the VM that reads it
+ * for others is slow or its updates are late.
  */
 bool isListStale(const TargetTable &book, Instant now) noexcept;
 
@@ -66,16 +69,16 @@
 void recordRemoved(TargetTable &book, const std::string &id, Instant now);
 
 /**
- * Takes a whole list: what it lacks was removed. `unreadable`: ids that are in it with an entry
- * that tells nothing, so that what was known of them holds.
+ * Applies a complete list: targets missing in it were removed. `unreadable` are the ids of entries
+ * that could not be parsed; what is known of those targets is kept.
  */
 void recordFullList(TargetTable &book, std::vector<TargetEntry> entries,
                     const std::vector<std::string> &unreadable, Instant now);
 
-/** Forgets what has been gone for good; returns the ids that went. */
+/** Removes targets that are gone for good and returns their ids. */
 std::vector<std::string> dropGone(TargetTable &book, Instant now);
 
-/** True if the target was dropped within the last minute, and not listed since. */
+/** True if the target was removed within the last minute and has not been listed since. */
 bool wasDropped(const TargetTable &book, const std::string &id);
 
 /** True if new work may be sent to this target. */
--- a/libs/serving/include/serving/UsageLedger.h
+++ b/libs/serving/include/serving/UsageLedger.h
@@ -10,42 +10,42 @@
 
 namespace monsoonbay {
 
-/** The newest word of one reporter: a VM of the own zone, or another zone as a whole. */
+/** The latest report of one reporter: a VM of this zone, or another zone as a whole. */
 struct ReporterUsage
 {
     TargetUsages targets;
     WorkspaceUses workspaces;
-    WorkspaceUnits unitsByAge; ///< of workspaces whose use is to be noted
-    int vms = 1; ///< VMs that it speaks for
+    WorkspaceUnits unitsByAge; ///< of workspaces whose usage is to be stored in snapshots
+    int vms = 1; ///< number of VMs that the report covers
     Instant at{};
 
     bool operator==(const ReporterUsage &) const = default;
 };
 
-/** What all reporters' calls take, kept as a sum so that no call has to add it up. */
+/** Usage by all reporters' calls, kept as a running sum so that no call has to add it up. */
 struct UsageLedger
 {
-    std::unordered_map<std::string, ReporterUsage> reports; ///< by reporter
+    std::unordered_map<std::string, ReporterUsage> reports; ///< latest, by reporter
     TargetUsages total;
     WorkspaceUses workspaceTotal;
 };
 
-/** Takes a reporter's newest word in place of the one before. */
+/** Replaces the reporter's previous report. */
 void applyReport(UsageLedger &ledger, const std::string &reporter, ReporterUsage report);
 
 /**
- * Drops those whose last word is older than `silence`: their calls end with them or are no longer
- * known, and keeping them would leave engines looking busy for ever.
+ * Removes reporters whose last report is older than `silence`: their calls have ended with them or
+ * are no longer known, and would otherwise make engines look busy for ever.
  */
 void dropSilent(UsageLedger &ledger, Duration silence, Instant now);
 
-/** What all but one reporter take. */
+/** Usage of targets by all but one reporter. */
 TargetUsages usagesExcept(const UsageLedger &ledger, const std::string &reporter);
 
-/** What the calls of all but one reporter's workspaces use. */
+/** Usage of workspaces by all but one reporter. */
 WorkspaceUses workspacesExcept(const UsageLedger &ledger, const std::string &reporter);
 
-/** VMs that the reporters speak for. */
+/** Number of VMs that the reports cover. */
 int vmsReported(const UsageLedger &ledger) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/src/AdapterScheduler.cpp
+++ b/libs/serving/src/AdapterScheduler.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 /**
- * A slot that was in use this recently may have a call on its way: VMs tell the holder within some
- * 10 ms what they use.
+ * A slot that was in use this recently may have a call on its way: VMs report their usage to the
+ * lease holder within about 10 ms.
  */
 constexpr Duration settleAfterUse = std::chrono::milliseconds(60);
 
@@ -21,34 +21,40 @@
         || now - slot.lastUsedAt < settleAfterUse;
 }
 
-/** A load that is expected to be done within this is not looked at: reports lag as much. */
+/**
+ * A load that is expected to be done within this time is not checked, as reports lag by as much.
+ */
 constexpr Duration lookBefore = std::chrono::milliseconds(150);
 
-/** A call that is refused this soon after a load was due came too early. */
+/** A call that is refused this soon after its load was due arrived too early. */
 constexpr Duration freshlyLoaded = std::chrono::milliseconds(150);
 
-/** From the word to a call that its adapter is there to the word that the engine refused it. */
+/** From telling a call that its adapter is resident to hearing that the engine refused the call. */
 constexpr Duration trialTime = std::chrono::milliseconds(30);
 
-/** With more refused calls for one load, something else is wrong than its time. */
+/** With more refused calls for one load, the cause is not its estimated time. */
 constexpr int mostEarlyCalls = 8;
 
 /**
- * Slots that a new holder finds may be in use by calls that it has not been told of yet; VMs learn
- * who the new holder is within this.
+ * Slots found by a new lease holder may be in use by calls that were not reported to it yet; VMs
+ * learn of the new holder within this time.
  */
 constexpr Duration newHolderTold = std::chrono::milliseconds(600);
 
-/** From the word that an adapter is there to the note of the call that asked for it. */
+/**
+ * From telling a call that its adapter is resident until its VM's usage report includes the call.
+ */
 constexpr Duration callOnItsWay = std::chrono::milliseconds(100);
 
-/** A report that shows a load under way after its expected end is looked at again after this. */
+/**
+ * Delay until the next check of a load that a report shows as still running after its expected end.
+ */
 constexpr Duration loadLook = std::chrono::milliseconds(120);
 
-/** Reports are "some hundred ms" old, by the platform's word. */
+/** The platform states that reports are "some hundred ms" old. */
 constexpr Duration longestReportLag = std::chrono::milliseconds(500);
 
-/** The idle slot that was used longest ago; empty if all are in use. */
+/** The least recently used idle slot; empty if all are in use. */
 std::string idlestSlot(const AdapterScheduler &scheduler, const std::string &except, Instant now)
 {
     std::string idlest;
@@ -80,10 +86,10 @@
     scheduler.startTime = born;
 }
 
-// Reports lag by some hundred ms. One from before the last accepted order would show that order's
-// slot as free; the engine's count of orders tells such a report from a current one. The count
-// known here can be too high by itself, when the engine took an order as done without counting it,
-// so a report that cannot lag any more is always taken.
+// Reports lag by some hundred ms. One from before the last accepted command would show the slot of
+// that command as free; the engine's command count identifies such reports. The count known here
+// may be too high, when the engine confirmed a command as already done without counting it. A
+// report that can no longer lag is therefore always applied.
 bool applyEngineReport(AdapterScheduler &scheduler, const EngineReport &report, Instant now)
 {
     const StartOrder age = compareStarts(scheduler.startTime, report.startTime);
@@ -138,17 +144,17 @@
             return {slot.loading ? SchedulerStep::Wait : SchedulerStep::Ready, {}};
         if (slot.loading)
             return {SchedulerStep::Wait, {}};
-        // An engine that is told to replace or unload an adapter in use takes no other order until
-        // those calls have ended, which can be many seconds. The old version stays until it is
-        // idle; meanwhile the new one is loaded elsewhere.
+        // An engine that is told to replace or unload an adapter in use accepts no other command
+        // until the calls using it have ended, which can take many seconds. The old version stays
+        // until it is idle; meanwhile the new one is loaded elsewhere.
         if (isInUse(slot, now))
             return {SchedulerStep::NoSlot, {}};
         return {SchedulerStep::Unload, adapter};
     }
     if (loadsUnderWay(scheduler) >= maxLoadsPerEngine)
         return {SchedulerStep::Wait, {}};
-    // An engine that is ordered to hold more adapters than it has slots for crashes, so a slot is
-    // freed and seen to be free before the load is ordered.
+    // An engine that is commanded to hold more adapters than it has slots for crashes, so a slot is
+    // freed, and known to be free, before the load command is sent.
     if (static_cast<int>(scheduler.slots.size()) < scheduler.adapterSlots)
         return {SchedulerStep::Load, {}};
     std::string victim = idlestSlot(scheduler, adapter, now);
@@ -181,8 +187,8 @@
     scheduler.slots.erase(adapter);
 }
 
-// Such an adapter must not be chosen again as the one to go, nor counted as free: the engine takes
-// no other order before those calls have ended, and refuses new calls for it meanwhile.
+// Such an adapter must not be chosen as the victim again or counted as free: the engine accepts no
+// other command before its calls have ended, and refuses new calls for it meanwhile.
 void recordDeferredUnload(AdapterScheduler &scheduler, const std::string &adapter)
 {
     const auto slot = scheduler.slots.find(adapter);
@@ -232,7 +238,7 @@
     return scheduler.adapterSlots - static_cast<int>(used);
 }
 
-// A load that is under way is for callers who wait for it, so its slot is not free afterwards.
+// Callers wait for the loads that are running, so the slots of these are not free afterwards.
 Instant nextFreeSlotTime(const AdapterScheduler &scheduler, Instant now)
 {
     if (static_cast<int>(scheduler.slots.size()) < scheduler.adapterSlots)
@@ -266,8 +272,8 @@
                       [](const auto &slot) { return slot.second.loading && slot.second.fetched; }));
 }
 
-// An adapter that was believed to be in the engine's memory and is not comes from the weight store,
-// and is expected when that load would be done.
+// An adapter that was assumed to be in the engine's host memory and is not comes from the weight
+// store instead, and is expected when that load would be done.
 void recordMissing(AdapterScheduler &scheduler, const std::string &adapter,
                    LoadEstimator &estimator, Instant now)
 {
@@ -285,7 +291,7 @@
     slot.readyAt = now + recheckDelay(waited, slot.earlyCalls);
     const bool mayBeCopy = !slot.fetched && slot.earlyCalls == 1;
     if (mayBeCopy) {
-        // The way of this order may have been a little longer than that of others.
+        // This command may just have taken slightly longer on its way than others.
     } else if (slot.fetched) {
         recordEarlyCall(estimator.times, slot.concurrentLoads, waited);
     } else {
@@ -299,8 +305,8 @@
     slot.lastUsedAt = slot.readyAt;
 }
 
-// Symptom without this: the holder takes the refusal for a count of orders that differs, asks for a
-// report, and gives no order for 60 ms and more, on the most crowded engines.
+// Without this, the lease holder would take the refusal for a wrong command count, ask for a
+// report, and send no command for 60 ms or more, on the most heavily loaded engines.
 bool recordBusyRefusal(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now)
 {
     int underWay = loadsUnderWay(scheduler);
@@ -357,9 +363,9 @@
     }
 }
 
-// Calls wait until a load is expected to be done, so a time that is believed too long is never seen
-// to be so: loads seem to be under way for longer, the store seems more crowded, and the next ones
-// are expected to take as long. A look at the engine in between ends that.
+// Calls wait until a load is expected to be done, so an estimate that is too long would never be
+// corrected: loads would seem to run for longer, the store would seem more loaded, and the next
+// loads would be expected to take as long. Checking the engine in between breaks this cycle.
 bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &pace, Instant now)
 {
     const Duration alone = fetchTime(pace, 1);
@@ -377,7 +383,7 @@
         return false;
     bool any = false;
     for (auto &[adapter, slot] : scheduler.slots) {
-        // A report of before the order may show the adapter as it was there at another time.
+        // A report from before the command may show the adapter from an earlier stay.
         const auto held = report.resident.find(adapter);
         const bool done = slot.loading && report.sequence >= slot.sequence
             && held != report.resident.end() && held->second >= slot.version;
--- a/libs/serving/src/AdvertisedLimit.cpp
+++ b/libs/serving/src/AdvertisedLimit.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 /**
- * Of the limit. VMs that begin to send together draw for the span under way and for the next one
- * within one span of the target, and chance lets more of them send than on average; a target takes
- * half as much again and five calls more than it names.
+ * Used share of the limit. VMs that start sending together draw their shares of the current and of
+ * the next window within one window of the target, and by chance more of them send than on average;
+ * targets tolerate 1.5 times their limit plus five calls.
  */
 constexpr double usedShare = 0.45;
 
-/** Without a call now and then nobody would hear that the limit has gone. */
+/** Without an occasional call no VM would learn that the limit has been lifted. */
 constexpr double leastPerSecond = 0.2;
 
 } // namespace
--- a/libs/serving/src/CapacityQueue.cpp
+++ b/libs/serving/src/CapacityQueue.cpp
@@ -10,24 +10,24 @@
 namespace {
 
 /**
- * A call waits for its place for this share of its latency objective at most, and of the time that
- * its caller has left; then it is refused while the caller can still come back. What is held longer
- * is mostly answered late or not at all, and keeps others waiting.
+ * A call waits at most for these shares of its latency objective and of the time left to the
+ * caller's deadline. Then it is refused while the caller can still retry. Calls held for longer are
+ * mostly answered late or not at all, and delay others.
  */
 constexpr double objectiveShare = 0.7;
 constexpr double timeLeftShare = 0.35;
-/** For routes that name no objective. */
+/** For routes without an objective. */
 constexpr Duration leastPatience = std::chrono::milliseconds(300);
 
-/** A long prompt whose caller has this much time left may be answered late and still be of use. */
+/** A long prompt whose caller has this much time left is still useful if it is answered late. */
 constexpr Duration muchTimeLeft = std::chrono::seconds(10);
 constexpr double longTimeLeftShare = 0.5;
-/** A prompt is long if it takes an engine this share of the least objective. */
+/** A prompt is long if its prefill takes this share of the smallest objective. */
 constexpr double longPromptShare = 0.25;
 
-/** What was seen of places counts for about this long. */
+/** Time constant of the decay of observations. */
 constexpr double paceSeconds = 2;
-/** With calls waiting for less than this, their pace says little. */
+/** With calls waiting for less time than this, the rate is not meaningful. */
 constexpr double leastBusySeconds = 0.2;
 
 Duration share(Duration duration, double part) noexcept
@@ -43,7 +43,7 @@
     pace.updatedAt = std::max(pace.updatedAt, now);
     pace.found *= kept;
     pace.busySeconds *= kept;
-    // Without calls that wait, places that are not found say nothing of room.
+    // While no calls wait, a lack of placements says nothing about capacity.
     if (!queue.calls.empty())
         pace.busySeconds += (1 - kept) * paceSeconds;
     return pace;
@@ -109,9 +109,9 @@
     return first.id < second.id;
 }
 
-// Symptom without this: each call that waited looked for a place at each news of any engine. All
-// found the same slot and all but one were declined; on the weakest VMs that took most of the
-// processor.
+// Otherwise each waiting call would look for capacity at each update about any engine; all would
+// find the same slot and all but one would be declined. On the weakest VMs that took most of the
+// CPU.
 std::vector<std::uint64_t> callsToWake(const CapacityQueue &queue, int loads, Instant now)
 {
     std::vector<const WaitingCall *> order;
@@ -137,7 +137,7 @@
 
 namespace {
 
-/** When engines begin a load of which `ahead` others come first; `now` if that is not known. */
+/** When a load starts that has `ahead` others before it; `now` if unknown. */
 Instant loadBegins(const ServiceCapacity &room, std::size_t ahead, Duration loadTime, Instant now)
 {
     if (room.unknownLater || room.expectedAt.empty()
@@ -156,8 +156,8 @@
 
 } // namespace
 
-// Who has nobody before it is never refused for the pace: with nobody waiting, nothing would show
-// that there is room again.
+// A call with none before it is never refused because of the rate: with no calls waiting, nothing
+// would show that there is capacity again.
 Duration expectedCapacityWait(const CapacityQueue &queue, const WaitingCall &call,
                               const ServiceCapacity &room, Duration loadTime, Instant now)
 {
--- a/libs/serving/src/LoadDecline.cpp
+++ b/libs/serving/src/LoadDecline.cpp
@@ -8,13 +8,16 @@
 
 namespace {
 
-/** Without a forecast: by then there is news of the engine's slots from after the decline. */
+/**
+ * Without an estimate: by then updates about the engine's slots from after the decline have
+ * arrived.
+ */
 constexpr Duration unknownRetry = std::chrono::milliseconds(250);
 
 /** Asking again sooner costs more than the wait. */
 constexpr Duration leastRetry = std::chrono::milliseconds(20);
 
-/** A holder that goes meanwhile takes its forecast with it; the next one knows nothing of it. */
+/** If the lease holder is lost, its estimate is void and the next holder does not know it. */
 constexpr Duration longestRetry = std::chrono::milliseconds(1000);
 
 constexpr std::array<std::string_view, 6> reasonNames{
@@ -33,7 +36,7 @@
     return reasonNames[static_cast<std::size_t>(reason)];
 }
 
-// An engine whose holder turned out to be another VM is asked as soon as that one is known.
+// No backoff if the lease is held by another VM: that VM is asked as soon as it is known.
 LoadBackoff backoffAfter(const LoadDecline &decline, Instant now) noexcept
 {
     LoadBackoff mark;
@@ -46,8 +49,8 @@
     return mark;
 }
 
-// A queue that is too long for one caller may be short enough for another, whose load begins in its
-// turn. A slot, an answer or a model that is missing is so for all.
+// A queue that is too long for one caller may be short enough for another, whose load starts in its
+// turn. A missing slot, answer or model affects all callers alike.
 bool blocksLoadRequest(const LoadBackoff &mark, Instant now, Duration begin) noexcept
 {
     if (now >= mark.until)
--- a/libs/serving/src/LoadQueue.cpp
+++ b/libs/serving/src/LoadQueue.cpp
@@ -59,9 +59,9 @@
     return ahead;
 }
 
-// An engine has a few places for loads on their way; each load takes the place that is free first.
-// With the forecast, calls that are refused for want of room went from 4.8 to 4.0 in 100 on a day
-// with orders that are not answered (70 VMs, one play each).
+// An engine runs a few loads at once; each queued load starts when the first of them ends. With
+// this estimate, calls refused for lack of capacity fell from 4.8 to 4.0 in 100 on a test day with
+// load commands that were not answered (70 VMs, one run each).
 Instant expectedBegin(const AdapterScheduler &scheduler, int ahead, Duration loadTime,
                       Instant ordersFrom) noexcept
 {
--- a/libs/serving/src/LoadTimeModel.cpp
+++ b/libs/serving/src/LoadTimeModel.cpp
@@ -7,35 +7,43 @@
 
 namespace {
 
-/** Until a first load was seen. A call that comes too early costs one refusal, and teaches. */
+/**
+ * Assumed until the first observation. A call that arrives too early costs one refusal and corrects
+ * the estimate.
+ */
 constexpr Duration firstGuess = std::chrono::milliseconds(200);
 
-/** Engines load an adapter that they held lately ten times as fast, by the platform's word. */
+/** The platform states that engines load an adapter that they held recently ten times as fast. */
 constexpr int hostCopySpeedup = 10;
 
-/** From an order to the engine and from its answer to the call; a hop takes 1 to 4 ms. */
+/**
+ * From the command to the engine and from its answer to the call; a network hop takes 1 to 4 ms.
+ */
 constexpr Duration orderWay = std::chrono::milliseconds(15);
 
-// One load in fifty is let be looked for too early: all calls that wait for it are refused then,
-// and an engine that is believed to have room for one more load refuses that, too. What is expected
-// is so the time in which 49 of 50 loads are done.
+// The two factors balance when one load in fifty is checked too early, so the expected time is one
+// in which 49 of 50 loads are done. An early check has every waiting call refused, and the engine
+// also refuses another load while this VM wrongly assumes that it has capacity for one.
 constexpr double longerBy = 1.05;
 constexpr double shorterBy = 0.001;
 
-/** A load is looked at again after this share of the time waited at the longest. */
+/** The delay until the next check is at most this share of the time waited so far. */
 constexpr double mostLookShare = 0.5;
 
 /**
- * After so many loads in a row on time the store has become faster, or is less crowded than it was,
- * and each further one takes off more; with one in fifty early, every second row is as long.
+ * After this many loads in a row on time, the store is faster or less loaded than it was, and each
+ * further load shortens the estimate by more. With one load in fifty early, every second streak
+ * gets this long.
  */
 constexpr int onTimeLong = 40;
 constexpr double lateShorterBy = 0.05;
 
-/** After an early call, until so many loads in a row were on time, what is expected is in doubt. */
+/**
+ * After an early call the estimate counts as uncertain until this many loads in a row were on time.
+ */
 constexpr int onTimeAgain = 8;
 
-/** Until a first call has come too early, nothing shows how far the first guess is off. */
+/** Until the first call has arrived too early, nothing shows how far the first guess is off. */
 constexpr double firstShorterBy = 0.1;
 
 double shorteningOf(const LoadTimeModel &pace, std::size_t crowd) noexcept
@@ -60,9 +68,9 @@
     return index;
 }
 
-// More loads under way never make one faster, so a class that has not been seen takes the time of
-// the most crowded one below it: the optimistic side. What is believed this way is never the ground
-// of another belief; only what became of a load is.
+// More concurrent loads never make a load faster, so a class without observations takes the time of
+// the largest class below it, which is the optimistic side. Such derived values never feed back
+// into the estimates; only outcomes of loads do.
 Duration fetchTime(const LoadTimeModel &pace, int underWay) noexcept
 {
     const auto last =
@@ -84,16 +92,16 @@
 {
     const std::size_t crowd = concurrencyClassOf(underWay);
     pace.expected[crowd] = std::max(pace.expected[crowd], scaled(waited, longerBy));
-    // What is too early for these is so for more of them, too: without this each class would learn
-    // anew, from below, what the one before it knows.
+    // What is too early with this many concurrent loads is also too early with more. Without this,
+    // each class would learn from scratch what the one below it already knows.
     std::fill(pace.sawEarlyCall.begin() + static_cast<std::ptrdiff_t>(crowd),
               pace.sawEarlyCall.end(), true);
     pace.onTimeStreak = 0;
 }
 
-// A load that is done in time with many others under way would be so with fewer, too. One that was
-// given longer than is expected by now shows nothing: dozens are under way at once, and if each of
-// them shortened it, they would all be looked for too early next time.
+// A load that is done in time with many concurrent loads would also be with fewer. One that was
+// given longer than the current estimate shows nothing: dozens run at once, and if each of them
+// shortened the estimate, all of the next ones would be checked too early.
 void recordLoadOnTime(LoadTimeModel &pace, int underWay, Duration waited) noexcept
 {
     ++pace.onTimeStreak;
@@ -110,7 +118,8 @@
     }
 }
 
-// Seen later than it was done, so nothing is taken off beside what was seen.
+// The report comes later than the end of the load, so the estimate is not shortened below
+// `elapsed`.
 void recordLoadSeenDone(LoadTimeModel &pace, int underWay, Duration elapsed) noexcept
 {
     if (elapsed >= fetchTime(pace, underWay))
@@ -127,8 +136,8 @@
     return pace.onTimeStreak < onTimeAgain;
 }
 
-// Each look is a call that is refused, and draws on the retry budget: where the expectation is far
-// off, as at the start, four of them reach three times the time that was waited at first.
+// Each check is a call that is refused and uses up retry budget. Where the estimate is far off, as
+// after a start, four checks reach three times the first wait.
 Duration recheckDelay(Duration waited, int early) noexcept
 {
     double share = longerBy - 1;
--- a/libs/serving/src/PendingLoads.cpp
+++ b/libs/serving/src/PendingLoads.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** The word that a load is done comes about as late as the one that it had begun. */
+/** The report that a load is done is about as late as the one that it had started. */
 constexpr Duration wordOnItsWay = std::chrono::milliseconds(250);
 
 } // namespace
@@ -23,8 +23,8 @@
     }
 }
 
-// A load that fails, or whose holder goes, is named until there is other news of the engine. Calls
-// wait for it no longer than it was expected to take.
+// A load that fails, or whose lease holder is lost, stays listed until the next update about the
+// engine. Calls wait for it no longer than it was expected to take.
 std::optional<Duration> timeUntilLoaded(const PendingLoads &loads, const std::string &adapter,
                                         Instant now)
 {
--- a/libs/serving/src/PlainTargetChoice.cpp
+++ b/libs/serving/src/PlainTargetChoice.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// A target of the own zone is left for another one when it has this many more own calls for each
-// slot: about where a call begins to wait behind others.
+// A target in the VM's own zone loses to one in another zone when it has this many more of this
+// VM's calls per slot, which is about where calls start to queue.
 constexpr double otherZonePenalty = 0.34;
 
 double costOf(const PlainTargetView &target, const std::string &zone)
--- a/libs/serving/src/PrefillQueue.cpp
+++ b/libs/serving/src/PrefillQueue.cpp
@@ -10,9 +10,10 @@
     return std::max(queue.tokens - tokensPerMs * elapsedMs, 0.0);
 }
 
-// A VM's news of an engine's load are older than it takes to read a long prompt. Without one count
-// that is current, several VMs send theirs to the engine that all of them take for idle, where the
-// last one waits for seconds while other engines with the same adapter have nothing to read.
+// A VM's information about an engine's load is older than the prefill of a long prompt takes.
+// Without one current count, several VMs send their prompts to the same seemingly idle engine,
+// where the last one waits for seconds while other engines with the same adapter have nothing to
+// do.
 PrefillReply reservePrefill(PrefillQueue &queue, const PrefillRequest &request, double tokensPerMs,
                             Instant now) noexcept
 {
--- a/libs/serving/src/PrefillRate.cpp
+++ b/libs/serving/src/PrefillRate.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-/** With fewer tokens the time to the first event is mostly that of a step and of the way there. */
+/** With fewer tokens the time to the first event is mostly one decoding step and network time. */
 constexpr double leastTokens = 2000;
-/** Older samples are of another time of the day, or of engines that are gone. */
+/** Older samples are from another load level, or from engines that no longer exist. */
 constexpr Duration sampleHolds = std::chrono::seconds(30);
 constexpr std::size_t leastSamples = 8;
-/** A wrong observation costs at most this factor. */
+/** Bounds the effect of wrong observations. */
 constexpr double mostFactor = 4;
 
 } // namespace
 
-// The median: calls that found an unknown queue look slower than the pace, and those whose prompt
-// began with a prefix that the engine kept unknown to this VM look faster, more than one in four
-// where prompts share two thirds of their tokens. The fastest quarter would be these.
+// The median is robust against both kinds of outliers: calls that met an unknown queue look slower,
+// and calls whose prefix was cached without this VM's knowledge look faster. The latter are more
+// than one in four where prompts share two thirds of their tokens, so the fastest quarter would
+// consist of them.
 void addPrefillSample(PrefillRate &pace, const PrefillSample &sample, Instant now) noexcept
 {
     const double ms = 1000 * toSeconds(sample.untilFirstEvent);
--- a/libs/serving/src/PrefixIndex.cpp
+++ b/libs/serving/src/PrefixIndex.cpp
@@ -10,16 +10,18 @@
 namespace {
 
 /**
- * Less than this share of a prompt does not show in the time to its first event, which varies with
- * the steps of the running calls.
+ * A smaller share of a prompt is not visible in the time to its first event, which varies with the
+ * steps of the running calls.
  */
 constexpr double leastShareJudged = 0.25;
-/** With more than this share of the kept tokens waiting ahead, the wait may be due to those. */
+/** With more than this share of the cached tokens waiting ahead, these may explain the wait. */
 constexpr double mostShareAhead = 0.25;
-/** What took longer than this many readings of the prompt was held up by something else. */
+/** A wait longer than this many prefills of the prompt has another cause. */
 constexpr double mostReadings = 2;
 
-/** Part of an engine's memory that counts as free for prefixes however much its calls hold. */
+/**
+ * Share of an engine's KV memory that counts as available for prefixes however much its calls hold.
+ */
 constexpr double leastMemoryShare = 0.25;
 
 using Kept = std::unordered_map<std::uint64_t, CachedPrefix>;
@@ -30,7 +32,7 @@
     return of.byHash.erase(at);
 }
 
-// The hash breaks ties, so that the order of the table does not matter.
+// The hash breaks ties, so that the result does not depend on the order of the hash table.
 void dropLeastRecent(EnginePrefixes &of)
 {
     const auto least =
@@ -58,7 +60,7 @@
         trimTo(of, limit);
 }
 
-/** Null if the book has no room for another engine. */
+/** Null if the index is full. */
 EnginePrefixes *engineIn(PrefixIndex &book, std::uint64_t engine)
 {
     const auto found = book.engines.find(engine);
@@ -87,7 +89,7 @@
     of.readAt = now;
 }
 
-/** True if others are to hear of it now; it counts as told then. */
+/** True if other VMs should get it now; it then counts as reported. */
 bool isNews(CachedPrefix &kept, Instant now)
 {
     if (kept.reportedAt != Instant{} && now - kept.reportedAt < prefixReportInterval)
@@ -120,8 +122,8 @@
     return news;
 }
 
-// A doubted prefix is told on all the same: the call that showed it ran at another VM, and the
-// doubt here may be of before it.
+// A prefix under doubt is passed on all the same: the call that showed it ran at another VM, and
+// may have run after the cache miss seen here.
 bool recordReported(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix,
                     Instant now)
 {
@@ -160,7 +162,7 @@
     const auto found = book.engines.find(engine);
     if (found == book.engines.end())
         return 0;
-    // An engine that keeps a prefix keeps the beginning of it, too.
+    // An engine that has a prefix cached also has all shorter prefixes of it.
     for (auto prefix = prefixes.rbegin(); prefix != prefixes.rend(); ++prefix) {
         const auto kept = found->second.byHash.find(prefix->hash);
         if (kept != found->second.byHash.end() && kept->second.tokens > 0)
@@ -169,7 +171,7 @@
     return 0;
 }
 
-// Running calls hold prefixes that they share only once, but each is counted with all its tokens.
+// Running calls hold a shared prefix only once, but each is counted with all its tokens.
 double prefixCacheCapacity(double kvTokens, double heldTokens) noexcept
 {
     if (kvTokens <= 0)
--- a/libs/serving/src/PromptPrefixes.cpp
+++ b/libs/serving/src/PromptPrefixes.cpp
@@ -10,13 +10,13 @@
 
 constexpr std::uint64_t tagBits = 0xffff;
 
-/** A part of more tokens is none that any model reads. */
+/** No model reads a part with more tokens. */
 constexpr int mostPartTokens = 1'000'000;
 
 } // namespace
 
-// The last part of a prompt whose parts are all named is the call's own text. Other calls do not
-// share it, and following it would displace prefixes that they do share.
+// If all parts of a prompt are named, the last one is the call's own text. Other calls do not share
+// it, and tracking it would evict prefixes that they do share.
 std::vector<PromptPrefix> promptPrefixes(std::string_view adapter,
                                          const std::vector<PromptPart> &parts, double promptTokens)
 {
--- a/libs/serving/src/ServiceRetryBudget.cpp
+++ b/libs/serving/src/ServiceRetryBudget.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// A tenth of the share stays unused: a repeat that is granted here is counted by others when it
-// arrives, and VMs that start or stop change the shares of the rest.
+// A tenth of the share stays unused: retries granted here are counted by others when they arrive,
+// and VMs that start or stop change the shares of the others.
 constexpr double usedShare = 0.9;
 
 } // namespace
@@ -32,8 +32,8 @@
     return start + policy.window + policy.window / parts;
 }
 
-// The bound holds for all VMs together. Each takes the ratio of its own calls and an even part of
-// the slack, so that no message is needed and the sum can never pass the bound.
+// The budget holds for all VMs together. Each VM uses the ratio of its own calls and an equal part
+// of the slack, so that no messages are needed and the sum never exceeds the budget.
 bool tryTakeRetry(ServiceRetryBudget &budget, const RetryPolicy &policy,
                   const SlackSharing &sharing, Instant now)
 {
@@ -47,8 +47,8 @@
     return true;
 }
 
-// Left at the moment at which it was taken, it would be forgotten before a window has passed since
-// it was sent, and another one be granted beside it.
+// Counted at the time it was granted, the retry would leave the window less than a window after it
+// was sent, and another one could be granted too early.
 void recordRetrySent(ServiceRetryBudget &budget, const RetryPolicy &policy, Instant takenAt,
                      Instant now)
 {
--- a/libs/serving/src/ServingConfig.cpp
+++ b/libs/serving/src/ServingConfig.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Neither a host nor a path may contain a line break, so the two parts cannot run together.
+// Neither a host nor a path can contain a line break, so the two parts of the key cannot run
+// together.
 constexpr char keySeparator = '\n';
 
 std::string routeKey(std::string_view host, std::string_view prefix)
@@ -54,8 +55,8 @@
     return this->whole;
 }
 
-// Prefixes end with a slash, so only the cuts after a slash have to be tried, longest first. A
-// configuration of hundreds of routes then costs a look-up for each slash of the path.
+// Prefixes end with a slash, so only cuts after a slash have to be tried, longest first. The lookup
+// costs one hash access per slash of the path, also with hundreds of routes.
 const Route *RouteTable::findRoute(std::string_view host, std::string_view path) const
 {
     std::string key = routeKey(host, path.substr(0, path.find('?')));
--- a/libs/serving/src/SoftwareVersions.cpp
+++ b/libs/serving/src/SoftwareVersions.cpp
@@ -39,7 +39,7 @@
     return only;
 }
 
-// What was there before all others has nobody to be new beside.
+// A version that was there before all others does not have to settle.
 bool isSettled(const SoftwareVersions &versions, const std::string &software, Instant now)
 {
     const auto found = versions.seen.find(software);
--- a/libs/serving/src/TargetHealth.cpp
+++ b/libs/serving/src/TargetHealth.cpp
@@ -7,31 +7,37 @@
 
 namespace {
 
-/** Time in which the memory of outcomes fades to a half, s. */
+/** Half-life of outcomes, s. */
 constexpr double halfLife = 3.0;
 
-// Weights of failures. A refusal is an honest answer of a full target and weighs little; a target
-// that cannot be reached is of no use at all. Errors of its own come from healthy targets too (the
-// users' sheets show up to 14 in 100), so only a clear majority of them ejects.
+// Weights of failures. A refusal is a valid answer of a full target and weighs little; an
+// unreachable target is of no use at all. Healthy targets return errors too (up to 14 in 100 in the
+// users' traces), so only a clear majority of errors ejects a target.
 constexpr double refusedWeight = 0.3;
 constexpr double failedWeight = 0.7;
 constexpr double brokenWeight = 1.0;
 constexpr double unreachableWeight = 1.5;
 
-/** Ejected at this much failureScore, if it also outweighs the good answers. */
+/** Score at which a target is ejected, if it also outweighs the good answers. */
 constexpr double ejectBadness = 2.4;
 constexpr double ejectRatio = 1.0;
 
-/** The same for what is told to all VMs: together they make ten times as many calls there, s. */
+/**
+ * Half-life of the outcomes that are reported to all VMs, s; all VMs together make ten times as
+ * many calls to a target.
+ */
 constexpr double lateHalfLife = 0.5;
 
-/** Three calls of different VMs that met no target, say; one VM alone may be cut off itself. */
+/**
+ * For example three calls of different VMs without a connection; one VM alone may itself be
+ * partitioned.
+ */
 constexpr int failingFaults = 35; ///< tenths
 
 constexpr double tenths = 10;
 
 constexpr Duration firstEjection = std::chrono::milliseconds(1000);
-constexpr int longestDoubling = 2; ///< 4 s: faults of the users' list last 2 to 7 s
+constexpr int longestDoubling = 2; ///< 4 s: faults in the users' list last 2 to 7 s
 
 double weightOf(SendOutcome outcome)
 {
@@ -86,7 +92,7 @@
     const int doublings = std::min(health.ejections, longestDoubling);
     health.ejectedUntil = now + firstEjection * (1 << doublings);
     ++health.ejections;
-    // The return is a trial: one more failure of weight soon ejects it again.
+    // A readmitted target is on trial: one more weighted failure soon ejects it again.
     health.failureScore = ejectBadness / 2;
     health.successes = 0;
     return true;
@@ -104,11 +110,11 @@
     use.successes += inTenths(health.recentSuccesses * factor);
 }
 
-// Each of many VMs sends a target a call in seconds only: when it is gone, each would find out for
-// itself, at a connection that is waited for in vain. The calls of all together tell it in some
-// tenths of a second (70 VMs, a quarter of 60 engines down: 330 to 710 calls a second waited for a
-// connection in vain); and with nobody sending there, the memory fades and the target is tried
-// anew.
+// With many VMs, each sends a target only one call in seconds. When a target is gone, each VM would
+// have to find out by itself, at the cost of a connect timeout. The outcomes of all VMs together
+// show it within some tenths of a second (70 VMs with a quarter of 60 engines down: 330 to 710
+// calls a second waited in vain for a connection). When no VM sends to the target any more, the
+// outcomes decay and it is tried again.
 bool isFailing(const TargetUsage &all) noexcept
 {
     return all.failures >= failingFaults && all.failures > all.successes;
--- a/libs/serving/src/TargetLinks.cpp
+++ b/libs/serving/src/TargetLinks.cpp
@@ -9,13 +9,13 @@
 constexpr Duration reachedCounts = std::chrono::milliseconds(500);
 constexpr Duration failureCounts = std::chrono::milliseconds(3000);
 
-/** One target alone may have ended just now, before other VMs tell of it. */
+/** A single target may just have ended, before other VMs report it. */
 constexpr int leastFailed = 2;
 
-/** What is left of the links could not carry the calls of all. */
+/** The remaining links could not carry all calls. */
 constexpr int failedForEachReached = 4;
 
-/** A cut that comes and goes must not have calls change their way with each of its turns. */
+/** With an intermittent partition, calls must not change their path at every change of it. */
 constexpr int goodRoundsToReturn = 2;
 
 } // namespace
--- a/libs/serving/src/TargetTable.cpp
+++ b/libs/serving/src/TargetTable.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Longer than a peer that was in an outage goes on with a target whose entry has expired. */
+/** Longer than a peer that had an outage keeps using a target whose entry has expired. */
 constexpr Duration droppedRemembered = std::chrono::minutes(1);
 
 } // namespace
@@ -18,8 +18,8 @@
     return model + "/" + adapter;
 }
 
-// The times come from the target's own clock and are only compared with one another, never with the
-// clock of a VM, which may jump.
+// The times come from the target's own clock. They are only compared with one another and never
+// with a VM's clock, which may jump.
 StartOrder compareStarts(std::int64_t knownBorn, std::int64_t offeredBorn) noexcept
 {
     const bool bothSay = knownBorn != 0 && offeredBorn != 0;
@@ -38,8 +38,8 @@
     book.lastOwnReadAt = now;
 }
 
-// Only failed reads are an outage. A VM that begins to read in place of another may not have read
-// for long, and must not take that for one: it would wait with removals that are real.
+// Only failed reads count as an outage. A VM that takes over reading from another may not have read
+// for long; taking that for an outage would make it delay real removals.
 void recordListFailure(TargetTable &book, Instant now)
 {
     const bool known = book.lastReadAt != Instant{};
@@ -68,8 +68,8 @@
     const StartOrder age = compareStarts(record.entry.startTime, entry.startTime);
     if (age == StartOrder::Older)
         return;
-    // A target that has said it is leaving never stays after all; an older entry that arrives
-    // late, from a read that lagged, must not bring it back. Only a new start of it stays.
+    // A target that has announced that it is leaving never stays; an outdated entry from a slow
+    // read must not revert that. Only a new start of the target does.
     const bool leaving = entry.leaving || (record.entry.leaving && age == StartOrder::Same);
     const std::int64_t born = std::max(record.entry.startTime, entry.startTime);
     record.entry = std::move(entry);
@@ -81,9 +81,9 @@
 }
 
 // While the list could not be read, targets could not renew their entries either, and these may
-// have expired although the targets are well. Taking all of them as gone would leave a service
-// empty; so a removal that is read right after an outage only counts once the time has passed in
-// which a living target would be listed again.
+// have expired although the targets are healthy. Removing all of them would leave a service without
+// targets. A removal read right after an outage therefore takes effect only after the time within
+// which live targets are listed again.
 void recordRemoved(TargetTable &book, const std::string &id, Instant now)
 {
     const auto found = book.records.find(id);
@@ -120,7 +120,8 @@
 {
     std::vector<std::string> dropped;
     for (const auto &[id, record] : book.records) {
-        // Living targets are back that long after the outage's end, whenever the removal was read.
+        // Live targets are listed again within that time of the outage's end, whenever the removal
+        // was read.
         const bool afterOutage = record.expiredAt - book.outageEndedAt < relistGrace;
         const Instant countsFrom = afterOutage ? book.outageEndedAt : record.expiredAt;
         const bool lapsed = record.expiredAt != Instant{} && now - countsFrom >= relistGrace;
--- a/libs/serving/src/UpdateAge.cpp
+++ b/libs/serving/src/UpdateAge.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-/** Nothing that was known this long ago of an engine's load tells how busy it is. */
+/** Engine load that was known this long ago says nothing about how busy the engine is now. */
 constexpr Duration mostAge = std::chrono::seconds(3);
 
 } // namespace
 
-// The calls of VMs that are not heard are unknown since all were heard last. With the regular age
-// alone a cut-off VM sends all its calls to the engine that looked least busy before the cut.
+// Calls of VMs that are not heard from are unknown since all VMs were last heard. With the regular
+// age alone, a partitioned VM would send all its calls to the engine that looked least loaded
+// before the partition.
 Duration updateAge(const UpdateAgeInputs &facts) noexcept
 {
     const double known = std::max(facts.knownVms, 1);
--- a/libs/serving/src/UsageLedger.cpp
+++ b/libs/serving/src/UsageLedger.cpp
@@ -31,7 +31,7 @@
 
 namespace {
 
-/** A sum over all reporters less what one of them reported. */
+/** The sum over all reporters minus the report of one of them. */
 template <typename Uses>
 Uses sumExcept(const UsageLedger &ledger, const std::string &reporter, Uses UsageLedger::*total,
                Uses ReporterUsage::*reported)
--- a/libs/serving/src/ZoneRelay.cpp
+++ b/libs/serving/src/ZoneRelay.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** A mate that knows something goes before one that is starting. */
+/** Peers that have state rank before peers that are starting. */
 bool teachesBefore(const ZonePeer &left, const ZonePeer &right) noexcept
 {
     if (left.starting != right.starting)
@@ -25,8 +25,8 @@
 
 } // namespace
 
-// Nobody learns from a mate that is starting, so a VM below it that stopped reading would hear of
-// nothing until it asks again.
+// No VM takes updates from a peer that is starting, so if the VM below it stopped reading the
+// store, it would receive nothing until it asks again.
 bool isRelay(const RelayRank &self, bool selfStarting, const std::vector<ZonePeer> &mates) noexcept
 {
     return std::none_of(mates.begin(), mates.end(), [&](const ZonePeer &mate) {
