--- a/libs/serving/tests/AdvertisedLimits.cpp
+++ b/libs/serving/tests/AdvertisedLimits.cpp
@@ -14,7 +14,7 @@
 
 const Instant start = Instant{} + 1000s;
 
-/** The most calls that a target gets in a span if `vms` VMs send whatever they may all the time. */
+/** The most calls that a target gets in one window if `vms` VMs always send all they may. */
 std::size_t mostInSpan(int vms, double perSecond, unsigned seed)
 {
     std::mt19937 random(seed);
@@ -29,7 +29,7 @@
     std::size_t most = 0;
     for (Instant now = start; now < start + 60s; now += 100ms) {
         for (std::size_t vm = 0; vm < limits.size(); ++vm) {
-            // Clocks of VMs are unrelated.
+            // The VMs' clocks are unrelated.
             if (!admitsCall(limits[vm], vms, draw(random), now + offsets[vm]))
                 continue;
             recordSent(limits[vm], now + offsets[vm]);
@@ -44,7 +44,7 @@
 
 } // namespace
 
-// Guards against more calls than a target takes by its own word, from few VMs and from many.
+// Guards against exceeding a target's advertised limit, with few VMs and with many.
 Test(named_limits, all_vms_together_stay_within_the_limit)
 {
     for (const int vms : {1, 2, 6, 7, 70, 300}) {
@@ -59,18 +59,18 @@
     }
 }
 
-// Guards against a target that gets nothing although it takes some calls.
+// Guards against a target that gets no calls although it accepts some.
 Test(named_limits, a_limited_target_is_used)
 {
     for (const int vms : {1, 7, 70})
         cr_assert_geq(mostInSpan(vms, 4, 1), 8, "%d VMs", vms);
 }
 
-// Guards against a VM that takes itself for the only one.
+// Guards against a VM that uses the whole limit because it does not know of other VMs.
 Test(named_limits, a_vm_that_knows_of_no_others_sends_nothing)
 {
     AdvertisedLimit limit;
-    cr_assert(admitsCall(limit, 0, 0.9, start), "no limit is named");
+    cr_assert(admitsCall(limit, 0, 0.9, start), "no limit is advertised");
     updateLimit(limit, 10);
     cr_assert(!admitsCall(limit, 0, 0.9, start));
     cr_assert(admitsCall(limit, 2, 0.9, start));
--- a/libs/serving/tests/CapacityQueues.cpp
+++ b/libs/serving/tests/CapacityQueues.cpp
@@ -47,7 +47,7 @@
     return queue;
 }
 
-/** Rank, deadline and arrival by the rule's own words, as numbers that are compared in order. */
+/** The specified order (rank, deadline, arrival) as numbers that are compared in turn. */
 std::array<std::int64_t, 4> naiveOrder(const WaitingCall &call)
 {
     const Duration patience = call.softDeadline - call.since;
@@ -62,8 +62,8 @@
 
 } // namespace
 
-// Guards against an order that depends on how the calls happen to lie in the queue, and against
-// waking more than there is room for.
+// Guards against an order that depends on the positions in the queue, and against waking more calls
+// than there is capacity for.
 Test(places, as_many_are_woken_as_there_is_room_for_in_order)
 {
     cr_assert(rc::check("woken", [] {
@@ -89,7 +89,7 @@
     }));
 }
 
-// Guards against a queue that grows without bound on a VM that is overloaded.
+// Guards against unbounded growth of the queue on an overloaded VM.
 Test(places, the_queue_is_bounded)
 {
     CapacityQueue queue;
@@ -112,11 +112,11 @@
     facts = {2s, 12s, 240, 500ms};
     cr_assert(waitLimits(facts) == patienceOf(1400ms, 6s), "a long prompt, 12 s");
     facts.promptMs = 20;
-    cr_assert(waitLimits(facts) == patienceOf(1400ms, 1400ms), "a short one");
+    cr_assert(waitLimits(facts) == patienceOf(1400ms, 1400ms), "a short prompt");
 }
 
-// Guards against refusing a call while some engine may have room, and against keeping one that all
-// holders have told to come later than it can wait.
+// Guards against refusing a call while some engine may have capacity, and against keeping one that
+// according to all lease holders gets capacity only after its wait limit.
 Test(places, a_place_is_forecast_only_if_all_engines_named_a_time)
 {
     const CapacityQueue none;
@@ -131,7 +131,7 @@
     CapacityQueue queue;
     for (std::uint64_t id = 2; id < 5; ++id)
         enqueueCall(queue, callOf(id, 0, start - 1ms, 300ms), start);
-    // Loads at 400, 500 and 500 go first.
+    // Loads at 400, 500 and 500 ms go first.
     cr_assert(expectedCapacityWait(queue, call, room, 100ms, start) == Duration(600ms));
     room.loads = 3;
     cr_assert(expectedCapacityWait(queue, call, room, 100ms, start) == Duration(400ms));
@@ -141,7 +141,7 @@
 
 namespace {
 
-/** What became of the calls of one rank. */
+/** Outcomes of the calls of one rank. */
 struct Ends
 {
     int came = 0;
@@ -150,7 +150,7 @@
     int refusedLate = 0;
 };
 
-/** One VM with slots that calls hold for a time; looked at every 10 ms. */
+/** One VM whose slots are held by each call for a fixed time, in steps of 10 ms. */
 struct Play
 {
     CapacityQueue queue;
@@ -209,7 +209,7 @@
         }
     }
 
-    /** Calls of each rank come so often a second on average. */
+    /** Calls of each rank arrive at this mean rate a second. */
     void play(Duration length, std::array<double, 3> perSecond)
     {
         const Instant until = this->now + length;
@@ -227,9 +227,9 @@
 
 } // namespace
 
-// Symptom: on heavy days the most urgent calls were served worst, calls were refused only after
-// 550 to 700 ms, and looked for a place every 40 ms until then. Plays three times the load that the
-// slots can take: 34 calls a second.
+// Guards against the behaviour of a plain retry loop under overload: the most urgent calls were
+// served worst, refused calls were only refused after 550 to 700 ms, and waiting calls polled every
+// 40 ms. Simulates three times the load that the slots can take, which is 34 calls a second.
 Test(places, under_overload_urgent_calls_are_served_and_others_learn_early)
 {
     Play played;
@@ -249,14 +249,14 @@
     };
     const double shareOfAll = static_cast<double>(placed) / came;
     cr_assert_gt(placed, 20 * 34 * 9 / 10, "slots stay in use: %d", placed);
-    cr_assert_gt(share(played.ends[0]), 2 * shareOfAll, "the most urgent go first");
+    cr_assert_gt(share(played.ends[0]), 2 * shareOfAll, "the most urgent calls go first");
     cr_assert_gt(share(played.ends[1]), share(played.ends[2]));
-    cr_assert_gt(share(played.ends[2]), shareOfAll / 4, "no kind is starved");
-    cr_assert_gt(early, late, "%d at once, %d after their patience", early, late);
+    cr_assert_gt(share(played.ends[2]), shareOfAll / 4, "no rank is starved");
+    cr_assert_gt(early, late, "%d at once, %d after their wait limit", early, late);
 }
 
-// Symptom would be a VM that refuses everything for ever. Sequence: an overload shows that few
-// places are found; all calls are refused at once; nobody waits, so nothing shows that it is over.
+// Guards against a VM that refuses all calls for ever: an overload shows a low rate, all calls are
+// refused at once, and with no calls waiting nothing shows that the overload has ended.
 Test(places, after_an_overload_calls_are_placed_again)
 {
     Play played;
--- a/libs/serving/tests/Links.cpp
+++ b/libs/serving/tests/Links.cpp
@@ -26,15 +26,16 @@
     cr_assert_eq(linkState(sight, start), LinkState::Unknown);
     sight.failedAt = start;
     cr_assert_eq(linkState(sight, start + 1s), LinkState::Failed);
-    cr_assert_eq(linkState(sight, start + 4s), LinkState::Unknown, "it is old");
+    cr_assert_eq(linkState(sight, start + 4s), LinkState::Unknown, "the result has expired");
     sight.reachedAt = start + 1s;
     cr_assert_eq(linkState(sight, start + 1s), LinkState::Reached);
-    cr_assert_eq(linkState(sight, start + 2s), LinkState::Unknown, "a cut may have begun since");
+    cr_assert_eq(linkState(sight, start + 2s), LinkState::Unknown,
+                 "the link may have been lost since");
     sight.failedAt = start + 2s;
     cr_assert_eq(linkState(sight, start + 2s), LinkState::Failed);
 }
 
-// Guards against calls that take another way because one target ended, or some of many.
+// Guards against rerouted calls when one target has ended, or a part of many.
 Test(links, targets_that_end_are_not_taken_for_a_cut)
 {
     cr_assert(!linksSeemLost(counts(12, 1, 0)));
@@ -42,7 +43,7 @@
     cr_assert(!linksSeemLost(counts(90, 30, 8)));
     cr_assert(!confirmsLoss({6, 2}));
     cr_assert(!confirmsLoss({3, 1}));
-    cr_assert(!confirmsLoss({0, 0}), "nobody reaches them");
+    cr_assert(!confirmsLoss({0, 0}), "no VM reaches them");
 }
 
 Test(links, a_cut_from_all_or_nearly_all_targets_is_seen)
@@ -58,10 +59,10 @@
     LinkCounts beside = counts(3, 1, 0);
     cr_assert(!linksSeemLost(beside));
     beside.otherServiceLost = true;
-    cr_assert(linksSeemLost(beside), "a service of few calls is judged by its first failure");
+    cr_assert(linksSeemLost(beside), "one failure suffices for a service with few calls");
 }
 
-// Guards against calls that go to and fro with a link that comes and goes.
+// Guards against calls that change their path back and forth with an intermittent link.
 Test(links, links_are_back_after_two_good_rounds)
 {
     ServiceLinks links;
--- a/libs/serving/tests/LoadLooks.cpp
+++ b/libs/serving/tests/LoadLooks.cpp
@@ -11,7 +11,7 @@
 
 const Instant start = Instant{} + 1h;
 
-/** A scheduler of an engine that was ordered to load one adapter at `start`. */
+/** Scheduler of an engine that accepted one load command at `start`. */
 AdapterScheduler loadingScheduler(Duration expected)
 {
     AdapterScheduler scheduler;
@@ -45,7 +45,8 @@
 
 } // namespace
 
-// Guards against calls that wait for a load which is done, as nobody looks before it is expected.
+// Guards against calls that wait for a load that is already done, as nothing checks it before its
+// expected end.
 Test(load_looks, a_load_that_a_report_shows_as_done_is_not_waited_for)
 {
     LoadEstimator estimator = crowdedBeliefs();
@@ -60,7 +61,7 @@
     cr_assert_leq(fetchTime(estimator.times, 150).count(), Duration(500ms).count());
 }
 
-// Guards against a report of before the order, which shows the adapter from its last stay.
+// Guards against a report from before the command, which shows the adapter from an earlier stay.
 Test(load_looks, a_report_of_before_the_order_shows_nothing)
 {
     LoadEstimator estimator = crowdedBeliefs();
@@ -75,7 +76,7 @@
 
 namespace {
 
-/** Expected time of a load, 8 s after a surge that made loads take 1.3 s; they take 288 ms now. */
+/** Expected time of a load 8 s after a surge in which loads took 1.3 s; they take 288 ms now. */
 Duration expectedAfterSurge(bool looking)
 {
     constexpr Duration real = 288ms;
@@ -117,8 +118,8 @@
 
 } // namespace
 
-// Guards against a belief that keeps itself up: after a surge of loads calls waited 1.2 s for loads
-// of 288 ms, and by that wait as many loads were believed to be under way as in the surge.
+// Guards against an estimate that keeps itself up: after a surge, calls waited 1.2 s for loads of
+// 288 ms, and because of that wait as many loads seemed to run as in the surge.
 Test(load_looks, what_a_surge_taught_is_forgotten_when_it_is_over)
 {
     cr_assert_lt(expectedAfterSurge(true).count(), Duration(450ms).count());
--- a/libs/serving/tests/Orders.cpp
+++ b/libs/serving/tests/Orders.cpp
@@ -14,20 +14,22 @@
 constexpr int slotCount = 3;
 const Instant start = Instant{} + 1000s;
 
-/** An engine as the platform describes it: it counts accepted orders and checks the expected count.
+/**
+ * An engine as described by the platform: it counts accepted commands and checks the expected count
+ * of each.
  */
 struct FakeEngine
 {
     std::int64_t sequence = 0;
     std::map<std::string, std::int64_t> held;
 
-    /** True if the order was accepted. */
+    /** True if the command was accepted. */
     bool order(bool load, const std::string &adapter, std::int64_t version, std::int64_t expected)
     {
         if (expected != this->sequence)
             return false;
         if (!load && this->held.count(adapter) == 0)
-            return true; // done already, and not counted
+            return true; // already done, and not counted
         if (load)
             this->held[adapter] = version;
         else
@@ -54,7 +56,10 @@
     return report;
 }
 
-/** One step for `adapter`; a lost order is kept to be carried out later, or never was sent. */
+/**
+ * One step for `adapter`. A command whose answer is lost is executed now, or kept to be executed
+ * later.
+ */
 void step(AdapterScheduler &scheduler, FakeEngine &engine, std::vector<LateOrder> &late,
           const std::string &adapter, Instant now, bool answerLost, bool carriedOutLate)
 {
@@ -98,8 +103,8 @@
 
 } // namespace
 
-// An engine that is ordered to hold more adapters than it has slots for crashes. Orders get no
-// answer and are carried out later, after newer ones; whatever the order of events, the slots hold.
+// An engine that is commanded to hold more adapters than it has slots for crashes. Commands lose
+// their answers and are executed after newer ones; in any order of events the slots are respected.
 Test(orders, lost_and_late_orders_never_overfill_an_engine)
 {
     cr_assert(rc::check("slots", [] {
@@ -125,9 +130,9 @@
     }));
 }
 
-// Symptom: an engine got no order for 40 s. Sequence: an unload of an adapter that was not there is
-// answered "done" without being counted; the scheduler counts one order too many; every report then
-// looks older than what is known. Cause: a report was only taken if it counted enough.
+// Guards against an engine that gets no commands (seen for 40 s). An unload of an adapter that is
+// not there is answered "done" without being counted, so the scheduler's count is one too high and
+// every report looks outdated; reports were only applied if their count was high enough.
 Test(orders, a_count_that_ran_ahead_is_corrected)
 {
     AdapterScheduler scheduler = freshScheduler();
@@ -137,15 +142,16 @@
     invalidateSequence(scheduler);
     FakeEngine engine;
     engine.sequence = 1;
-    cr_assert(!applyEngineReport(scheduler, reportOf(engine), start + 100ms), "it may lag");
+    cr_assert(!applyEngineReport(scheduler, reportOf(engine), start + 100ms),
+              "the report may be outdated");
     cr_assert(applyEngineReport(scheduler, reportOf(engine), start + 700ms),
-              "it cannot lag any more");
+              "the report can no longer be outdated");
     cr_assert_eq(scheduler.sequence, 1);
 }
 
-// Symptom: an engine refused all orders for seconds. Sequence: a new version of an adapter is named
-// while a long answer uses the old one; the engine is told to replace it, and takes no other order
-// until that answer has ended. Answer: a version in use stays until it is idle.
+// Guards against an engine that refuses all commands for seconds: told to replace an adapter
+// version that a long answer still uses, it accepts no other command until that answer ends. A
+// version in use therefore stays until it is idle.
 Test(orders, an_older_version_in_use_is_not_replaced)
 {
     AdapterScheduler scheduler = freshScheduler();
@@ -208,9 +214,9 @@
     cr_assert_eq(adapterCapacity(engine, model), 4);
 }
 
-// Symptom: calls were refused by engines that had been told to load their adapter, again and again.
-// Cause: loads take longer there than expected. Each such refusal makes the expectation longer, and
-// the load is looked at again soon, without a report, whose word is older than the refusal.
+// Guards against calls that are refused again and again because loads take longer than expected.
+// Each such refusal raises the estimate, and the load is checked again soon without a report, as a
+// report would be older than the refusal.
 Test(orders, calls_that_come_too_early_make_loads_expected_later)
 {
     AdapterScheduler scheduler = freshScheduler();
@@ -225,16 +231,15 @@
     cr_assert_lt((scheduler.slots.at("m/a").readyAt - due).count(), (estimate.time / 4).count());
     cr_assert(estimateLoad(scheduler, "m/b", 7, estimator).time > estimate.time);
     cr_assert_geq(scheduler.sequence, 0);
-    // Long after that, a refusal means that the slots are not what they were taken to be.
+    // Long after that, a refusal means that the known state of the slots is wrong.
     completeDueLoads(scheduler, due + 1s);
     recordMissing(scheduler, "m/a", estimator, due + 2s);
     cr_assert_lt(scheduler.sequence, 0);
 }
 
-// Symptom: on crowded engines a tenth of the orders was refused, and each refusal kept the holder
-// from ordering for 60 ms. Sequence: four loads are under way, one of them is taken as done a
-// little too early, a fifth is ordered and refused. Cause: the refusal was taken for a count that
-// differs.
+// Guards against a pause of 60 ms after each refused load command, which hit a tenth of the
+// commands to heavily loaded engines. With four loads running, one of them is assumed done slightly
+// too early, and a fifth is sent and refused; the refusal was taken for a wrong command count.
 Test(orders, a_fifth_load_refused_means_that_one_is_not_done)
 {
     AdapterScheduler scheduler;
@@ -251,22 +256,22 @@
     cr_assert_gt(scheduler.slots.at("m/d").readyAt.time_since_epoch().count(),
                  (start + 206ms).time_since_epoch().count());
     cr_assert_eq(scheduler.sequence, 4);
-    // With less under way, something else is wrong.
+    // With fewer loads running, the refusal has another cause.
     completeDueLoads(scheduler, start + 1s);
     learnFromLoads(scheduler, estimator, start + 2s);
     cr_assert(!recordBusyRefusal(scheduler, estimator, start + 2s));
 }
 
-// Symptom: more adapters were fetched from the weight store than left the engines' memories.
-// Sequence: engines keep more copies, or fewer, than a constant says. Cause: calls were sent to
-// engines that had dropped the copy, and away from those that had it.
+// Guards against needless fetches from the weight store: with a constant for the copies that
+// engines keep in host memory, calls were sent to engines that had dropped the copy and away from
+// those that had it.
 Test(orders, the_copies_that_an_engine_keeps_are_learnt)
 {
     for (const int kept : {20, 108, 400}) {
         AdapterScheduler scheduler;
         scheduler.adapterSlots = 1;
         LoadEstimator estimator;
-        std::list<std::string> memory; // of the engine, newest first
+        std::list<std::string> memory; // host memory of the engine, newest first
         Instant now = start;
         int early = 0;
         for (int load = 0; load < 4000; ++load) {
@@ -306,11 +311,10 @@
     }
 }
 
-// Symptom: every order to an engine was refused for its count, and calls bounced off adapters it
-// had lost. Sequence: an engine that has taken seven orders ends and is started anew under its id,
-// so it counts from nothing; a report of the former start is still under way. Cause: the count and
-// the slots of the former start were kept, and a count that went back was taken for an older
-// report.
+// Guards against commands refused for their count, and calls refused for missing adapters, after an
+// engine restarts under the same id and counts from zero. The count and slots of the former start
+// were kept, and the lower count was taken for an outdated report; a report of the former start may
+// still arrive.
 Test(orders, an_engine_that_was_started_anew_holds_and_counts_nothing)
 {
     AdapterScheduler scheduler;
@@ -333,9 +337,9 @@
     cr_assert_eq(scheduler.sequence, 0);
 }
 
-// Symptom: five calls of five VMs for one adapter were refused within 10 ms, each at the cost of a
-// repeat. Sequence: all wait for one load, which takes longer than expected. Cause: all were let
-// through at the same moment.
+// Guards against calls of several VMs that wait for the same load and are all let through at once:
+// when the load took longer than expected, five calls were refused within 10 ms, each at the cost
+// of a retry.
 Test(orders, one_call_goes_first_while_the_time_of_loads_is_in_doubt)
 {
     AdapterScheduler scheduler = freshScheduler();
@@ -356,8 +360,8 @@
     cr_assert(probeCallDelay(scheduler, "m/a", estimator.times, again + 1ms) == Duration::zero());
 }
 
-// Sequence: two loads are ordered one after the other; the call for the first one is refused. The
-// second was expected by the same belief, and waits as long as is known by now.
+// Two loads are started with the same estimate, and the call for the first one is refused. The
+// expected end of the second must reflect what that refusal showed.
 Test(orders, loads_under_way_wait_by_what_was_learnt_since)
 {
     AdapterScheduler scheduler = freshScheduler();
--- a/libs/serving/tests/Pace.cpp
+++ b/libs/serving/tests/Pace.cpp
@@ -11,7 +11,9 @@
 
 namespace {
 
-/** A weight store: loads take `alone`, and in proportion longer beyond `atOnce` under way. */
+/**
+ * A weight store: loads take `alone`, and proportionally longer with more than `atOnce` at a time.
+ */
 struct Store
 {
     Duration alone;
@@ -23,7 +25,7 @@
     }
 };
 
-/** One load whose calls come when it is expected; returns how many came too early. */
+/** Simulates one load whose calls arrive when it is expected; returns how many were too early. */
 int playLoad(LoadTimeModel &pace, const Store &store, int underWay)
 {
     const Duration real = store.timeFor(underWay);
@@ -45,10 +47,10 @@
 
 } // namespace
 
-// Symptom: every second caller of an adapter that was not there was refused, though the store
-// carried twice as many loads as were under way. Sequence: loads are believed to take longer than
-// they do, so each counts as under way for longer, which lengthens the next ones. Cause: a constant
-// of the loads that a store carries, and a belief that fed itself.
+// Guards against estimates that feed themselves: loads believed to take longer count as running for
+// longer, which lengthens the estimates of the next ones. With that, and with a constant for the
+// loads that a store sustains, every second caller of a missing adapter was refused although the
+// store could carry twice as many loads as were running.
 Test(pace, any_store_is_known_after_some_loads)
 {
     for (const int atOnce : {4, 16, 64, 104}) {
@@ -68,8 +70,8 @@
     }
 }
 
-// A store that becomes slow, and fast again, is followed within about a hundred loads each way:
-// seconds on every deployment that is large enough to be crowded.
+// A store that becomes slow and fast again is tracked within about a hundred loads each way, which
+// is seconds in any deployment large enough to saturate it.
 Test(pace, a_change_of_the_store_is_followed_both_ways)
 {
     LoadTimeModel pace;
@@ -82,7 +84,7 @@
     for (int load = 0; load < 40; ++load)
         early += playLoad(pace, slow, 1 + load % 16);
     cr_assert_gt(offBy(pace, slow, 8), 0.8);
-    cr_assert_lt(early, 100, "the steps are large enough that few calls come in vain");
+    cr_assert_lt(early, 100, "delays between checks are long enough for few early calls");
     for (int load = 0; load < 130; ++load)
         playLoad(pace, fast, 1 + load % 16);
     cr_assert_lt(offBy(pace, fast, 8), 1.4);
@@ -120,9 +122,9 @@
     }));
 }
 
-// Symptom: in the first three seconds of a day 1,200 of 3,000 calls were refused by engines whose
-// load of their adapter was not done. Sequence: every load is looked for too early, at each number
-// of loads under way anew. Cause: what was learnt with few of them did not hold for more.
+// Guards against learning each number of concurrent loads from scratch: in the first three seconds
+// of a test day, 1,200 of 3,000 calls were refused by engines whose load was not done, as
+// observations with few loads did not carry over to more.
 Test(pace, what_is_too_early_for_few_is_so_for_many)
 {
     const Store store{288ms, 104};
@@ -136,8 +138,8 @@
     cr_assert_lt(offBy(pace, store, 100), 1.1);
 }
 
-// Sequence: sixty loads are under way, all ordered when a longer time was expected; each is done in
-// time. They show that this time is enough, not that less is.
+// Sixty loads run at once, all started under a longer estimate, and each is done in time. They show
+// that this time is enough, not that less would be.
 Test(pace, loads_under_way_at_once_teach_one_lesson)
 {
     LoadTimeModel pace;
--- a/libs/serving/tests/PendingLoads.cpp
+++ b/libs/serving/tests/PendingLoads.cpp
@@ -30,8 +30,9 @@
 
 } // namespace
 
-// Symptom would be a call that waits for its whole time for an adapter that never comes. Sequence:
-// an engine is said to load it; the load fails, or the holder goes, and no news follows.
+// Guards against a call that waits until its deadline for an adapter that never comes: an engine is
+// reported to load it, then the load fails or the lease holder is lost, and no further update
+// arrives.
 Test(incoming, an_overdue_load_is_not_waited_for)
 {
     PendingLoads loads;
@@ -39,16 +40,19 @@
     cr_assert(timeUntilLoaded(loads, "m/a", start + 100ms) == Duration(150ms));
     cr_assert(!timeUntilLoaded(loads, "m/b", start));
     updatePendingLoads(loads, {"m/a", "m/b"}, quarterSecond, start + 200ms);
-    cr_assert(timeUntilLoaded(loads, "m/a", start + 200ms) == Duration(50ms), "its time stays");
+    cr_assert(timeUntilLoaded(loads, "m/a", start + 200ms) == Duration(50ms),
+              "a known load keeps its time");
     cr_assert(timeUntilLoaded(loads, "m/a", start + 300ms) == Duration(0ms),
-              "the word may be late");
+              "the report may be late");
     cr_assert(!timeUntilLoaded(loads, "m/a", start + 500ms));
     updatePendingLoads(loads, {}, quarterSecond, start + 500ms);
     updatePendingLoads(loads, {"m/a"}, quarterSecond, start + 600ms);
-    cr_assert(timeUntilLoaded(loads, "m/a", start + 600ms) == Duration(250ms), "a further load");
+    cr_assert(timeUntilLoaded(loads, "m/a", start + 600ms) == Duration(250ms),
+              "a new load of the same adapter");
 }
 
-// Guards against waiting at an engine that has no room or was tried, or longer than the patience.
+// Guards against waiting at an engine that has no capacity or was already tried, and against
+// waiting longer than the limit.
 Test(incoming, the_soonest_load_under_way_within_patience_is_waited_for)
 {
     cr_assert(rc::check("incoming", [] {
--- a/libs/serving/tests/PrefillQueues.cpp
+++ b/libs/serving/tests/PrefillQueues.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr double pace = 40; ///< tokens a ms
+constexpr double pace = 40; ///< tokens per ms
 const Instant start = Instant{} + 1h;
 
 } // namespace
 
-// Guards against calls that join a queue which they were meant to avoid, and tokens lost from it.
+// Guards against calls that join a queue they should avoid, and against lost tokens.
 Test(prefill_queue, a_call_is_counted_only_if_few_enough_tokens_wait)
 {
     PrefillQueue queue;
@@ -31,7 +31,7 @@
     cr_assert_eq(waitingTokens(queue, pace, start + 1s), 0);
 }
 
-// Guards against counts that grow or turn negative by odd values from another VM.
+// Guards against counts that grow or become negative through invalid values from another VM.
 Test(prefill_queue, odd_values_change_nothing)
 {
     PrefillQueue queue;
@@ -43,7 +43,7 @@
     cr_assert_eq(maxTokensAhead({1000, 8000, 100, pace}), 28000);
 }
 
-// Guards against a count that differs from that of an engine which reads prompts in turn.
+// Guards against a count that differs from that of an engine that prefills prompts in turn.
 Test(prefill_queue, it_counts_as_an_engine_that_reads_in_turn)
 {
     cr_assert(rc::check("waiting tokens", [] {
@@ -85,13 +85,13 @@
 };
 
 /**
- * Long prompts for one adapter that six engines hold, sent by many VMs whose news of the load are
- * 300 ms old. With `asking`, each call asks for up to three engines before it is sent.
+ * Long prompts for one adapter that is resident at six engines, sent by many VMs whose view of the
+ * load is 300 ms old. With `asking`, each call tries reservations at up to three engines first.
  */
 Played play(bool asking)
 {
     constexpr int calls = 4000;
-    constexpr double callEveryMs = 62; // three fifths of what the six engines can read
+    constexpr double callEveryMs = 62; // three fifths of the capacity of the six engines
     constexpr double newsEveryMs = 300;
     constexpr double objectiveMs = 1000;
     EngineWeights weights;
@@ -149,14 +149,14 @@
 
 } // namespace
 
-// Guards against calls that queue for seconds at one engine while others that hold the same adapter
-// have nothing to read: many VMs choose by the same old news.
+// Guards against calls that queue for seconds at one engine while others with the same adapter are
+// idle, because many VMs choose by the same outdated view.
 Test(prefill_queue, calls_that_ask_are_on_time_where_news_are_old)
 {
     const Played byNews = play(false);
     const Played byAsking = play(true);
     cr_assert_gt(byAsking.onTime, 0.99, "%f on time", byAsking.onTime);
     cr_assert_gt(byAsking.onTime, byNews.onTime);
-    cr_assert_lt(byAsking.worstMs, byNews.worstMs, "%f ms, by news %f ms (%f on time)",
+    cr_assert_lt(byAsking.worstMs, byNews.worstMs, "%f ms, by updates %f ms (%f on time)",
                  byAsking.worstMs, byNews.worstMs, byNews.onTime);
 }
--- a/libs/serving/tests/Prefills.cpp
+++ b/libs/serving/tests/Prefills.cpp
@@ -10,7 +10,7 @@
 using namespace monsoonbay;
 using namespace std::chrono_literals;
 
-// Guards the pace against samples that tell little of it: short prompts, queues, old samples.
+// Guards against samples that say little about the rate: short prompts, queues, old samples.
 Test(prefills, the_pace_is_the_median_of_recent_samples)
 {
     cr_assert(rc::check("like a sorted list", [] {
@@ -46,7 +46,7 @@
     }));
 }
 
-// More than a quarter of the calls find most of their prompt already read, unknown to this VM.
+// More than a quarter of the calls find most of their prompt cached without this VM's knowledge.
 Test(prefills, prefixes_read_for_other_vms_do_not_count_as_pace)
 {
     std::mt19937 random(3);
--- a/libs/serving/tests/Prefixes.cpp
+++ b/libs/serving/tests/Prefixes.cpp
@@ -15,12 +15,12 @@
 
 const Instant start = Instant{} + 1000s;
 
-/** What is believed, in one table that every question walks through. */
+/** Reference implementation: one table that is scanned for every query. */
 struct NaiveBook
 {
     std::map<std::pair<std::uint64_t, std::uint64_t>, CachedPrefix> rows; ///< by engine and prefix
 
-    /** True if it is news. */
+    /** True if the prefix is to be reported. */
     bool note(std::uint64_t engine, const PromptPrefix &prefix, bool own, Instant now)
     {
         CachedPrefix &kept = this->rows[{engine, prefix.hash}];
@@ -68,7 +68,7 @@
     }
 };
 
-/** Prefixes of the prompts that are drawn: two adapters, three parts each, of different sizes. */
+/** Prefixes of the generated prompts: two adapters, up to three parts of different sizes. */
 std::vector<PromptPrefix> promptOf(int adapter, int parts)
 {
     std::vector<PromptPart> named;
@@ -79,8 +79,8 @@
 
 } // namespace
 
-// Guards against a table whose sums, order of eviction or hold-back times drift from the plain
-// rules in whatever order its calls come.
+// Guards against sums, eviction order or hold times that deviate from the plain rules for some
+// order of calls.
 Test(prefixes, the_book_does_as_a_naive_one)
 {
     cr_assert(rc::check("book", [] {
@@ -138,7 +138,7 @@
     }));
 }
 
-// Guards against memory that grows with the calls or with engines that are named on the wire.
+// Guards against memory that grows with the calls, or with the engines named in messages.
 Test(prefixes, the_book_is_bounded)
 {
     PrefixIndex book;
@@ -153,7 +153,8 @@
         recordReported(book, 1, {++hash, 1000}, start + read * 1ms);
     cr_assert_eq(book.engines.at(1).byHash.size(), maxPrefixesPerEngine);
     cr_assert_eq(cachedPrefixTokens(book, 1, {{hash, 1000}}), 1000);
-    cr_assert_eq(cachedPrefixTokens(book, 1, {{1, 1000}}), 0, "what was read first goes first");
+    cr_assert_eq(cachedPrefixTokens(book, 1, {{1, 1000}}), 0,
+                 "the least recently read prefix is evicted first");
     std::size_t most = 0;
     for (std::uint64_t engine = 2; engine < 600; ++engine) {
         for (int read = 0; read < 300; ++read)
@@ -170,7 +171,7 @@
     cr_assert_eq(book.limit, maxPrefixesPerEngine);
 }
 
-// Guards against estimates for a prompt of another adapter, or one that only ends alike.
+// Guards against estimates based on a prompt of another adapter, or on one that only ends alike.
 Test(prefixes, a_prefix_is_of_an_adapter_and_all_parts_so_far)
 {
     const std::vector<PromptPart> parts{{"a", 2000}, {"b", 4300}, {"own", 2890}};
@@ -190,7 +191,7 @@
     cr_assert_eq(promptPrefixes("m/x", many, 9190).size(), maxPrefixes);
 }
 
-// Guards against a belief that is never given up, and against one that is given up because the
+// Guards against an assumption that is never dropped, and against one that is dropped because the
 // engine was busy with other prompts.
 Test(prefixes, only_a_whole_reading_at_a_calm_engine_shows_that_a_prefix_is_missing)
 {
@@ -198,18 +199,18 @@
         return indicatesCacheMiss({untilFirst, 8000, kept, ahead}, 40);
     };
     cr_assert(missing(210ms, 6000, 0));
-    cr_assert(!missing(60ms, 6000, 0), "it was read from the cache");
-    cr_assert(!missing(210ms, 6000, 4000), "others' prompts may have been read first");
-    cr_assert(!missing(500ms, 6000, 0), "something else held it up");
-    cr_assert(!missing(210ms, 1500, 0), "too small a part to show");
+    cr_assert(!missing(60ms, 6000, 0), "the prefix was read from the cache");
+    cr_assert(!missing(210ms, 6000, 4000), "other prompts may have been prefilled first");
+    cr_assert(!missing(500ms, 6000, 0), "the delay has another cause");
+    cr_assert(!missing(210ms, 1500, 0), "the cached share is too small to be visible");
     cr_assert(!missing(210ms, 0, 0));
     cr_assert_eq(prefixCacheCapacity(200'000, 80'000), 120'000);
     cr_assert_eq(prefixCacheCapacity(200'000, 190'000), 50'000);
-    cr_assert_gt(prefixCacheCapacity(0, 10), 1e12, "an engine that names no memory");
+    cr_assert_gt(prefixCacheCapacity(0, 10), 1e12, "an engine without a stated KV memory");
 }
 
-// Guards against entries that are lost with one message, and against logs and messages that grow
-// with the calls. Messages are lost and time passes as drawn.
+// Guards against entries lost with one message, and against logs and messages that grow with the
+// calls. Message loss and elapsed time are generated.
 Test(prefixes, a_reader_gets_what_is_new_whatever_messages_are_lost)
 {
     cr_assert(rc::check("log", [] {
@@ -245,7 +246,7 @@
             const auto told = prefixesFor(log, reader, now);
             RC_ASSERT(told == wanted);
             if (*rc::gen::arbitrary<bool>())
-                continue; // the answer is lost
+                continue; // the reply is lost
             for (const PrefixRead &read : told)
                 RC_ASSERT(had.insert(read).second);
             reader.seen = log.last;
--- a/libs/serving/tests/Queue.cpp
+++ b/libs/serving/tests/Queue.cpp
@@ -14,7 +14,7 @@
 const Instant start = Instant{} + 1000s;
 constexpr Duration loadTime = 300ms;
 
-/** An engine with so many loads under way, each of which is done a load's time after `start`. */
+/** An engine with that many running loads, each of which is done `loadTime` after `start`. */
 AdapterScheduler busyScheduler(int loads)
 {
     AdapterScheduler scheduler;
@@ -35,12 +35,11 @@
     cr_assert(expectedBegin(busyScheduler(3), 0, loadTime, start) == start);
 }
 
-// Symptom: callers with an objective of 500 ms were refused after 802 ms, when the wait for a load
-// was cut off; a third of all calls on an engine with orders that were not answered. Sequence: an
-// engine takes four loads at a time, and each order that is not answered keeps it for 300 ms more;
-// all who want an adapter there queue up behind it, while other engines have room. Cause: nobody
-// forecast when the load would begin, so a call that could not be served there learnt it only when
-// its time was over.
+// Guards against refusing a call only when its wait for a load is cut off: with an objective of 500
+// ms, calls were refused after 802 ms, which hit a third of all calls at an engine with unanswered
+// load commands. An engine runs four loads at a time, and each unanswered command blocks it for
+// another 300 ms; calls queued up there while other engines had capacity, as nothing estimated when
+// their load would start.
 Test(load_queue, a_load_behind_a_long_queue_is_known_to_begin_late)
 {
     const AdapterScheduler scheduler = busyScheduler(maxLoadsPerEngine);
@@ -48,7 +47,7 @@
     cr_assert(expectedBegin(scheduler, maxLoadsPerEngine - 1, loadTime, start) == start + loadTime);
     cr_assert(expectedBegin(scheduler, maxLoadsPerEngine, loadTime, start) == start + 2 * loadTime);
     cr_assert(expectedBegin(busyScheduler(0), 0, loadTime, start + 310ms) == start + 310ms,
-              "an order that was not answered delays all");
+              "an unanswered command delays all loads");
 }
 
 Test(load_queue, among_equals_who_came_first_goes_first_and_an_adapter_counts_once)
@@ -67,14 +66,14 @@
     cr_assert_eq(loadsAhead(queue, scheduler, "m/b"), 0);
 }
 
-// Symptom: the most urgent calls were served worst. Guards against loads that are ordered as they
-// were asked for, and against a load that no load goes before, or that several take for theirs.
+// Guards against loads sent in order of arrival, with which the most urgent calls were served
+// worst, and against positions that are skipped or taken twice.
 Test(load_queue, loads_are_ordered_by_rank_then_callers_then_arrival)
 {
     cr_assert(rc::check("order of loads", [] {
         LoadQueue queue;
         AdapterScheduler scheduler;
-        std::vector<std::array<int, 4>> naive; // rank, callers taken off, arrival, adapter
+        std::vector<std::array<int, 4>> naive; // rank, minus callers, arrival, adapter
         for (int index = 0; index < 6; ++index) {
             const std::string adapter = "m/" + std::to_string(index);
             const int callers = *rc::gen::inRange(1, 4);
--- a/libs/serving/tests/Relays.cpp
+++ b/libs/serving/tests/Relays.cpp
@@ -57,9 +57,9 @@
     cr_assert(isRelay(self, false, mates));
 }
 
-// Symptom: a VM that was started while the store was away knew nothing, though its mates knew all.
-// Sequence: it is the strongest, so nobody is above it; it reads the store, in vain. Answer: a VM
-// that is starting learns from any that is not.
+// Guards against a VM that is started while the store is unreachable and learns nothing although
+// its zone peers have all state: as the strongest it has no VM above it and only tries the store. A
+// starting VM must take updates from any VM that is not starting.
 Test(relays, a_starting_vm_learns_from_those_below_it)
 {
     RelayRank self;
@@ -69,10 +69,11 @@
     cr_assert(!chooseUpstream(self, false, mates));
     cr_assert_eq(chooseUpstream(self, true, mates), std::optional<std::size_t>(0));
     mates[0].starting = true;
-    cr_assert(!chooseUpstream(self, true, mates), "it knows nothing either");
+    cr_assert(!chooseUpstream(self, true, mates), "that peer has no state either");
 }
 
-// Guards against a VM that neither reads the list nor is told of it: the one above it is starting.
+// Guards against a VM that neither reads the list nor receives it, because the VM above it is
+// starting.
 Test(relays, a_vm_relays_on_until_the_one_above_it_has_started)
 {
     RelayRank self;
@@ -85,7 +86,7 @@
     cr_assert(!isRelay(self, false, mates));
 }
 
-// VMs that see the same mates agree on one relay, and all others report to it.
+// VMs that see the same zone peers agree on one relay, and all others report to it.
 Test(relays, vms_with_the_same_view_agree)
 {
     const bool holds = rc::check("one relay", [] {
@@ -121,9 +122,9 @@
     cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{1, 3}));
 }
 
-// Symptom: when another VM became the relay, engines of the zone got no orders for 3 to 6 s.
-// Sequence: the new relay ranks its mates by what it has seen of them, lets others hold than the
-// former one did, and the store deals all engines anew. Cause: who holds already did not count.
+// Guards against engines without commands for 3 to 6 s after a change of the relay: the new relay
+// ranked its peers by what it had seen of them and chose other lease holders, so that the store
+// reassigned all engines. Current lease holders must be preferred.
 Test(relays, those_that_hold_already_go_on)
 {
     std::vector<ZonePeer> mates{mate(0.5, 1), mate(0.25, 2), mate(0.12, 3), mate(0.12, 4)};
@@ -135,7 +136,7 @@
     cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{3, 0}));
 }
 
-// Guards against engines that nobody orders, as the VMs that may do so do not reach them.
+// Guards against engines that get no commands because their lease holders do not reach them.
 Test(relays, a_mate_that_reaches_no_engines_orders_none_while_others_can)
 {
     std::vector<ZonePeer> mates{mate(0.25, 1), mate(0.25, 2), mate(0.25, 3)};
@@ -146,8 +147,8 @@
     cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{2, 0}));
 }
 
-// The sum must be the same as adding all reports up anew, whatever came, went and was replaced:
-// what is left behind would make an engine look busy for ever.
+// The sum must equal adding up all current reports, whatever reports came, went or were replaced: a
+// remainder would make an engine look busy for ever.
 Test(relays, the_ledger_is_the_sum_of_the_newest_reports)
 {
     const bool holds = rc::check("sum", [] {
@@ -196,8 +197,8 @@
     cr_assert_eq(usagesExcept(ledger, "nobody").at("t").runs, 5);
 }
 
-// Symptom would be calls sent to engines that lost their adapter. Sequence: a holder gives an
-// engine up, another takes it; their words arrive in the other order, also by way of a third VM.
+// Guards against calls sent to engines that have unloaded their adapter: a lease moves to another
+// holder, and the records of both arrive in reverse order, also through a third VM.
 Test(relays, the_later_holders_word_stands_in_any_order)
 {
     EngineRecord former;
@@ -216,8 +217,8 @@
     cr_assert(!mayReplaceRecord(restarted, restarted));
 }
 
-// Symptom would be calls sent to engines that lost their adapters. Sequence: an engine is started
-// anew under its id; words of its former start, of a later lease too, arrive after that.
+// Guards against calls sent to engines that lost their adapters in a restart under the same id,
+// when records of the former start, even of a later lease, arrive afterwards.
 Test(relays, words_of_a_former_start_are_dropped)
 {
     EngineRecord reborn;
@@ -230,8 +231,8 @@
     cr_assert(mayReplaceRecord(former, reborn));
 }
 
-// A reader that asks for what changed since its last answer ends with all values, in whatever
-// steps.
+// A reader that asks for changes since its last reply ends up with all values, however the requests
+// are spaced.
 Test(relays, a_reader_of_changes_misses_nothing)
 {
     const bool holds = rc::check("changes", [] {
--- a/libs/serving/tests/Retries.cpp
+++ b/libs/serving/tests/Retries.cpp
@@ -29,7 +29,7 @@
     return *rc::gen::resize(400, rc::gen::container<std::vector<Happening>>(one));
 }
 
-/** One VM's part of the budget of a service. */
+/** One VM's share of a service's budget. */
 struct Vm
 {
     ServiceRetryBudget budget;
@@ -46,9 +46,9 @@
 
 } // namespace
 
-// The bound over all VMs, looked at in every window that ends with a repeat: repeats are at most
-// the ratio of the calls in that window, or the one before, plus the slack. VMs start anew
-// meanwhile, together or not, and learn only then how many there are.
+// The budget over all VMs, checked in every window that ends with a retry: retries are at most the
+// ratio of the calls in that window, or in the one before, plus the slack. VMs restart meanwhile,
+// together or separately, and learn only afterwards how many there are.
 Test(retries, all_vms_together_stay_within_the_bound)
 {
     cr_assert(rc::check("bound", [] {
@@ -90,14 +90,15 @@
     }));
 }
 
-// Guards against repeats that wait for a place and are counted when they were granted, not sent.
+// Guards against counting a retry that waits for capacity when it was granted instead of when it is
+// sent.
 Test(retries, repeats_that_wait_stay_within_the_bound)
 {
     cr_assert(rc::check("bound", [] {
         RetryPolicy policy;
         policy.slack = *rc::gen::inRange(4, 30);
         ServiceRetryBudget budget;
-        std::multimap<Instant, Instant> waiting; // by when it is sent: when it was granted
+        std::multimap<Instant, Instant> waiting; // by time of sending: time of the grant
         std::deque<Instant> sent;
         Instant now = Instant{} + 100s;
         for (int step = 0; step < 400; ++step) {
@@ -130,7 +131,8 @@
     cr_assert(tryTakeRetry(budget, policy, among(1), now + 11s));
 }
 
-// Guards against the whole slack for each VM that does not know yet how many others there are.
+// Guards against a VM that uses the whole slack while it does not know how many other VMs there
+// are.
 Test(retries, a_vm_that_knows_of_no_others_has_no_part_of_the_slack)
 {
     RetryPolicy policy;
@@ -139,10 +141,11 @@
     cr_assert(!tryTakeRetry(budget, policy, among(0), now));
     for (int call = 0; call < 100; ++call)
         recordCall(budget, policy, now);
-    cr_assert(tryTakeRetry(budget, policy, among(0), now), "its own calls' part is its own");
+    cr_assert(tryTakeRetry(budget, policy, among(0), now),
+              "the ratio of its own calls needs no other VM");
 }
 
-// Guards against a part of the slack for each start of a VM instead of one for each VM.
+// Guards against a share of the slack for each start of a VM instead of one for each VM.
 Test(retries, a_vm_has_its_part_of_the_slack_a_window_after_its_start)
 {
     RetryPolicy policy;
--- a/libs/serving/tests/Routes.cpp
+++ b/libs/serving/tests/Routes.cpp
@@ -16,7 +16,7 @@
     return made;
 }
 
-/** The same by looking at every route. */
+/** Reference implementation that checks every route. */
 const Route *findNaively(const ServingConfig &config, const std::string &host,
                          const std::string &path)
 {
@@ -66,8 +66,8 @@
     }));
 }
 
-// Symptom: a call for a removed route was still answered. Sequence: "/a/b/" is removed, "/a/" stays
-// on another host; a path below "/a/b/" arrives. Cause would be a table that mixes old and new.
+// Guards against a table that mixes old and new routes: "/a/b/" is removed while "/a/" stays on
+// another host, and a path below "/a/b/" arrives.
 Test(routes, a_removed_route_is_not_found)
 {
     ServingConfig config;
--- a/libs/serving/tests/StreamOrigins.cpp
+++ b/libs/serving/tests/StreamOrigins.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-// Guards against a stream that goes on at a version which did not begin it, or after its time.
+// Guards against a stream that is resumed at another software version, or after its deadline.
 Test(stream_origins, what_began_a_stream_is_known_until_its_caller_gives_up)
 {
     StreamOrigins origins;
@@ -39,14 +39,15 @@
     cr_assert(!originOf(origins, id, start));
     recordOrigin(origins, id, {"v1", start + 8s}, start);
     recordOrigin(origins, id, {"v2", start + 20s}, start + 1s);
-    cr_assert_eq(originOf(origins, id, start + 7s).value(), "v1", "what was noted first holds");
+    cr_assert_eq(originOf(origins, id, start + 7s).value(), "v1",
+                 "the first recorded origin is kept");
     cr_assert(!originOf(origins, id, start + 8s));
     forgetOrigins(origins, start + 8s);
     cr_assert(origins.byId.empty());
     cr_assert(origins.order.empty());
 }
 
-// Guards against memory that grows with the streams of a day.
+// Guards against memory that grows with the number of streams.
 Test(stream_origins, their_number_is_bounded_and_the_oldest_go_first)
 {
     StreamOrigins origins;
@@ -57,8 +58,8 @@
     cr_assert(originOf(origins, maxStreamOrigins, start).has_value());
 }
 
-// Guards against VMs that tell some and ask others, as their lists are in another order or one
-// ended.
+// Guards against VMs that store origins at some VMs and ask others, because their lists are ordered
+// differently or one VM has ended.
 Test(stream_origins, vms_agree_on_who_keeps_a_stream)
 {
     cr_assert(rc::check("keepers", [] {
@@ -92,7 +93,7 @@
     }
 }
 
-// Guards against one version taken for the only one while streams of another may come back.
+// Guards against taking one version for the only one while streams of another may be resumed.
 Test(software_versions, one_version_is_the_only_one_once_the_others_streams_are_over)
 {
     SoftwareVersions versions;
@@ -102,18 +103,19 @@
     recordSoftware(versions, "v2", start + 5s);
     cr_assert(!onlySoftware(versions, start + 5s - 8s));
     recordSoftware(versions, "v2", start + 9s);
-    cr_assert_eq(onlySoftware(versions, start + 9s - 8s).value(), "v2", "v1 took none for 9 s");
+    cr_assert_eq(onlySoftware(versions, start + 9s - 8s).value(), "v2",
+                 "v1 could take no work for 9 s");
     forgetSoftware(versions, start + 1s);
     cr_assert_eq(versions.seen.size(), 1);
 }
 
-// Guards against an engine that has just come back, and whose version nobody knows, taken for one
+// Guards against taking an engine that has just restarted, whose version is not known yet, for one
 // of a version without a name.
 Test(software_versions, what_has_no_name_beside_named_versions_is_none)
 {
     SoftwareVersions versions;
     recordSoftware(versions, "", start);
-    cr_assert_eq(onlySoftware(versions, start).value(), "", "no target names one");
+    cr_assert_eq(onlySoftware(versions, start).value(), "", "no target states a version");
     cr_assert(!namesVersions(versions));
     SoftwareVersions named;
     recordSoftware(named, "v1", start);
@@ -123,15 +125,15 @@
     cr_assert(!isSettled(named, "", start + 1h));
 }
 
-// Guards against streams at a version that other VMs have not heard of: these take the old one for
-// the only one.
+// Guards against streams at a version that other VMs do not know of yet, as they would take the old
+// one for the only one.
 Test(software_versions, a_new_version_settles_before_it_begins_streams)
 {
     SoftwareVersions versions;
     cr_assert(isSettled(versions, "v1", start), "nothing is known yet");
     recordSoftware(versions, "v1", start);
-    cr_assert(isSettled(versions, "v1", start), "there is no other");
-    cr_assert(!isSettled(versions, "v2", start + 5s), "it has not been looked at");
+    cr_assert(isSettled(versions, "v1", start), "there is no other version");
+    cr_assert(!isSettled(versions, "v2", start + 5s), "the version has not been recorded");
     recordSoftware(versions, "v2", start + 5s);
     cr_assert(!isSettled(versions, "v2", start + 5s + softwareSettleTime - 1ms));
     cr_assert(isSettled(versions, "v2", start + 5s + softwareSettleTime));
--- a/libs/serving/tests/Targets.cpp
+++ b/libs/serving/tests/Targets.cpp
@@ -22,7 +22,7 @@
     return made;
 }
 
-/** A book that follows a list with these targets at `start`. */
+/** A table that follows a list with these targets at `start`. */
 TargetTable following(const std::vector<std::string> &ids)
 {
     TargetTable book;
@@ -44,8 +44,8 @@
     cr_assert(mayTakeWork(book.records.at("b")));
 }
 
-// Guards against calls to a target that left well after an outage, for as long again as entries may
-// be missing after one.
+// Guards against calls to a target that left well after an outage: its removal must not be delayed
+// for another full grace time.
 Test(targets, a_removal_is_waited_for_until_the_outage_is_over_for_long_enough)
 {
     TargetTable book = following({"left"});
@@ -60,7 +60,7 @@
 Test(targets, a_list_that_nobody_has_read_lately_is_old)
 {
     const TargetTable never;
-    cr_assert(!isListStale(never, start), "there is none yet");
+    cr_assert(!isListStale(never, start), "no list was read yet");
     TargetTable book = following({"a"});
     cr_assert(!isListStale(book, start + 1s));
     cr_assert(isListStale(book, start + 1200ms));
@@ -68,9 +68,9 @@
     cr_assert(!isListStale(book, start + 1200ms));
 }
 
-// Symptom: after an outage of the store a service had no targets for two seconds. Sequence: the
-// store is away for 5 s; the entries expire meanwhile; it returns and the removals are read before
-// the targets could renew their entries. Cause: expiries taken for departures.
+// Guards against a service without targets after an outage of the store (seen for two seconds):
+// entries expire during 5 s without the store, and the removals are read before the targets can
+// renew their entries.
 Test(targets, entries_that_expired_in_an_outage_are_waited_for)
 {
     TargetTable book = following({"back", "dead"});
@@ -89,8 +89,8 @@
     cr_assert_eq(book.records.count("back"), 1);
 }
 
-// Symptom: a target that was leaving got work again. Sequence: "leaving" is read, then an older
-// entry by a read that lags. Cause: the last entry read was believed.
+// Guards against new work for a leaving target: "leaving" is read, then an outdated entry from a
+// slow read.
 Test(targets, leaving_is_never_taken_back)
 {
     TargetTable book = following({"a"});
@@ -113,9 +113,9 @@
     cr_assert_eq(dropGone(book, start + 5s).size(), 1);
 }
 
-// Symptom would be a target that gets work for seconds after it left. Sequence: the VM that reads
-// the list is killed right after a target has gone; another, which was told of the list so far,
-// reads it a while later. Cause: a pause without reads taken for an outage of the store.
+// Guards against work for a target that left seconds ago: the VM that reads the list is killed
+// right after the target has gone, and another one, which received the list until then, reads it a
+// while later. That pause without reads is not an outage of the store.
 Test(targets, a_pause_between_two_readers_is_no_outage)
 {
     TargetTable book = following({"a"});
@@ -125,7 +125,7 @@
     cr_assert_eq(dropGone(book, start + 4s).size(), 1);
 }
 
-// The counterpart: the former reader was failing, and told so.
+// The counterpart: the former reader had failed reads and reported them.
 Test(targets, an_outage_that_a_peer_saw_counts_for_the_next_reader)
 {
     TargetTable book = following({"a"});
@@ -135,10 +135,10 @@
     cr_assert(dropGone(book, start + 4s).empty());
 }
 
-// Symptom: a zone's engines were taken as gone for seconds, though they ran. Sequence: the store is
-// away; its entries expire; a VM of another zone reads the list first when it returns, knows of no
-// outage as it was started meanwhile, and tells that the entries are gone. Cause: its word was
-// taken like a removal that this VM had read itself, outside of an outage.
+// Guards against treating running engines as gone for seconds: entries expire while the store is
+// unreachable; a VM of another zone, started meanwhile and so unaware of the outage, is the first
+// to read the list again and reports them removed. Such a removal must be delayed like one that
+// this VM reads after an outage.
 Test(targets, a_peers_removal_in_an_outage_is_waited_for)
 {
     TargetTable book = following({"a"});
@@ -151,8 +151,8 @@
     cr_assert_eq(dropGone(book, start + 10400ms).size(), 1);
 }
 
-// Symptom: as above. Sequence: the relay of a zone fails to read; a mate that does not read itself
-// tells what it knows. Cause: that mate knew of no failure, and its word ended the outage.
+// As above, but a zone peer that does not read the list itself reports its state while the relay's
+// reads fail. It knows of no failure, and its report must not end the outage.
 Test(targets, the_word_of_one_that_does_not_read_ends_no_outage)
 {
     TargetTable book = following({"a"});
@@ -172,9 +172,8 @@
     cr_assert_eq(book.records.size(), 2);
 }
 
-// Symptom would be a target in good health that gets nothing. Sequence: something else writes below
-// the key of a target's entry; the whole list is read. Cause: an entry that tells nothing is taken
-// for one that was removed.
+// Guards against dropping a healthy target when something else is stored below the key of its
+// entry: an entry that cannot be parsed in a complete list is not a removal.
 Test(targets, an_entry_that_cannot_be_read_removes_nothing)
 {
     TargetTable book = following({"a", "b"});
@@ -185,9 +184,9 @@
     cr_assert_eq(book.records.count("stranger"), 0);
 }
 
-// Symptom: a target that came back got no calls. Sequence: it says it is leaving, ends, and is
-// started anew under its id; then an entry of its former start arrives late. Cause: "leaving" held
-// for the id, not for the start that said it.
+// Guards against a restarted target that gets no calls: it announces that it is leaving, ends and
+// restarts under the same id, then an entry of its former start arrives late. "Leaving" belongs to
+// one start, not to the id.
 Test(targets, a_new_start_under_the_same_id_is_not_leaving)
 {
     TargetTable book = following({});
@@ -225,7 +224,7 @@
     cr_assert(!isEjected(health, start + 1300ms));
 }
 
-// Errors of its own come from a healthy target too; up to 14 in 100 on the users' sheets.
+// Healthy targets return errors too, up to 14 in 100 in the users' traces.
 Test(targets, some_errors_do_not_eject)
 {
     TargetHealth health;
@@ -251,7 +250,7 @@
 
 namespace {
 
-/** What `vms` VMs together tell of a target, each of which has seen these outcomes at `at`. */
+/** Combined usage record of a target over `vms` VMs that each saw these outcomes at `at`. */
 TargetUsage seenByAll(int vms, const std::vector<SendOutcome> &outcomes, Instant at, Instant now)
 {
     TargetUsage all;
@@ -268,18 +267,17 @@
 
 } // namespace
 
-// Symptom: with 70 VMs, 700 calls a second met engines that were gone, each after 250 ms of waiting
-// for a connection, for as long as the list still named them. Sequence: a quarter of 60 engines
-// crash; each VM sends one of them a call in four seconds. Cause: each VM judged targets by its own
-// calls alone, of which it needed two.
+// Guards against each VM judging targets only by its own calls. With 70 VMs and a quarter of 60
+// engines crashed, each VM sends one of these a call in four seconds and needed two failures; 700
+// calls a second waited 250 ms in vain for a connection for as long as the list named the engines.
 Test(targets, what_many_vms_saw_once_each_is_known_to_all)
 {
     const TargetUsage gone = seenByAll(3, {SendOutcome::Unreachable}, start, start + 100ms);
     cr_assert(isFailing(gone));
     const TargetUsage once = seenByAll(1, {SendOutcome::Unreachable}, start, start);
-    cr_assert(!isFailing(once), "one VM may be cut off itself");
+    cr_assert(!isFailing(once), "one VM may itself be partitioned");
     const TargetUsage later = seenByAll(8, {SendOutcome::Unreachable}, start, start + 2s);
-    cr_assert(!isFailing(later), "it is tried anew");
+    cr_assert(!isFailing(later), "the target is tried again");
 }
 
 Test(targets, a_target_with_errors_of_its_own_is_not_failing)
@@ -289,5 +287,5 @@
     cr_assert(!isFailing(seenByAll(70, outcomes, start, start)));
     const std::vector<SendOutcome> half{SendOutcome::Good, SendOutcome::Failed};
     cr_assert(!isFailing(seenByAll(70, half, start, start)),
-              "with less than it does well it is worth more than none");
+              "failures do not outweigh the good answers");
 }
