--- a/libs/access/src/Confirmation.cpp
+++ b/libs/access/src/Confirmation.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /** When versions change quickly, one is confirmed while some of the next are already known. */
-constexpr std::size_t mostVersions = 8;
+constexpr std::size_t maxVersions = 8;
 
 /**
  * Keys are accepted for this share of the bound only. The rest covers a read that reported no
@@ -28,7 +28,7 @@
         return;
     }
     latest.push_back(confirmation);
-    if (latest.size() <= mostVersions)
+    if (latest.size() <= maxVersions)
         return;
     latest.erase(std::min_element(latest.begin(), latest.end()));
 }
--- a/libs/access/src/KeyTable.cpp
+++ b/libs/access/src/KeyTable.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t loggedDigits = 8;
 
-std::uint32_t placeOf(KeyTable &table, const std::string &name)
+std::uint32_t indexOf(KeyTable &table, const std::string &name)
 {
     const auto [found, added] =
         table.indexByName.try_emplace(name, static_cast<std::uint32_t>(table.names.size()));
@@ -23,10 +23,10 @@
 }
 
 const Workspace *findByName(const std::vector<Workspace> &workspaces, const Workspace &like,
-                            std::size_t likelyAt)
+                            std::size_t likelyIndex)
 {
-    if (likelyAt < workspaces.size() && workspaces[likelyAt].name == like.name)
-        return &workspaces[likelyAt];
+    if (likelyIndex < workspaces.size() && workspaces[likelyIndex].name == like.name)
+        return &workspaces[likelyIndex];
     const auto found =
         std::find_if(workspaces.begin(), workspaces.end(),
                      [&like](const Workspace &other) { return other.name == like.name; });
@@ -34,7 +34,7 @@
 }
 
 /** Keys of `workspace` that `other`, which may be null, does not have. */
-std::vector<std::string_view> keysBeside(const Workspace &workspace, const Workspace *other)
+std::vector<std::string_view> keysNotIn(const Workspace &workspace, const Workspace *other)
 {
     std::span<const std::string> keys(workspace.keys);
     std::span<const std::string> others;
@@ -50,12 +50,12 @@
         others = others.first(others.size() - 1);
     }
     const std::set<std::string_view> shared(others.begin(), others.end());
-    std::vector<std::string_view> beside;
+    std::vector<std::string_view> missing;
     for (const std::string &key : keys) {
         if (shared.count(key) == 0)
-            beside.push_back(key);
+            missing.push_back(key);
     }
-    return beside;
+    return missing;
 }
 
 } // namespace
@@ -82,7 +82,7 @@
     KeyChanges changes;
     for (std::size_t index = 0; index < before.size(); ++index) {
         const Workspace &held = before[index];
-        for (const std::string_view key : keysBeside(held, findByName(after, held, index))) {
+        for (const std::string_view key : keysNotIn(held, findByName(after, held, index))) {
             const auto found = table.workspaceByKey.find(digestOfKey(key));
             if (found == table.workspaceByKey.end() || table.names[found->second] != held.name)
                 continue;
@@ -92,10 +92,10 @@
     }
     for (std::size_t index = 0; index < after.size(); ++index) {
         const Workspace &holder = after[index];
-        for (const std::string_view key : keysBeside(holder, findByName(before, holder, index))) {
+        for (const std::string_view key : keysNotIn(holder, findByName(before, holder, index))) {
             if (key.empty())
                 continue;
-            table.workspaceByKey[digestOfKey(key)] = placeOf(table, holder.name);
+            table.workspaceByKey[digestOfKey(key)] = indexOf(table, holder.name);
             ++changes.added;
         }
     }
--- a/libs/access/tests/Access.cpp
+++ b/libs/access/tests/Access.cpp
@@ -28,7 +28,7 @@
 }
 
 /** Workspaces with a few names, among which a few keys are distributed. */
-std::vector<Workspace> drawWorkspaces()
+std::vector<Workspace> generateWorkspaces()
 {
     std::map<std::string, std::vector<std::string>> byName;
     for (int key = 0; key < 12; ++key) {
@@ -56,7 +56,7 @@
 }
 
 // Guards against a key that is still accepted for the workspace from which it was moved.
-Test(access, a_key_that_goes_to_another_workspace_is_the_others)
+Test(access, a_key_moved_to_another_workspace_belongs_to_that_one)
 {
     KeyTable table;
     const std::vector<Workspace> first{workspace("a", {"k1", "k2"}), workspace("b", {})};
@@ -69,23 +69,23 @@
 }
 
 // After any sequence of changes, the table holds exactly what the last configuration says.
-Test(access, changes_end_where_a_new_table_would)
+Test(access, updates_lead_to_the_same_table_as_a_rebuild)
 {
     cr_assert(rc::check("changes", [] {
         KeyTable table;
         std::vector<Workspace> before;
         for (int change = 0; change < 6; ++change) {
-            std::vector<Workspace> after = drawWorkspaces();
+            std::vector<Workspace> after = generateWorkspaces();
             updateKeys(table, before, after);
             before = std::move(after);
         }
-        KeyTable anew;
-        updateKeys(anew, {}, before);
-        RC_ASSERT(table.workspaceByKey.size() == anew.workspaceByKey.size());
+        KeyTable rebuilt;
+        updateKeys(rebuilt, {}, before);
+        RC_ASSERT(table.workspaceByKey.size() == rebuilt.workspaceByKey.size());
         for (int key = 0; key < 12; ++key) {
             const std::string name = "key" + std::to_string(key);
             const std::string *holder = holderOf(table, name);
-            const std::string *expected = holderOf(anew, name);
+            const std::string *expected = holderOf(rebuilt, name);
             const std::string none;
             RC_ASSERT((holder != nullptr ? *holder : none)
                       == (expected != nullptr ? *expected : none));
@@ -93,7 +93,7 @@
     }));
 }
 
-Test(access, a_logged_text_gives_no_key_away)
+Test(access, a_logged_text_does_not_reveal_the_key)
 {
     const std::string text = shortText(digestOfKey("asnmgkcuyj8pjbvk9m68"));
     cr_assert_eq(text.size(), 8);
@@ -140,7 +140,7 @@
     cr_assert_gt(found.states, 3000000, "states: %lu", found.states);
 }
 
-Test(access, the_exploration_finds_each_fault_that_is_put_in)
+Test(access, the_exploration_finds_each_injected_fault)
 {
     for (const AccessFault fault : {AccessFault::CountsFromAnswer, AccessFault::ForgetsOwnWait,
                                     AccessFault::IgnoresVersion, AccessFault::ClockStops})
--- a/libs/access/tests/AccessModel.cpp
+++ b/libs/access/tests/AccessModel.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr Duration tick = std::chrono::milliseconds(1000);
-constexpr std::int64_t takenIn = 2; ///< version that revokes the key
-constexpr std::int64_t givenIn = 3; ///< version that assigns it to another workspace
+constexpr std::int64_t revokedIn = 2; ///< version that revokes the key
+constexpr std::int64_t reassignedIn = 3; ///< version that assigns it to another workspace
 
-struct Told
+struct Report
 {
     std::int64_t version = 0;
     Duration age{};
@@ -29,15 +29,15 @@
 {
     Instant now = Instant{} + std::chrono::seconds(100);
     std::int64_t stored = 1;
-    Instant takenAt{};
+    Instant revokedAt{};
     Vm reader;
     Vm learner;
     Duration suspended{}; ///< time that the learner's clock has not counted
-    bool learnerStands = false;
+    bool learnerSuspended = false;
     std::optional<Instant> readSince;
     std::int64_t readFound = 0; ///< version at the start of the read
     std::optional<Instant> askedSince;
-    Told answered; ///< state at the start of the exchange
+    Report answered; ///< state at the start of the exchange
 };
 
 enum class Step : std::uint8_t {
@@ -87,21 +87,21 @@
         }
     }
 
-    Instant learnersClock(const World &world) const
+    Instant learnerClock(const World &world) const
     {
         const bool stops = this->fault == AccessFault::ClockStops;
         return stops ? world.now - world.suspended : world.now;
     }
 
-    Told wordOf(const World &world) const
+    Report reportOf(const World &world) const
     {
-        Told told;
-        told.version = world.reader.version;
-        const auto confirmed = confirmedAt(world.reader.confirmations, told.version);
-        told.confirmed = confirmed.has_value();
+        Report report;
+        report.version = world.reader.version;
+        const auto confirmed = confirmedAt(world.reader.confirmations, report.version);
+        report.confirmed = confirmed.has_value();
         if (confirmed)
-            told.age = world.now - *confirmed;
-        return told;
+            report.age = world.now - *confirmed;
+        return report;
     }
 
     void endRead(World &world, std::int64_t found) const
@@ -113,20 +113,20 @@
         world.readSince.reset();
     }
 
-    void takeAnswer(World &world, const Told &told) const
+    void takeAnswer(World &world, const Report &report) const
     {
         const Instant asked = *world.askedSince;
         world.askedSince.reset();
-        if (!told.confirmed)
+        if (!report.confirmed)
             return;
         const bool forgets = this->fault == AccessFault::ForgetsOwnWait;
-        Confirmation heard = confirmationFromAnswer(told.version, told.age,
-                                                    forgets ? this->learnersClock(world) : asked);
+        Confirmation heard = confirmationFromAnswer(report.version, report.age,
+                                                    forgets ? this->learnerClock(world) : asked);
         // Only the version is part of an exchange; the document may arrive at any later time.
         if (this->fault == AccessFault::IgnoresVersion)
             heard.version = world.learner.version;
         else
-            world.learner.version = std::max(world.learner.version, told.version);
+            world.learner.version = std::max(world.learner.version, report.version);
         recordConfirmation(world.learner.confirmations, heard);
     }
 
@@ -135,15 +135,15 @@
         switch (step) {
         case Step::Tick:
             world.now += tick;
-            if (world.learnerStands)
+            if (world.learnerSuspended)
                 world.suspended += tick;
             return true;
         case Step::Change:
-            if (world.stored >= givenIn)
+            if (world.stored >= reassignedIn)
                 return false;
             ++world.stored;
-            if (world.stored == takenIn)
-                world.takenAt = world.now;
+            if (world.stored == revokedIn)
+                world.revokedAt = world.now;
             return true;
         case Step::BeginRead:
             if (world.readSince)
@@ -163,17 +163,17 @@
             world.readSince.reset();
             return true;
         case Step::Ask:
-            if (world.askedSince || world.learnerStands)
+            if (world.askedSince || world.learnerSuspended)
                 return false;
-            world.askedSince = this->learnersClock(world);
-            world.answered = this->wordOf(world);
+            world.askedSince = this->learnerClock(world);
+            world.answered = this->reportOf(world);
             return true;
         case Step::AnswerAsOfAsk:
         case Step::AnswerAsOfNow:
-            if (!world.askedSince || world.learnerStands)
+            if (!world.askedSince || world.learnerSuspended)
                 return false;
             this->takeAnswer(world,
-                             step == Step::AnswerAsOfNow ? this->wordOf(world) : world.answered);
+                             step == Step::AnswerAsOfNow ? this->reportOf(world) : world.answered);
             return true;
         case Step::LoseAnswer:
             if (!world.askedSince)
@@ -181,7 +181,7 @@
             world.askedSince.reset();
             return true;
         case Step::SuspendOrWake:
-            world.learnerStands = !world.learnerStands;
+            world.learnerSuspended = !world.learnerSuspended;
             return true;
         case Step::Restart:
             world.learner = Vm();
@@ -195,11 +195,11 @@
 
     void check(const World &world)
     {
-        if (world.stored < takenIn || world.now - world.takenAt <= policy().revokedWithin)
+        if (world.stored < revokedIn || world.now - world.revokedAt <= policy().revokedWithin)
             return;
         const bool learns =
-            !world.learnerStands && this->honours(world.learner, this->learnersClock(world));
-        if (learns || this->honours(world.reader, world.now))
+            !world.learnerSuspended && this->accepts(world.learner, this->learnerClock(world));
+        if (learns || this->accepts(world.reader, world.now))
             this->found.broken = true;
     }
 
@@ -208,10 +208,10 @@
         return {true, 2 * tick};
     }
 
-    /** True if the VM accepts the key revoked in `takenIn` for the workspace that had it before. */
-    bool honours(const Vm &vm, Instant clock) const
+    /** True if the VM accepts the key revoked in `revokedIn` for its former workspace. */
+    bool accepts(const Vm &vm, Instant clock) const
     {
-        const bool holds = vm.version > 0 && vm.version < takenIn;
+        const bool holds = vm.version > 0 && vm.version < revokedIn;
         return holds && mayTrustKeys(policy(), confirmedAt(vm.confirmations, vm.version), clock);
     }
 
