--- a/libs/transfer/include/transfer/DocumentCache.h
+++ b/libs/transfer/include/transfer/DocumentCache.h
@@ -36,18 +36,18 @@
 };
 
 /** Replaces the newest document. */
-void setNewest(DocumentCache &shelf, PackedDocument packed, Instant now);
+void setNewest(DocumentCache &cache, PackedDocument packed, Instant now);
 
 /** Keeps a document for other readers next to the newest one. */
-void addCached(DocumentCache &shelf, PackedDocument packed, Instant now);
+void addCached(DocumentCache &cache, PackedDocument packed, Instant now);
 
 /** True if the document that the reader has a part of is available. */
-bool hasRequested(const DocumentCache &shelf, const PartRequest &wanted);
+bool hasRequested(const DocumentCache &cache, const PartRequest &request);
 
 /**
  * The requested part. If that document is no longer available: the beginning of a delta from the
  * reader's complete document, or else of the newest document.
  */
-DocumentPart readPart(DocumentCache &shelf, const PartRequest &wanted, Instant now);
+DocumentPart readPart(DocumentCache &cache, const PartRequest &request, Instant now);
 
 } // namespace monsoonbay
--- a/libs/transfer/src/DocumentCache.cpp
+++ b/libs/transfer/src/DocumentCache.cpp
@@ -8,60 +8,61 @@
 namespace {
 
 /** An active reader asks again within a few ms; one that has been silent for this long has left. */
-constexpr Duration readerSilence = std::chrono::seconds(2);
+constexpr Duration readerTimeout = std::chrono::seconds(2);
 /** Bounds the memory when versions follow each other faster than they can be read. */
-constexpr std::size_t mostFormers = 8;
+constexpr std::size_t maxCachedDocuments = 8;
 /** Number of versions that a reader may be behind and still receive a delta. */
-constexpr std::size_t mostBases = 4;
+constexpr std::size_t maxBases = 4;
 
-bool isWanted(const PackedDocument &packed, const PartRequest &wanted)
+bool matchesRequest(const PackedDocument &packed, const PartRequest &request)
 {
-    return packed.version == wanted.version && packed.digest == wanted.digest;
+    return packed.version == request.version && packed.digest == request.digest;
 }
 
-void dropUnread(DocumentCache &shelf, Instant now)
+void dropUnread(DocumentCache &cache, Instant now)
 {
-    std::erase_if(shelf.cachedDocuments, [now](const CachedDocument &former) {
-        return now - former.readAt > readerSilence;
+    std::erase_if(cache.cachedDocuments, [now](const CachedDocument &cached) {
+        return now - cached.readAt > readerTimeout;
     });
-    if (shelf.cachedDocuments.size() > mostFormers)
-        shelf.cachedDocuments.resize(mostFormers);
+    if (cache.cachedDocuments.size() > maxCachedDocuments)
+        cache.cachedDocuments.resize(maxCachedDocuments);
 }
 
 /** The document other than the newest that the reader has a part of; null if there is none. */
-CachedDocument *findWanted(DocumentCache &shelf, const PartRequest &wanted)
+CachedDocument *findRequested(DocumentCache &cache, const PartRequest &request)
 {
-    const auto found = std::find_if(
-        shelf.cachedDocuments.begin(), shelf.cachedDocuments.end(),
-        [&wanted](const CachedDocument &former) { return isWanted(former.packed, wanted); });
-    return found == shelf.cachedDocuments.end() ? nullptr : &*found;
+    const auto found = std::find_if(cache.cachedDocuments.begin(), cache.cachedDocuments.end(),
+                                    [&request](const CachedDocument &cached) {
+                                        return matchesRequest(cached.packed, request);
+                                    });
+    return found == cache.cachedDocuments.end() ? nullptr : &*found;
 }
 
 /**
  * Delta from the reader's complete document; null if that is no longer kept. It is computed once
  * for all readers, even if it turns out as long as the complete document.
  */
-CachedDocument *changeFor(DocumentCache &shelf, std::uint64_t baseDigest, Instant now)
+CachedDocument *deltaFor(DocumentCache &cache, std::uint64_t baseDigest, Instant now)
 {
     if (baseDigest == 0)
         return nullptr;
-    for (CachedDocument &former : shelf.cachedDocuments) {
-        if (former.packed.baseDigest == baseDigest && former.packed.version == shelf.newest.version)
-            return &former;
+    for (CachedDocument &cached : cache.cachedDocuments) {
+        if (cached.packed.baseDigest == baseDigest && cached.packed.version == cache.newest.version)
+            return &cached;
     }
     const auto base =
-        std::find_if(shelf.bases.begin(), shelf.bases.end(),
-                     [&](const PackedDocument &former) { return former.digest == baseDigest; });
-    if (base == shelf.bases.end())
+        std::find_if(cache.bases.begin(), cache.bases.end(),
+                     [&](const PackedDocument &cached) { return cached.digest == baseDigest; });
+    if (base == cache.bases.end())
         return nullptr;
-    const std::optional<std::string> newest = unpackDocument(shelf.newest);
+    const std::optional<std::string> newest = unpackDocument(cache.newest);
     if (!newest)
         return nullptr;
-    std::optional<PackedDocument> change = packDelta(*base, shelf.newest.version, *newest);
+    std::optional<PackedDocument> change = packDelta(*base, cache.newest.version, *newest);
     if (!change)
         return nullptr;
-    addCached(shelf, std::move(*change), now);
-    return &shelf.cachedDocuments.front();
+    addCached(cache, std::move(*change), now);
+    return &cache.cachedDocuments.front();
 }
 
 DocumentPart readFrom(CachedDocument &document, std::uint64_t offset, std::size_t maxBytes,
@@ -75,46 +76,47 @@
 
 // Replaced documents are kept for their readers. Otherwise, when configurations change faster than
 // a link transfers one, each reader would start over with every version and never put one in force.
-void setNewest(DocumentCache &shelf, PackedDocument packed, Instant now)
+void setNewest(DocumentCache &cache, PackedDocument packed, Instant now)
 {
-    if (shelf.newestReadAt != Instant{})
-        shelf.cachedDocuments.push_front({shelf.newest, shelf.newestReadAt});
-    if (shelf.newest.version > 0)
-        shelf.bases.push_front(std::move(shelf.newest));
-    if (shelf.bases.size() > mostBases)
-        shelf.bases.resize(mostBases);
-    shelf.newest = std::move(packed);
-    shelf.newestReadAt = Instant{};
-    dropUnread(shelf, now);
+    if (cache.newestReadAt != Instant{})
+        cache.cachedDocuments.push_front({cache.newest, cache.newestReadAt});
+    if (cache.newest.version > 0)
+        cache.bases.push_front(std::move(cache.newest));
+    if (cache.bases.size() > maxBases)
+        cache.bases.resize(maxBases);
+    cache.newest = std::move(packed);
+    cache.newestReadAt = Instant{};
+    dropUnread(cache, now);
 }
 
-void addCached(DocumentCache &shelf, PackedDocument packed, Instant now)
+void addCached(DocumentCache &cache, PackedDocument packed, Instant now)
 {
-    shelf.cachedDocuments.push_front({std::move(packed), now});
-    dropUnread(shelf, now);
+    cache.cachedDocuments.push_front({std::move(packed), now});
+    dropUnread(cache, now);
 }
 
-bool hasRequested(const DocumentCache &shelf, const PartRequest &wanted)
+bool hasRequested(const DocumentCache &cache, const PartRequest &request)
 {
-    return isWanted(shelf.newest, wanted)
-        || std::any_of(
-               shelf.cachedDocuments.begin(), shelf.cachedDocuments.end(),
-               [&wanted](const CachedDocument &former) { return isWanted(former.packed, wanted); });
+    return matchesRequest(cache.newest, request)
+        || std::any_of(cache.cachedDocuments.begin(), cache.cachedDocuments.end(),
+                       [&request](const CachedDocument &cached) {
+                           return matchesRequest(cached.packed, request);
+                       });
 }
 
-DocumentPart readPart(DocumentCache &shelf, const PartRequest &wanted, Instant now)
+DocumentPart readPart(DocumentCache &cache, const PartRequest &request, Instant now)
 {
-    dropUnread(shelf, now);
-    if (CachedDocument *const going = findWanted(shelf, wanted))
-        return readFrom(*going, wanted.offset, wanted.maxBytes, now);
-    if (isWanted(shelf.newest, wanted)) {
-        shelf.newestReadAt = now;
-        return partOf(shelf.newest, wanted.offset, wanted.maxBytes);
+    dropUnread(cache, now);
+    if (CachedDocument *const continued = findRequested(cache, request))
+        return readFrom(*continued, request.offset, request.maxBytes, now);
+    if (matchesRequest(cache.newest, request)) {
+        cache.newestReadAt = now;
+        return partOf(cache.newest, request.offset, request.maxBytes);
     }
-    if (CachedDocument *const change = changeFor(shelf, wanted.baseDigest, now))
-        return readFrom(*change, 0, wanted.maxBytes, now);
-    shelf.newestReadAt = now;
-    return partOf(shelf.newest, 0, wanted.maxBytes);
+    if (CachedDocument *const change = deltaFor(cache, request.baseDigest, now))
+        return readFrom(*change, 0, request.maxBytes, now);
+    cache.newestReadAt = now;
+    return partOf(cache.newest, 0, request.maxBytes);
 }
 
 } // namespace monsoonbay
--- a/libs/transfer/src/DocumentChange.cpp
+++ b/libs/transfer/src/DocumentChange.cpp
@@ -18,15 +18,15 @@
  * moves no later cut. A chunk is about as long as an entry of a document of routes, so a changed
  * entry costs little more than its own length.
  */
-constexpr std::size_t leastChunk = 32;
-constexpr std::size_t mostChunk = 512;
+constexpr std::size_t minChunk = 32;
+constexpr std::size_t maxChunk = 512;
 constexpr std::uint64_t cutMask = (1ULL << 6U) - 1; // one byte in 64 after the minimum
 
 /**
  * A shorter range of the base is not worth its 8 bytes: these do not compress, and the bytes around
  * it compress worse when split.
  */
-constexpr std::size_t leastNewRun = 256;
+constexpr std::size_t minNewRange = 256;
 
 constexpr std::uint64_t hashStep = 0x9E3779B97F4A7C15ULL;
 
@@ -34,26 +34,26 @@
 std::size_t firstChunk(std::string_view bytes)
 {
     std::uint64_t rolling = 0;
-    for (std::size_t index = 0; index < bytes.size() && index < mostChunk; ++index) {
+    for (std::size_t index = 0; index < bytes.size() && index < maxChunk; ++index) {
         // Bytes are shifted out of the sum after 64 steps, so it does not depend on where the chunk
         // started.
         rolling = (rolling << 1U) + (static_cast<unsigned char>(bytes[index]) + 1) * hashStep;
         const bool cut = ((rolling >> 32U) & cutMask) == 0;
-        if (cut && index + 1 >= leastChunk)
+        if (cut && index + 1 >= minChunk)
             return index + 1;
     }
-    return std::min(bytes.size(), mostChunk);
+    return std::min(bytes.size(), maxChunk);
 }
 
 /** Length of the common prefix. */
-std::size_t sharedBytes(std::string_view left, std::string_view right)
+std::size_t commonPrefixLength(std::string_view left, std::string_view right)
 {
     const auto differ = std::mismatch(left.begin(), left.end(), right.begin(), right.end());
     return static_cast<std::size_t>(differ.first - left.begin());
 }
 
 /** A byte range of the base or, if `fromBase` is false, of the new document. */
-struct Run
+struct ByteRange
 {
     bool fromBase = false;
     std::size_t offset = 0;
@@ -70,16 +70,16 @@
         this->addNumber(document.size());
     }
 
-    void add(const Run &run)
+    void add(const ByteRange &range)
     {
-        const bool goesOn = run.fromBase == this->last.fromBase && this->last.length > 0
-            && run.offset == this->last.offset + this->last.length;
-        if (goesOn) {
-            this->last.length += run.length;
+        const bool continues = range.fromBase == this->last.fromBase && this->last.length > 0
+            && range.offset == this->last.offset + this->last.length;
+        if (continues) {
+            this->last.length += range.length;
             return;
         }
         this->flush();
-        this->last = run;
+        this->last = range;
     }
 
     std::string take()
@@ -107,12 +107,12 @@
         this->addNumber(offset << 32U | this->last.length);
         if (!this->last.fromBase)
             this->change += this->document.substr(this->last.offset, this->last.length);
-        this->last = Run();
+        this->last = ByteRange();
     }
 
     std::string_view document;
     std::string change;
-    Run last;
+    ByteRange last;
 };
 
 class ChangeReader
@@ -169,9 +169,10 @@
         // the last range ended extends that range, while any other would start a new one.
         if (next > base.size() || base.substr(next, chunk.size()) != chunk) {
             const auto known = offsets.find(chunk);
-            const bool isWorth = known != offsets.end()
-                && sharedBytes(base.substr(known->second), document.substr(offset)) >= leastNewRun;
-            if (!isWorth) {
+            const bool isWorthwhile = known != offsets.end()
+                && commonPrefixLength(base.substr(known->second), document.substr(offset))
+                    >= minNewRange;
+            if (!isWorthwhile) {
                 writer.add({false, offset, chunk.size()});
                 offset += chunk.size();
                 continue;
@@ -194,11 +195,11 @@
         return std::nullopt;
     std::string document;
     while (!reader.atEnd()) {
-        const std::optional<std::uint64_t> run = reader.number();
-        if (!run)
+        const std::optional<std::uint64_t> range = reader.number();
+        if (!range)
             return std::nullopt;
-        const std::uint64_t offset = *run >> 32U;
-        const std::size_t bytes = *run & std::numeric_limits<std::uint32_t>::max();
+        const std::uint64_t offset = *range >> 32U;
+        const std::size_t bytes = *range & std::numeric_limits<std::uint32_t>::max();
         // A damaged length must not exhaust the VM's memory.
         if (bytes > *length - document.size())
             return std::nullopt;
--- a/libs/transfer/src/DocumentParts.cpp
+++ b/libs/transfer/src/DocumentParts.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool isOf(const PartialDocument &partial, const DocumentPart &part)
+bool isSameDocument(const PartialDocument &partial, const DocumentPart &part)
 {
     return partial.packed.version == part.version && partial.packed.digest == part.digest
         && partial.totalBytes == part.totalBytes;
@@ -41,7 +41,7 @@
         return PartOutcome::Useless;
     if (part.bytes.empty())
         return part.offset < part.totalBytes ? PartOutcome::Later : PartOutcome::Useless;
-    if (!isOf(partial, part)) {
+    if (!isSameDocument(partial, part)) {
         if (part.offset != 0)
             return PartOutcome::Useless;
         partial = PartialDocument();
@@ -52,8 +52,8 @@
         partial.packed.baseDigest = part.baseDigest;
     }
     std::string &bytes = partial.packed.bytes;
-    const bool goesOn = part.offset == bytes.size();
-    if (!goesOn || bytes.size() + part.bytes.size() > partial.totalBytes)
+    const bool continues = part.offset == bytes.size();
+    if (!continues || bytes.size() + part.bytes.size() > partial.totalBytes)
         return PartOutcome::Useless;
     bytes += part.bytes;
     return bytes.size() == partial.totalBytes ? PartOutcome::Whole : PartOutcome::More;
--- a/libs/transfer/src/PackedDocument.cpp
+++ b/libs/transfer/src/PackedDocument.cpp
@@ -18,7 +18,7 @@
 constexpr int compressionLevel = Z_BEST_SPEED;
 
 /** Larger than any configuration. A damaged length must not exhaust the VM's memory. */
-constexpr std::uint64_t longestPlain = 64ULL * 1024 * 1024;
+constexpr std::uint64_t maxPlainBytes = 64ULL * 1024 * 1024;
 
 const Bytef *bytesOf(std::string_view text)
 {
@@ -27,7 +27,7 @@
 
 std::optional<std::string> unpackBytes(const PackedDocument &packed)
 {
-    if (packed.plainBytes > longestPlain || stableHash(packed.bytes) != packed.digest)
+    if (packed.plainBytes > maxPlainBytes || stableHash(packed.bytes) != packed.digest)
         return std::nullopt;
     std::string plain(packed.plainBytes, '\0');
     uLongf length = plain.size();
--- a/libs/transfer/src/PartSizing.cpp
+++ b/libs/transfer/src/PartSizing.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /** Fits into one packet with its headers; a shorter part would not arrive any sooner. */
-constexpr std::size_t shortestPart = 1024;
+constexpr std::size_t minPartBytes = 1024;
 
 } // namespace
 
@@ -20,7 +20,7 @@
 // may take longer than the timeout; a shorter one still arrives.
 void shrinkParts(PartSizing &partSize) noexcept
 {
-    partSize.nextBytes = std::max(partSize.nextBytes / 2, shortestPart);
+    partSize.nextBytes = std::max(partSize.nextBytes / 2, minPartBytes);
 }
 
 } // namespace monsoonbay
--- a/libs/transfer/tests/Changes.cpp
+++ b/libs/transfer/tests/Changes.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-Test(changes, any_document_is_made_of_any_other)
+Test(changes, any_document_is_restored_from_a_delta)
 {
     const bool holds = rc::check([](const std::string &base, const std::string &document) {
         RC_ASSERT(applyDocumentDelta(base, deltaBetween(base, document)) == document);
@@ -34,7 +34,7 @@
 }
 
 // Guards against a wrong configuration built from another base or from damaged bytes.
-Test(changes, a_damaged_change_or_another_base_gives_no_other_document)
+Test(changes, a_damaged_delta_or_another_base_gives_no_other_document)
 {
     const std::string base = documentOf(200, 5000);
     const std::string document = documentOf(260, 5000);
@@ -49,7 +49,7 @@
 }
 
 // Guards against sending a complete configuration over each slow link for every small change.
-Test(changes, a_small_change_of_a_long_document_is_short)
+Test(changes, a_delta_of_a_small_change_is_short)
 {
     const PackedDocument base = packDocument(1, documentOf(5000, 5000));
     const std::string document = documentOf(5020, 5000);
@@ -62,26 +62,26 @@
 }
 
 // Guards against a VM that blocks while it computes the same delta for each of its readers.
-Test(changes, a_change_is_made_once_for_all_readers_however_long_it_is)
+Test(changes, a_delta_is_computed_once_for_all_readers)
 {
-    DocumentCache shelf;
+    DocumentCache cache;
     const PackedDocument base = packDocument(1, documentOf(10, 5000));
-    setNewest(shelf, base, begin);
-    setNewest(shelf, packDocument(2, documentOf(2000, 4000)), begin);
+    setNewest(cache, base, begin);
+    setNewest(cache, packDocument(2, documentOf(2000, 4000)), begin);
     for (int reader = 0; reader < 30; ++reader)
-        cr_assert_eq(readPart(shelf, {0, 0, 0, 1024, base.digest}, begin).baseDigest, base.digest);
-    cr_assert_eq(shelf.cachedDocuments.size(), 1);
+        cr_assert_eq(readPart(cache, {0, 0, 0, 1024, base.digest}, begin).baseDigest, base.digest);
+    cr_assert_eq(cache.cachedDocuments.size(), 1);
 }
 
 // Guards against sending deltas to readers that do not have the base.
-Test(changes, only_a_reader_with_the_base_is_given_changes)
+Test(changes, only_a_reader_with_the_base_receives_deltas)
 {
-    DocumentCache shelf;
+    DocumentCache cache;
     const PackedDocument base = packDocument(1, documentOf(2000, 5000));
-    setNewest(shelf, base, begin);
-    setNewest(shelf, packDocument(2, documentOf(2010, 5000)), begin);
+    setNewest(cache, base, begin);
+    setNewest(cache, packDocument(2, documentOf(2010, 5000)), begin);
     const std::size_t maxBytes = 16384;
-    cr_assert_eq(readPart(shelf, {0, 0, 0, maxBytes, base.digest}, begin).baseDigest, base.digest);
-    cr_assert_eq(readPart(shelf, {0, 0, 0, maxBytes, 0}, begin).baseDigest, 0);
-    cr_assert_eq(readPart(shelf, {0, 0, 0, maxBytes, base.digest + 1}, begin).baseDigest, 0);
+    cr_assert_eq(readPart(cache, {0, 0, 0, maxBytes, base.digest}, begin).baseDigest, base.digest);
+    cr_assert_eq(readPart(cache, {0, 0, 0, maxBytes, 0}, begin).baseDigest, 0);
+    cr_assert_eq(readPart(cache, {0, 0, 0, maxBytes, base.digest + 1}, begin).baseDigest, 0);
 }
--- a/libs/transfer/tests/Parts.cpp
+++ b/libs/transfer/tests/Parts.cpp
@@ -13,7 +13,7 @@
 constexpr Instant begin{std::chrono::seconds(100)};
 
 /** The reader's next request. */
-PartRequest wantedNext(const PartialDocument &partial, std::size_t maxBytes)
+PartRequest nextRequest(const PartialDocument &partial, std::size_t maxBytes)
 {
     return {partial.packed.version, partial.packed.digest, partial.packed.bytes.size(), maxBytes};
 }
@@ -25,16 +25,16 @@
 
 } // namespace
 
-Test(parts, any_document_comes_through_whole)
+Test(parts, any_document_is_received_completely)
 {
     const bool holds = rc::check([](const std::string &plain) {
         const auto maxBytes = *rc::gen::inRange<std::size_t>(1, 64);
-        DocumentCache shelf;
-        setNewest(shelf, packed(7, plain), begin);
+        DocumentCache cache;
+        setNewest(cache, packed(7, plain), begin);
         PartialDocument partial;
         PartOutcome outcome = PartOutcome::More;
         while (outcome == PartOutcome::More)
-            outcome = appendPart(partial, readPart(shelf, wantedNext(partial, maxBytes), begin));
+            outcome = appendPart(partial, readPart(cache, nextRequest(partial, maxBytes), begin));
         RC_ASSERT(outcome == PartOutcome::Whole);
         RC_ASSERT(unpackDocument(partial.packed) == plain);
     });
@@ -43,7 +43,7 @@
 
 // Guards against accepting a document with bytes of two mixed. Parts arrive late, twice, from other
 // documents and from other offsets; only continuing parts may be added.
-Test(parts, parts_of_others_and_parts_out_of_turn_are_dropped)
+Test(parts, parts_of_other_documents_and_parts_out_of_order_are_dropped)
 {
     const bool holds = rc::check([] {
         const std::vector<PackedDocument> documents{
@@ -81,39 +81,39 @@
 
 // Guards against a configuration that is never put in force because the operator changes it faster
 // than a link transfers it, and each reader starts over with each version.
-Test(parts, a_reader_goes_on_while_newer_documents_come)
+Test(parts, a_reader_continues_while_newer_documents_arrive)
 {
-    DocumentCache shelf;
+    DocumentCache cache;
     std::string plain;
     for (int line = 0; line < 400; ++line)
         plain += std::to_string(line * 7919);
-    setNewest(shelf, packed(1, plain), begin);
+    setNewest(cache, packed(1, plain), begin);
     PartialDocument partial;
     Instant now = begin;
     PartOutcome outcome = PartOutcome::More;
     for (std::int64_t version = 2; outcome == PartOutcome::More; ++version) {
-        outcome = appendPart(partial, readPart(shelf, wantedNext(partial, 50), now));
+        outcome = appendPart(partial, readPart(cache, nextRequest(partial, 50), now));
         now += std::chrono::milliseconds(100);
-        setNewest(shelf, packed(version, plain + std::to_string(version)), now);
+        setNewest(cache, packed(version, plain + std::to_string(version)), now);
     }
     cr_assert(outcome == PartOutcome::Whole);
     cr_assert_eq(partial.packed.version, 1);
-    cr_assert_leq(shelf.cachedDocuments.size(), 2, "documents without readers are dropped");
+    cr_assert_leq(cache.cachedDocuments.size(), 2, "documents without readers are dropped");
 }
 
-Test(parts, what_its_reader_has_left_is_forgotten)
+Test(parts, documents_without_readers_are_dropped)
 {
-    DocumentCache shelf;
-    setNewest(shelf, packed(1, "one"), begin);
-    readPart(shelf, {0, 0, 0, 4}, begin);
-    setNewest(shelf, packed(2, "two"), begin);
-    cr_assert_eq(shelf.cachedDocuments.size(), 1);
-    setNewest(shelf, packed(3, "three"), begin + std::chrono::seconds(5));
-    cr_assert(shelf.cachedDocuments.empty());
-    cr_assert_eq(readPart(shelf, {1, 1, 2, 4}, begin + std::chrono::seconds(5)).version, 3);
+    DocumentCache cache;
+    setNewest(cache, packed(1, "one"), begin);
+    readPart(cache, {0, 0, 0, 4}, begin);
+    setNewest(cache, packed(2, "two"), begin);
+    cr_assert_eq(cache.cachedDocuments.size(), 1);
+    setNewest(cache, packed(3, "three"), begin + std::chrono::seconds(5));
+    cr_assert(cache.cachedDocuments.empty());
+    cr_assert_eq(readPart(cache, {1, 1, 2, 4}, begin + std::chrono::seconds(5)).version, 3);
 }
 
-Test(parts, overdue_parts_get_shorter_and_come_back)
+Test(parts, overdue_parts_get_shorter_and_grow_again)
 {
     PartSizing partSize;
     for (int overdue = 0; overdue < 20; ++overdue)
