--- a/libs/serving/include/serving/AdapterScheduler.h
+++ b/libs/serving/include/serving/AdapterScheduler.h
@@ -64,7 +64,7 @@
  * The engine has restarted under the same id: it holds nothing and its command count starts over.
  * Discards everything but the number of slots; the next report brings the new state.
  */
-void resetScheduler(AdapterScheduler &scheduler, std::int64_t born);
+void resetScheduler(AdapterScheduler &scheduler, std::int64_t startTime);
 
 /**
  * Applies a report. Returns false and changes nothing if the report is older than the known state.
@@ -138,7 +138,7 @@
 bool recordBusyRefusal(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now);
 
 /** Extends the expected times of running loads by what was learnt since they were accepted. */
-void extendLoadEstimates(AdapterScheduler &scheduler, const LoadTimeModel &pace);
+void extendLoadEstimates(AdapterScheduler &scheduler, const LoadTimeModel &times);
 
 /**
  * How long a call waits for the outcome of the first call that uses a newly loaded adapter; zero if
@@ -146,13 +146,13 @@
  * the load were not done, each refusal would cost a retry.
  */
 Duration probeCallDelay(AdapterScheduler &scheduler, const std::string &adapter,
-                        const LoadTimeModel &pace, Instant now);
+                        const LoadTimeModel &times, Instant now);
 
 /**
  * True if a load is expected to go on for long after the time that it would take without concurrent
  * loads, so that a report may show that it is already done.
  */
-bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &pace, Instant now);
+bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &times, Instant now);
 
 /**
  * Marks the loads done that a report shows as done, even if the report is too old to be applied as
--- a/libs/serving/include/serving/CapacityQueue.h
+++ b/libs/serving/include/serving/CapacityQueue.h
@@ -30,7 +30,7 @@
     auto operator<=>(const WaitLimitInputs &) const = default;
 };
 
-WaitLimits waitLimits(const WaitLimitInputs &facts) noexcept;
+WaitLimits waitLimits(const WaitLimitInputs &inputs) noexcept;
 
 /** A call waiting for capacity. */
 struct WaitingCall
@@ -104,6 +104,6 @@
  * engines can start loads that take `loadTime` each. Zero: no wait, or nothing is known.
  */
 Duration expectedCapacityWait(const CapacityQueue &queue, const WaitingCall &call,
-                              const ServiceCapacity &room, Duration loadTime, Instant now);
+                              const ServiceCapacity &capacity, Duration loadTime, Instant now);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/LoadDecline.h
+++ b/libs/serving/include/serving/LoadDecline.h
@@ -48,6 +48,6 @@
 /**
  * True if a call whose load has to start within `begin` must not request it from the engine now.
  */
-bool blocksLoadRequest(const LoadBackoff &mark, Instant now, Duration begin) noexcept;
+bool blocksLoadRequest(const LoadBackoff &backoff, Instant now, Duration begin) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/LoadTimeModel.h
+++ b/libs/serving/include/serving/LoadTimeModel.h
@@ -30,28 +30,28 @@
 };
 
 /** Class of a number of concurrent loads, including the load in question. */
-std::size_t concurrencyClassOf(int underWay) noexcept;
+std::size_t concurrencyClassOf(int concurrentLoads) noexcept;
 
 /** Expected time to load an adapter from the weight store. */
-Duration fetchTime(const LoadTimeModel &pace, int underWay) noexcept;
+Duration fetchTime(const LoadTimeModel &times, int concurrentLoads) noexcept;
 
 /** Expected time to load an adapter that the engine still has in host memory. */
-Duration hostCopyTime(const LoadTimeModel &pace) noexcept;
+Duration hostCopyTime(const LoadTimeModel &times) noexcept;
 
 /** A call was refused `waited` after its load was accepted, as the load was not done yet. */
-void recordEarlyCall(LoadTimeModel &pace, int underWay, Duration waited) noexcept;
+void recordEarlyCall(LoadTimeModel &times, int concurrentLoads, Duration waited) noexcept;
 
 /** A load was done by `waited` after it was accepted. */
-void recordLoadOnTime(LoadTimeModel &pace, int underWay, Duration waited) noexcept;
+void recordLoadOnTime(LoadTimeModel &times, int concurrentLoads, Duration waited) noexcept;
 
 /**
- * A report showed that a load with `underWay` concurrent loads was done at most `elapsed` after it
- * was accepted.
+ * A report showed that a load with `concurrentLoads` concurrent loads was done at most `elapsed`
+ * after it was accepted.
  */
-void recordLoadSeenDone(LoadTimeModel &pace, int underWay, Duration elapsed) noexcept;
+void recordLoadSeenDone(LoadTimeModel &times, int concurrentLoads, Duration elapsed) noexcept;
 
 /** True if calls recently arrived too early, or there are no observations yet. */
-bool isUncertain(const LoadTimeModel &pace) noexcept;
+bool isUncertain(const LoadTimeModel &times) noexcept;
 
 /**
  * Delay until the next check of a load that was not done after `waited`, found so for the `early`th
--- a/libs/serving/include/serving/PendingLoads.h
+++ b/libs/serving/include/serving/PendingLoads.h
@@ -36,11 +36,11 @@
 
 /**
  * The engine at which the adapter is being loaded and the call would start first; nothing if none
- * has capacity or the wait exceeds `patienceMs`.
+ * has capacity or the wait exceeds `waitLimitMs`.
  */
 std::optional<std::size_t> chooseLoadingEngine(const std::vector<EngineView> &engines,
                                                const EngineNeed &need,
                                                const std::vector<std::string> &tried,
-                                               const EngineWeights &weights, double patienceMs);
+                                               const EngineWeights &weights, double waitLimitMs);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PrefillQueue.h
+++ b/libs/serving/include/serving/PrefillQueue.h
@@ -56,6 +56,6 @@
  * Largest number of tokens before the call with which its first event is still in time; 0: it is
  * late already.
  */
-double maxTokensAhead(const PrefillBudget &bound) noexcept;
+double maxTokensAhead(const PrefillBudget &budget) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PrefillRate.h
+++ b/libs/serving/include/serving/PrefillRate.h
@@ -36,9 +36,9 @@
 };
 
 /** Adds an observation; short prompts and calls that had to queue are ignored. */
-void addPrefillSample(PrefillRate &pace, const PrefillSample &sample, Instant now) noexcept;
+void addPrefillSample(PrefillRate &rate, const PrefillSample &sample, Instant now) noexcept;
 
 /** Tokens per ms; `fallback` without enough samples, and always within a fixed factor of it. */
-double prefillRate(const PrefillRate &pace, double fallback) noexcept;
+double prefillRate(const PrefillRate &rate, double fallback) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/PrefixIndex.h
+++ b/libs/serving/include/serving/PrefixIndex.h
@@ -64,22 +64,22 @@
  * The first event of one of this VM's calls has arrived, so the engine has read its prompt. Returns
  * the prefixes to report to other VMs.
  */
-std::vector<PromptPrefix> recordRead(PrefixIndex &book, std::uint64_t engine,
+std::vector<PromptPrefix> recordRead(PrefixIndex &index, std::uint64_t engine,
                                      const std::vector<PromptPrefix> &prefixes, Instant now);
 
 /** Another VM reports that the engine has read a prefix. True if it is to be passed on. */
-bool recordReported(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix,
+bool recordReported(PrefixIndex &index, std::uint64_t engine, const PromptPrefix &prefix,
                     Instant now);
 
 /** These prefixes were assumed to be cached at the engine and were not. */
-void recordMissing(PrefixIndex &book, std::uint64_t engine,
+void recordMissing(PrefixIndex &index, std::uint64_t engine,
                    const std::vector<PromptPrefix> &prefixes, Instant now);
 
 /**
  * Tokens at the beginning of a prompt with these prefixes that the engine is assumed to have
  * cached.
  */
-double cachedPrefixTokens(const PrefixIndex &book, std::uint64_t engine,
+double cachedPrefixTokens(const PrefixIndex &index, std::uint64_t engine,
                           const std::vector<PromptPrefix> &prefixes);
 
 /**
@@ -89,16 +89,16 @@
 double prefixCacheCapacity(double kvTokens, double heldTokens) noexcept;
 
 /** Evicts the least recently read prefixes until those that remain fit into `tokens`. */
-void evictToFit(PrefixIndex &book, std::uint64_t engine, double tokens);
+void evictToFit(PrefixIndex &index, std::uint64_t engine, double tokens);
 
 /** The engine has unloaded or replaced the adapter with this prefixTag(). */
-void forgetAdapter(PrefixIndex &book, std::uint64_t engine, std::uint64_t tag);
+void forgetAdapter(PrefixIndex &index, std::uint64_t engine, std::uint64_t tag);
 
 /** The engine has restarted. */
-void forgetEngine(PrefixIndex &book, std::uint64_t engine);
+void forgetEngine(PrefixIndex &index, std::uint64_t engine);
 
 /** Removes engines without a prefix read for unusedEngineExpiry. */
-void forgetUnused(PrefixIndex &book, Instant now);
+void forgetUnused(PrefixIndex &index, Instant now);
 
 /** Time to the first event of a call, and what it was expected to depend on. */
 struct FirstEventTiming
--- a/libs/serving/include/serving/PromptPrefixes.h
+++ b/libs/serving/include/serving/PromptPrefixes.h
@@ -34,6 +34,6 @@
 std::uint64_t prefixTagOf(std::string_view adapter) noexcept;
 
 /** Identifies one start of an engine, as its cache is empty after a restart. */
-std::uint64_t engineKey(std::string_view target, std::int64_t born) noexcept;
+std::uint64_t engineKey(std::string_view target, std::int64_t startTime) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/ServingConfig.h
+++ b/libs/serving/include/serving/ServingConfig.h
@@ -73,13 +73,13 @@
     /** Smallest and largest objective among the routes to a service. */
     struct Objectives
     {
-        Duration least{};
-        Duration most{};
+        Duration smallest{};
+        Duration largest{};
     };
 
     ServingConfig whole;
     std::unordered_map<std::string, Objectives> objectivesByService;
-    std::unordered_map<std::string, Duration> longestStreams; ///< by service
+    std::unordered_map<std::string, Duration> maxResumableTimeouts; ///< by service
     std::unordered_map<std::string, std::size_t> routeByHostAndPrefix;
     std::unordered_map<std::string, std::size_t> serviceByName;
     std::unordered_map<std::string, std::size_t> workspaceByName;
--- a/libs/serving/include/serving/TargetEntry.h
+++ b/libs/serving/include/serving/TargetEntry.h
@@ -48,7 +48,7 @@
  * Compares the starts of a target that two pieces of information belong to; see
  * TargetEntry::startTime.
  */
-StartOrder compareStarts(std::int64_t knownBorn, std::int64_t offeredBorn) noexcept;
+StartOrder compareStarts(std::int64_t knownStart, std::int64_t offeredStart) noexcept;
 
 /** Key of an adapter of a model: "model/adapter". */
 std::string adapterKey(const std::string &model, const std::string &adapter);
--- a/libs/serving/include/serving/TargetHealth.h
+++ b/libs/serving/include/serving/TargetHealth.h
@@ -37,7 +37,7 @@
 bool isEjected(const TargetHealth &health, Instant now) noexcept;
 
 /** Adds this VM's recent outcomes at a target to its usage record, which other VMs receive. */
-void addHealth(TargetUsage &use, const TargetHealth &health, Instant now);
+void addHealth(TargetUsage &usage, const TargetHealth &health, Instant now);
 
 /** True if calls fail at the target, by the recent outcomes of all VMs together. */
 bool isFailing(const TargetUsage &all) noexcept;
--- a/libs/serving/include/serving/TargetLinks.h
+++ b/libs/serving/include/serving/TargetLinks.h
@@ -22,7 +22,7 @@
 };
 
 /** State of this VM's link to a target by the newest result. */
-LinkState linkState(const LinkObservation &sight, Instant now) noexcept;
+LinkState linkState(const LinkObservation &observation, Instant now) noexcept;
 
 /** States of this VM's links to the targets of one service. */
 struct LinkCounts
--- a/libs/serving/include/serving/TargetTable.h
+++ b/libs/serving/include/serving/TargetTable.h
@@ -48,38 +48,38 @@
 constexpr Duration maxListAge = std::chrono::milliseconds(1100);
 
 /** This VM has read the list at `now`. Call before applying the changes from that read. */
-void recordListRead(TargetTable &book, Instant now);
+void recordListRead(TargetTable &table, Instant now);
 
 /** A read of the list by this VM failed. */
-void recordListFailure(TargetTable &book, Instant now);
+void recordListFailure(TargetTable &table, Instant now);
 
 /**
  * Another VM read the list at `readAt`, and its reads have failed for the last `failing`. Its
  * knowledge of an outage is kept in case this VM is the next one to read.
  */
-void recordPeerListRead(TargetTable &book, Instant readAt, Duration failing, Instant now);
+void recordPeerListRead(TargetTable &table, Instant readAt, Duration failing, Instant now);
 
 /**
  * True if the list is so old that a target may have left unnoticed, because the VM that reads it
  * for others is slow or its updates are late.
  */
-bool isListStale(const TargetTable &book, Instant now) noexcept;
+bool isListStale(const TargetTable &table, Instant now) noexcept;
 
-void recordListed(TargetTable &book, TargetEntry entry);
-void recordRemoved(TargetTable &book, const std::string &id, Instant now);
+void recordListed(TargetTable &table, TargetEntry entry);
+void recordRemoved(TargetTable &table, const std::string &id, Instant now);
 
 /**
  * Applies a complete list: targets missing in it were removed. `unreadable` are the ids of entries
  * that could not be parsed; what is known of those targets is kept.
  */
-void recordFullList(TargetTable &book, std::vector<TargetEntry> entries,
+void recordFullList(TargetTable &table, std::vector<TargetEntry> entries,
                     const std::vector<std::string> &unreadable, Instant now);
 
 /** Removes targets that are gone for good and returns their ids. */
-std::vector<std::string> dropGone(TargetTable &book, Instant now);
+std::vector<std::string> dropGone(TargetTable &table, Instant now);
 
 /** True if the target was removed within the last minute and has not been listed since. */
-bool wasDropped(const TargetTable &book, const std::string &id);
+bool wasDropped(const TargetTable &table, const std::string &id);
 
 /** True if new work may be sent to this target. */
 bool mayTakeWork(const TargetRecord &record) noexcept;
--- a/libs/serving/include/serving/TargetUsage.h
+++ b/libs/serving/include/serving/TargetUsage.h
@@ -26,14 +26,14 @@
 using TargetUsages = KeyedSums<TargetUsage>; ///< by target id
 
 /** True if nothing runs there and no recent outcome is recorded. */
-bool isUnused(const TargetUsage &use) noexcept;
+bool isUnused(const TargetUsage &usage) noexcept;
 
 /** Adds `use` to `sum`. */
-void addUsage(TargetUsage &sum, const TargetUsage &use);
+void addUsage(TargetUsage &sum, const TargetUsage &usage);
 
 /**
  * Subtracts `use`, which was added before, from `sum`. Tokens are whole numbers, so this is exact.
  */
-void subtractUsage(TargetUsage &sum, const TargetUsage &use);
+void subtractUsage(TargetUsage &sum, const TargetUsage &usage);
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/UpdateAge.h
+++ b/libs/serving/include/serving/UpdateAge.h
@@ -17,6 +17,6 @@
 };
 
 /** Age of this VM's view of the engines' load, as a mean weighted by the share of VMs heard. */
-Duration updateAge(const UpdateAgeInputs &facts) noexcept;
+Duration updateAge(const UpdateAgeInputs &inputs) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/ZoneRelay.h
+++ b/libs/serving/include/serving/ZoneRelay.h
@@ -44,20 +44,21 @@
  * True if this VM is to read the store for its zone. A VM that has state continues until the one
  * ranked above it has finished starting.
  */
-bool isRelay(const RelayRank &self, bool selfStarting, const std::vector<ZonePeer> &mates) noexcept;
+bool isRelay(const RelayRank &self, bool selfStarting, const std::vector<ZonePeer> &peers) noexcept;
 
 /**
  * The zone peer to report to and receive updates from; nothing if none ranks above this VM. A VM
  * that is starting uses any peer that is not, so that it can serve while the store is unreachable.
  */
 std::optional<std::size_t> chooseUpstream(const RelayRank &self, bool selfStarting,
-                                          const std::vector<ZonePeer> &mates) noexcept;
+                                          const std::vector<ZonePeer> &peers) noexcept;
 
 /**
  * The zone peers that the relay lets hold leases on engines in addition to itself: the `most`
  * best-ranked ones, with current lease holders first and VMs that reach no engines last. Each VM
  * that joins causes engines to be reassigned, and a reassigned engine gets no commands for seconds.
  */
-std::vector<std::size_t> chooseLeaseHolders(const std::vector<ZonePeer> &mates, std::size_t most);
+std::vector<std::size_t> chooseLeaseHolders(const std::vector<ZonePeer> &peers,
+                                            std::size_t maxHolders);
 
 } // namespace monsoonbay
--- a/libs/serving/src/AdapterScheduler.cpp
+++ b/libs/serving/src/AdapterScheduler.cpp
@@ -13,61 +13,62 @@
  * A slot that was in use this recently may have a call on its way: VMs report their usage to the
  * lease holder within about 10 ms.
  */
-constexpr Duration settleAfterUse = std::chrono::milliseconds(60);
+constexpr Duration usageReportDelay = std::chrono::milliseconds(60);
 
 bool isInUse(const AdapterSlot &slot, Instant now)
 {
     return slot.loading || slot.unloadDeferred || slot.runs > 0
-        || now - slot.lastUsedAt < settleAfterUse;
+        || now - slot.lastUsedAt < usageReportDelay;
 }
 
 /**
  * A load that is expected to be done within this time is not checked, as reports lag by as much.
  */
-constexpr Duration lookBefore = std::chrono::milliseconds(150);
+constexpr Duration minRemainingForCheck = std::chrono::milliseconds(150);
 
 /** A call that is refused this soon after its load was due arrived too early. */
-constexpr Duration freshlyLoaded = std::chrono::milliseconds(150);
+constexpr Duration earlyCallWindow = std::chrono::milliseconds(150);
 
 /** From telling a call that its adapter is resident to hearing that the engine refused the call. */
-constexpr Duration trialTime = std::chrono::milliseconds(30);
+constexpr Duration probeTimeout = std::chrono::milliseconds(30);
 
 /** With more refused calls for one load, the cause is not its estimated time. */
-constexpr int mostEarlyCalls = 8;
+constexpr int maxEarlyCalls = 8;
 
 /**
  * Slots found by a new lease holder may be in use by calls that were not reported to it yet; VMs
  * learn of the new holder within this time.
  */
-constexpr Duration newHolderTold = std::chrono::milliseconds(600);
+constexpr Duration newHolderDelay = std::chrono::milliseconds(600);
 
 /**
  * From telling a call that its adapter is resident until its VM's usage report includes the call.
  */
-constexpr Duration callOnItsWay = std::chrono::milliseconds(100);
+constexpr Duration pendingCallTime = std::chrono::milliseconds(100);
 
 /**
  * Delay until the next check of a load that a report shows as still running after its expected end.
  */
-constexpr Duration loadLook = std::chrono::milliseconds(120);
+constexpr Duration overdueRecheckDelay = std::chrono::milliseconds(120);
 
 /** The platform states that reports are "some hundred ms" old. */
-constexpr Duration longestReportLag = std::chrono::milliseconds(500);
+constexpr Duration maxReportLag = std::chrono::milliseconds(500);
 
 /** The least recently used idle slot; empty if all are in use. */
-std::string idlestSlot(const AdapterScheduler &scheduler, const std::string &except, Instant now)
+std::string leastRecentlyUsed(const AdapterScheduler &scheduler, const std::string &except,
+                              Instant now)
 {
-    std::string idlest;
+    std::string candidate;
     Instant oldest{};
     for (const auto &[adapter, slot] : scheduler.slots) {
         if (isInUse(slot, now) || adapter == except)
             continue;
-        if (!idlest.empty() && slot.lastUsedAt >= oldest)
+        if (!candidate.empty() && slot.lastUsedAt >= oldest)
             continue;
-        idlest = adapter;
+        candidate = adapter;
         oldest = slot.lastUsedAt;
     }
-    return idlest;
+    return candidate;
 }
 
 int loadsUnderWay(const AdapterScheduler &scheduler)
@@ -78,12 +79,12 @@
 
 } // namespace
 
-void resetScheduler(AdapterScheduler &scheduler, std::int64_t born)
+void resetScheduler(AdapterScheduler &scheduler, std::int64_t startTime)
 {
     const int adapterSlots = scheduler.adapterSlots;
     scheduler = AdapterScheduler();
     scheduler.adapterSlots = adapterSlots;
-    scheduler.startTime = born;
+    scheduler.startTime = startTime;
 }
 
 // Reports lag by some hundred ms. One from before the last accepted command would show the slot of
@@ -98,7 +99,7 @@
     if (age == StartOrder::Newer)
         resetScheduler(scheduler, report.startTime);
     scheduler.startTime = std::max(scheduler.startTime, report.startTime);
-    const bool mayLag = now - scheduler.acceptedAt < longestReportLag;
+    const bool mayLag = now - scheduler.acceptedAt < maxReportLag;
     if (report.sequence < scheduler.minSequence && mayLag)
         return false;
     std::unordered_map<std::string, AdapterSlot> slots;
@@ -108,7 +109,7 @@
         if (known != scheduler.slots.end())
             slot = known->second;
         else
-            slot.lastUsedAt = now + newHolderTold;
+            slot.lastUsedAt = now + newHolderDelay;
         slot.version = version;
         slot.loading = false;
         slots[adapter] = slot;
@@ -122,7 +123,7 @@
             slot = known->second;
         slot.version = version;
         slot.loading = true;
-        slot.readyAt = std::max(slot.readyAt, now + loadLook);
+        slot.readyAt = std::max(slot.readyAt, now + overdueRecheckDelay);
         slots[adapter] = slot;
     }
     scheduler.slots = std::move(slots);
@@ -157,7 +158,7 @@
     // freed, and known to be free, before the load command is sent.
     if (static_cast<int>(scheduler.slots.size()) < scheduler.adapterSlots)
         return {SchedulerStep::Load, {}};
-    std::string victim = idlestSlot(scheduler, adapter, now);
+    std::string victim = leastRecentlyUsed(scheduler, adapter, now);
     if (victim.empty())
         return {SchedulerStep::NoSlot, {}};
     return {SchedulerStep::Unload, std::move(victim)};
@@ -206,7 +207,7 @@
 {
     const auto slot = scheduler.slots.find(adapter);
     if (slot != scheduler.slots.end())
-        slot->second.lastUsedAt = std::max(slot->second.lastUsedAt, now + callOnItsWay);
+        slot->second.lastUsedAt = std::max(slot->second.lastUsedAt, now + pendingCallTime);
 }
 
 void advanceSequence(AdapterScheduler &scheduler, Instant now)
@@ -247,7 +248,7 @@
     for (const auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading || slot.unloadDeferred || slot.runs > 0)
             continue;
-        const Instant idleAt = std::max(now, slot.lastUsedAt + settleAfterUse);
+        const Instant idleAt = std::max(now, slot.lastUsedAt + usageReportDelay);
         if (first == Instant{} || idleAt < first)
             first = idleAt;
     }
@@ -281,7 +282,7 @@
     if (found == scheduler.slots.end() || found->second.loading)
         return;
     AdapterSlot &slot = found->second;
-    const bool early = now - slot.readyAt < freshlyLoaded && slot.earlyCalls < mostEarlyCalls;
+    const bool early = now - slot.readyAt < earlyCallWindow && slot.earlyCalls < maxEarlyCalls;
     if (!early) {
         invalidateSequence(scheduler);
         return;
@@ -289,8 +290,8 @@
     const Duration waited = now - slot.requestedAt;
     ++slot.earlyCalls;
     slot.readyAt = now + recheckDelay(waited, slot.earlyCalls);
-    const bool mayBeCopy = !slot.fetched && slot.earlyCalls == 1;
-    if (mayBeCopy) {
+    const bool mayBeLatency = !slot.fetched && slot.earlyCalls == 1;
+    if (mayBeLatency) {
         // This command may just have taken slightly longer on its way than others.
     } else if (slot.fetched) {
         recordEarlyCall(estimator.times, slot.concurrentLoads, waited);
@@ -309,50 +310,51 @@
 // report, and send no command for 60 ms or more, on the most heavily loaded engines.
 bool recordBusyRefusal(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now)
 {
-    int underWay = loadsUnderWay(scheduler);
+    int runningLoads = loadsUnderWay(scheduler);
     const std::string *newest = nullptr;
     Instant newestAt{};
     for (const auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading || slot.evaluated)
             continue;
-        ++underWay;
+        ++runningLoads;
         if (newest != nullptr && slot.requestedAt <= newestAt)
             continue;
         newest = &adapter;
         newestAt = slot.requestedAt;
     }
-    if (newest == nullptr || underWay < maxLoadsPerEngine)
+    if (newest == nullptr || runningLoads < maxLoadsPerEngine)
         return false;
     recordMissing(scheduler, std::string(*newest), estimator, now);
     return scheduler.sequence >= 0;
 }
 
-void extendLoadEstimates(AdapterScheduler &scheduler, const LoadTimeModel &pace)
+void extendLoadEstimates(AdapterScheduler &scheduler, const LoadTimeModel &times)
 {
     for (auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading && slot.fetched && slot.earlyCalls == 0)
             slot.readyAt =
-                std::max(slot.readyAt, slot.requestedAt + fetchTime(pace, slot.concurrentLoads));
+                std::max(slot.readyAt, slot.requestedAt + fetchTime(times, slot.concurrentLoads));
     }
 }
 
 Duration probeCallDelay(AdapterScheduler &scheduler, const std::string &adapter,
-                        const LoadTimeModel &pace, Instant now)
+                        const LoadTimeModel &times, Instant now)
 {
     const auto found = scheduler.slots.find(adapter);
-    if (found == scheduler.slots.end() || found->second.evaluated || !isUncertain(pace))
+    if (found == scheduler.slots.end() || found->second.evaluated || !isUncertain(times))
         return Duration::zero();
     AdapterSlot &slot = found->second;
     const bool first = slot.probedAt < slot.readyAt;
     if (first)
         slot.probedAt = now;
-    return first ? Duration::zero() : std::max(slot.probedAt + trialTime - now, Duration::zero());
+    return first ? Duration::zero()
+                 : std::max(slot.probedAt + probeTimeout - now, Duration::zero());
 }
 
 void learnFromLoads(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now)
 {
     for (auto &[adapter, slot] : scheduler.slots) {
-        if (slot.evaluated || slot.loading || now - slot.readyAt < freshlyLoaded)
+        if (slot.evaluated || slot.loading || now - slot.readyAt < earlyCallWindow)
             continue;
         slot.evaluated = true;
         if (slot.fetched)
@@ -366,13 +368,13 @@
 // Calls wait until a load is expected to be done, so an estimate that is too long would never be
 // corrected: loads would seem to run for longer, the store would seem more loaded, and the next
 // loads would be expected to take as long. Checking the engine in between breaks this cycle.
-bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &pace, Instant now)
+bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &times, Instant now)
 {
-    const Duration alone = fetchTime(pace, 1);
+    const Duration alone = fetchTime(times, 1);
     return std::any_of(scheduler.slots.begin(), scheduler.slots.end(), [&](const auto &entry) {
         const AdapterSlot &slot = entry.second;
         return slot.loading && slot.fetched && now - slot.requestedAt >= alone
-            && slot.readyAt - now >= lookBefore;
+            && slot.readyAt - now >= minRemainingForCheck;
     });
 }
 
--- a/libs/serving/src/AdvertisedLimit.cpp
+++ b/libs/serving/src/AdvertisedLimit.cpp
@@ -15,14 +15,14 @@
 constexpr double usedShare = 0.45;
 
 /** Without an occasional call no VM would learn that the limit has been lifted. */
-constexpr double leastPerSecond = 0.2;
+constexpr double minPerSecond = 0.2;
 
 } // namespace
 
 bool updateLimit(AdvertisedLimit &limit, std::optional<double> perSecond) noexcept
 {
     const double before = limit.perSecond;
-    limit.perSecond = perSecond ? std::max(*perSecond, leastPerSecond) : 0;
+    limit.perSecond = perSecond ? std::max(*perSecond, minPerSecond) : 0;
     return limit.perSecond != before;
 }
 
@@ -35,8 +35,9 @@
     advance(limit.sent, AdvertisedLimit::span, now);
     const std::int64_t current = now.time_since_epoch() / AdvertisedLimit::span;
     if (limit.drawnWindow != current) {
-        const double even = usedShare * limit.perSecond * toSeconds(AdvertisedLimit::span) / vms;
-        limit.share = static_cast<std::uint32_t>(std::floor(even + draw));
+        const double equalShare =
+            usedShare * limit.perSecond * toSeconds(AdvertisedLimit::span) / vms;
+        limit.share = static_cast<std::uint32_t>(std::floor(equalShare + draw));
         limit.drawnWindow = current;
     }
     return sumOf(limit.sent) < limit.share;
--- a/libs/serving/src/CapacityQueue.cpp
+++ b/libs/serving/src/CapacityQueue.cpp
@@ -17,81 +17,81 @@
 constexpr double objectiveShare = 0.7;
 constexpr double timeLeftShare = 0.35;
 /** For routes without an objective. */
-constexpr Duration leastPatience = std::chrono::milliseconds(300);
+constexpr Duration minWaitLimit = std::chrono::milliseconds(300);
 
 /** A long prompt whose caller has this much time left is still useful if it is answered late. */
-constexpr Duration muchTimeLeft = std::chrono::seconds(10);
+constexpr Duration minLongTimeLeft = std::chrono::seconds(10);
 constexpr double longTimeLeftShare = 0.5;
 /** A prompt is long if its prefill takes this share of the smallest objective. */
 constexpr double longPromptShare = 0.25;
 
 /** Time constant of the decay of observations. */
-constexpr double paceSeconds = 2;
+constexpr double decaySeconds = 2;
 /** With calls waiting for less time than this, the rate is not meaningful. */
-constexpr double leastBusySeconds = 0.2;
+constexpr double minBusySeconds = 0.2;
 
 Duration share(Duration duration, double part) noexcept
 {
     return fromSeconds(toSeconds(duration) * part);
 }
 
-CapacityRate paceNow(const CapacityQueue &queue, Instant now)
+CapacityRate rateAt(const CapacityQueue &queue, Instant now)
 {
-    CapacityRate pace = queue.rate;
+    CapacityRate rate = queue.rate;
     const double kept =
-        std::exp(-toSeconds(std::max(now - pace.updatedAt, Duration::zero())) / paceSeconds);
-    pace.updatedAt = std::max(pace.updatedAt, now);
-    pace.found *= kept;
-    pace.busySeconds *= kept;
+        std::exp(-toSeconds(std::max(now - rate.updatedAt, Duration::zero())) / decaySeconds);
+    rate.updatedAt = std::max(rate.updatedAt, now);
+    rate.found *= kept;
+    rate.busySeconds *= kept;
     // While no calls wait, a lack of placements says nothing about capacity.
     if (!queue.calls.empty())
-        pace.busySeconds += (1 - kept) * paceSeconds;
-    return pace;
+        rate.busySeconds += (1 - kept) * decaySeconds;
+    return rate;
 }
 
 } // namespace
 
-WaitLimits waitLimits(const WaitLimitInputs &facts) noexcept
+WaitLimits waitLimits(const WaitLimitInputs &inputs) noexcept
 {
-    WaitLimits patience;
-    patience.usual = std::min(std::max(share(facts.objective, objectiveShare), leastPatience),
-                              share(facts.timeLeft, timeLeftShare));
-    patience.extended = patience.usual;
-    const bool longPrompt = facts.minObjective > Duration::zero()
-        && facts.promptMs > longPromptShare * 1000 * toSeconds(facts.minObjective);
-    if (longPrompt && facts.timeLeft >= muchTimeLeft)
-        patience.extended = std::max(patience.usual, share(facts.timeLeft, longTimeLeftShare));
-    return patience;
+    WaitLimits limits;
+    limits.usual = std::min(std::max(share(inputs.objective, objectiveShare), minWaitLimit),
+                            share(inputs.timeLeft, timeLeftShare));
+    limits.extended = limits.usual;
+    const bool longPrompt = inputs.minObjective > Duration::zero()
+        && inputs.promptMs > longPromptShare * 1000 * toSeconds(inputs.minObjective);
+    if (longPrompt && inputs.timeLeft >= minLongTimeLeft)
+        limits.extended = std::max(limits.usual, share(inputs.timeLeft, longTimeLeftShare));
+    return limits;
 }
 
 bool enqueueCall(CapacityQueue &queue, const WaitingCall &call, Instant now)
 {
     if (queue.calls.size() >= maxWaitingCalls)
         return false;
-    queue.rate = paceNow(queue, now);
+    queue.rate = rateAt(queue, now);
     queue.calls.push_back(call);
     return true;
 }
 
 void dequeueCall(CapacityQueue &queue, std::uint64_t id, Instant now)
 {
-    queue.rate = paceNow(queue, now);
+    queue.rate = rateAt(queue, now);
     std::erase_if(queue.calls, [id](const WaitingCall &call) { return call.id == id; });
 }
 
 void recordCapacityFound(CapacityQueue &queue, Instant now)
 {
-    queue.rate = paceNow(queue, now);
+    queue.rate = rateAt(queue, now);
     queue.rate.found += 1;
 }
 
 int agedRank(const WaitingCall &call, Instant now) noexcept
 {
-    const Duration patience = call.softDeadline - call.since;
-    if (patience <= Duration::zero())
+    const Duration usualLimit = call.softDeadline - call.since;
+    if (usualLimit <= Duration::zero())
         return call.rank;
-    const Duration waited = std::clamp(now - call.since, Duration::zero(), patience);
-    return call.rank - static_cast<int>(2 * waited / patience);
+    const Duration waited = std::clamp(now - call.since, Duration::zero(), usualLimit);
+    return call.rank - static_cast<int>(2 * waited / usualLimit);
 }
 
 bool isServedBefore(const WaitingCall &first, const WaitingCall &second, Instant now) noexcept
@@ -138,20 +138,21 @@
 namespace {
 
 /** When a load starts that has `ahead` others before it; `now` if unknown. */
-Instant loadBegins(const ServiceCapacity &room, std::size_t ahead, Duration loadTime, Instant now)
+Instant loadStartTime(const ServiceCapacity &capacity, std::size_t ahead, Duration loadTime,
+                      Instant now)
 {
-    if (room.unknownLater || room.expectedAt.empty()
-        || ahead < static_cast<std::size_t>(room.loads))
+    if (capacity.unknownLater || capacity.expectedAt.empty()
+        || ahead < static_cast<std::size_t>(capacity.loads))
         return now;
-    std::vector<Instant> begins = room.expectedAt;
+    std::vector<Instant> startTimes = capacity.expectedAt;
     const auto later = std::greater<>();
-    std::make_heap(begins.begin(), begins.end(), later);
-    for (std::size_t load = static_cast<std::size_t>(room.loads); load < ahead; ++load) {
-        std::pop_heap(begins.begin(), begins.end(), later);
-        begins.back() += loadTime;
-        std::push_heap(begins.begin(), begins.end(), later);
+    std::make_heap(startTimes.begin(), startTimes.end(), later);
+    for (std::size_t load = static_cast<std::size_t>(capacity.loads); load < ahead; ++load) {
+        std::pop_heap(startTimes.begin(), startTimes.end(), later);
+        startTimes.back() += loadTime;
+        std::push_heap(startTimes.begin(), startTimes.end(), later);
     }
-    return std::max(begins.front(), now);
+    return std::max(startTimes.front(), now);
 }
 
 } // namespace
@@ -159,17 +160,17 @@
 // A call with none before it is never refused because of the rate: with no calls waiting, nothing
 // would show that there is capacity again.
 Duration expectedCapacityWait(const CapacityQueue &queue, const WaitingCall &call,
-                              const ServiceCapacity &room, Duration loadTime, Instant now)
+                              const ServiceCapacity &capacity, Duration loadTime, Instant now)
 {
     const auto ahead = static_cast<std::size_t>(
         std::count_if(queue.calls.begin(), queue.calls.end(),
                       [&](const WaitingCall &other) { return isServedBefore(other, call, now); }));
-    const Duration byEngines = loadBegins(room, ahead, loadTime, now) - now;
-    const CapacityRate pace = paceNow(queue, now);
-    if (ahead == 0 || pace.busySeconds < leastBusySeconds)
-        return byEngines;
-    const double perPlace = pace.busySeconds / std::max(pace.found, 1.0);
-    return std::max(byEngines, fromSeconds(perPlace * static_cast<double>(ahead)));
+    const Duration waitForLoad = loadStartTime(capacity, ahead, loadTime, now) - now;
+    const CapacityRate rate = rateAt(queue, now);
+    if (ahead == 0 || rate.busySeconds < minBusySeconds)
+        return waitForLoad;
+    const double secondsPerCall = rate.busySeconds / std::max(rate.found, 1.0);
+    return std::max(waitForLoad, fromSeconds(secondsPerCall * static_cast<double>(ahead)));
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/PendingLoads.cpp
+++ b/libs/serving/src/PendingLoads.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** The report that a load is done is about as late as the one that it had started. */
-constexpr Duration wordOnItsWay = std::chrono::milliseconds(250);
+constexpr Duration reportDelay = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -29,7 +29,7 @@
                                         Instant now)
 {
     const auto load = loads.doneAt.find(adapter);
-    if (load == loads.doneAt.end() || now >= load->second + wordOnItsWay)
+    if (load == loads.doneAt.end() || now >= load->second + reportDelay)
         return std::nullopt;
     return std::max(load->second - now, Duration::zero());
 }
@@ -37,10 +37,10 @@
 std::optional<std::size_t> chooseLoadingEngine(const std::vector<EngineView> &engines,
                                                const EngineNeed &need,
                                                const std::vector<std::string> &tried,
-                                               const EngineWeights &weights, double patienceMs)
+                                               const EngineWeights &weights, double waitLimitMs)
 {
     std::optional<std::size_t> best;
-    double bestMs = patienceMs;
+    double bestMs = waitLimitMs;
     for (std::size_t index = 0; index < engines.size(); ++index) {
         const EngineView &engine = engines[index];
         const bool wasTried = std::find(tried.begin(), tried.end(), engine.id) != tried.end();
--- a/libs/serving/src/PrefillQueue.cpp
+++ b/libs/serving/src/PrefillQueue.cpp
@@ -27,10 +27,10 @@
     return reply;
 }
 
-double maxTokensAhead(const PrefillBudget &bound) noexcept
+double maxTokensAhead(const PrefillBudget &budget) noexcept
 {
-    const double leftMs = bound.objectiveLeftMs - bound.otherMs;
-    return std::max(leftMs * bound.tokensPerMs - bound.ownTokens, 0.0);
+    const double leftMs = budget.objectiveLeftMs - budget.otherMs;
+    return std::max(leftMs * budget.tokensPerMs - budget.ownTokens, 0.0);
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/PrefixIndex.cpp
+++ b/libs/serving/src/PrefixIndex.cpp
@@ -13,20 +13,20 @@
  * A smaller share of a prompt is not visible in the time to its first event, which varies with the
  * steps of the running calls.
  */
-constexpr double leastShareJudged = 0.25;
+constexpr double minCachedShare = 0.25;
 /** With more than this share of the cached tokens waiting ahead, these may explain the wait. */
-constexpr double mostShareAhead = 0.25;
+constexpr double maxAheadShare = 0.25;
 /** A wait longer than this many prefills of the prompt has another cause. */
-constexpr double mostReadings = 2;
+constexpr double maxPrefillTimes = 2;
 
 /**
  * Share of an engine's KV memory that counts as available for prefixes however much its calls hold.
  */
-constexpr double leastMemoryShare = 0.25;
+constexpr double minCacheShare = 0.25;
 
 using Kept = std::unordered_map<std::uint64_t, CachedPrefix>;
 
-Kept::iterator eraseKept(EnginePrefixes &of, Kept::iterator at)
+Kept::iterator erasePrefix(EnginePrefixes &of, Kept::iterator at)
 {
     of.tokens -= at->second.tokens;
     return of.byHash.erase(at);
@@ -39,7 +39,7 @@
         std::min_element(of.byHash.begin(), of.byHash.end(), [](const auto &a, const auto &b) {
             return std::tie(a.second.readAt, a.first) < std::tie(b.second.readAt, b.first);
         });
-    eraseKept(of, least);
+    erasePrefix(of, least);
 }
 
 void trimTo(EnginePrefixes &of, std::size_t limit)
@@ -48,40 +48,40 @@
         dropLeastRecent(of);
 }
 
-void divideAmong(PrefixIndex &book, std::size_t engines)
+void divideLimit(PrefixIndex &index, std::size_t engines)
 {
     const std::size_t share = maxPrefixesInIndex / std::max<std::size_t>(engines, 1);
     const std::size_t limit = std::min(share, maxPrefixesPerEngine);
-    const bool fewer = limit < book.limit;
-    book.limit = limit;
+    const bool fewer = limit < index.limit;
+    index.limit = limit;
     if (!fewer)
         return;
-    for (auto &[engine, of] : book.engines)
+    for (auto &[engine, of] : index.engines)
         trimTo(of, limit);
 }
 
 /** Null if the index is full. */
-EnginePrefixes *engineIn(PrefixIndex &book, std::uint64_t engine)
+EnginePrefixes *findOrAddEngine(PrefixIndex &index, std::uint64_t engine)
 {
-    const auto found = book.engines.find(engine);
-    if (found != book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found != index.engines.end())
         return &found->second;
-    if (book.engines.size() >= maxEnginesInIndex)
+    if (index.engines.size() >= maxEnginesInIndex)
         return nullptr;
-    divideAmong(book, book.engines.size() + 1);
-    return &book.engines[engine];
+    divideLimit(index, index.engines.size() + 1);
+    return &index.engines[engine];
 }
 
-CachedPrefix &prefixIn(const PrefixIndex &book, EnginePrefixes &of, std::uint64_t hash)
+CachedPrefix &findOrAddPrefix(const PrefixIndex &index, EnginePrefixes &of, std::uint64_t hash)
 {
     const auto found = of.byHash.find(hash);
     if (found != of.byHash.end())
         return found->second;
-    trimTo(of, book.limit - 1);
+    trimTo(of, index.limit - 1);
     return of.byHash[hash];
 }
 
-void believe(EnginePrefixes &of, CachedPrefix &kept, int tokens, Instant now)
+void markCached(EnginePrefixes &of, CachedPrefix &kept, int tokens, Instant now)
 {
     of.tokens += tokens - kept.tokens;
     kept.tokens = tokens;
@@ -90,7 +90,7 @@
 }
 
 /** True if other VMs should get it now; it then counts as reported. */
-bool isNews(CachedPrefix &kept, Instant now)
+bool isReportDue(CachedPrefix &kept, Instant now)
 {
     if (kept.reportedAt != Instant{} && now - kept.reportedAt < prefixReportInterval)
         return false;
@@ -100,48 +100,48 @@
 
 } // namespace
 
-std::vector<PromptPrefix> recordRead(PrefixIndex &book, std::uint64_t engine,
+std::vector<PromptPrefix> recordRead(PrefixIndex &index, std::uint64_t engine,
                                      const std::vector<PromptPrefix> &prefixes, Instant now)
 {
-    std::vector<PromptPrefix> news;
+    std::vector<PromptPrefix> toReport;
     if (prefixes.empty())
-        return news;
-    EnginePrefixes *of = engineIn(book, engine);
+        return toReport;
+    EnginePrefixes *of = findOrAddEngine(index, engine);
     if (of == nullptr)
-        return news;
+        return toReport;
     for (const PromptPrefix &prefix : prefixes) {
-        CachedPrefix &kept = prefixIn(book, *of, prefix.hash);
+        CachedPrefix &kept = findOrAddPrefix(index, *of, prefix.hash);
         if (now < kept.doubtedUntil)
             continue;
-        believe(*of, kept, prefix.tokens, now);
-        const bool worthIt =
+        markCached(*of, kept, prefix.tokens, now);
+        const bool isReportable =
             prefix.tokens >= minReportedTokens && prefix.tokens <= maxReportedTokens;
-        if (worthIt && isNews(kept, now))
-            news.push_back(prefix);
+        if (isReportable && isReportDue(kept, now))
+            toReport.push_back(prefix);
     }
-    return news;
+    return toReport;
 }
 
 // A prefix under doubt is passed on all the same: the call that showed it ran at another VM, and
 // may have run after the cache miss seen here.
-bool recordReported(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix,
+bool recordReported(PrefixIndex &index, std::uint64_t engine, const PromptPrefix &prefix,
                     Instant now)
 {
-    EnginePrefixes *of = engineIn(book, engine);
+    EnginePrefixes *of = findOrAddEngine(index, engine);
     if (of == nullptr)
         return false;
-    CachedPrefix &kept = prefixIn(book, *of, prefix.hash);
-    const bool news = isNews(kept, now);
+    CachedPrefix &kept = findOrAddPrefix(index, *of, prefix.hash);
+    const bool toReport = isReportDue(kept, now);
     if (now >= kept.doubtedUntil)
-        believe(*of, kept, prefix.tokens, now);
-    return news;
+        markCached(*of, kept, prefix.tokens, now);
+    return toReport;
 }
 
-void recordMissing(PrefixIndex &book, std::uint64_t engine,
+void recordMissing(PrefixIndex &index, std::uint64_t engine,
                    const std::vector<PromptPrefix> &prefixes, Instant now)
 {
-    const auto found = book.engines.find(engine);
-    if (found == book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found == index.engines.end())
         return;
     EnginePrefixes &of = found->second;
     for (const PromptPrefix &prefix : prefixes) {
@@ -154,13 +154,13 @@
     }
 }
 
-double cachedPrefixTokens(const PrefixIndex &book, std::uint64_t engine,
+double cachedPrefixTokens(const PrefixIndex &index, std::uint64_t engine,
                           const std::vector<PromptPrefix> &prefixes)
 {
     if (prefixes.empty())
         return 0;
-    const auto found = book.engines.find(engine);
-    if (found == book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found == index.engines.end())
         return 0;
     // An engine that has a prefix cached also has all shorter prefixes of it.
     for (auto prefix = prefixes.rbegin(); prefix != prefixes.rend(); ++prefix) {
@@ -176,54 +176,54 @@
 {
     if (kvTokens <= 0)
         return std::numeric_limits<double>::infinity();
-    return std::max(kvTokens - heldTokens, leastMemoryShare * kvTokens);
+    return std::max(kvTokens - heldTokens, minCacheShare * kvTokens);
 }
 
-void evictToFit(PrefixIndex &book, std::uint64_t engine, double tokens)
+void evictToFit(PrefixIndex &index, std::uint64_t engine, double tokens)
 {
-    const auto found = book.engines.find(engine);
-    if (found == book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found == index.engines.end())
         return;
     EnginePrefixes &of = found->second;
     while (of.tokens > tokens && !of.byHash.empty())
         dropLeastRecent(of);
 }
 
-void forgetAdapter(PrefixIndex &book, std::uint64_t engine, std::uint64_t tag)
+void forgetAdapter(PrefixIndex &index, std::uint64_t engine, std::uint64_t tag)
 {
-    const auto found = book.engines.find(engine);
-    if (found == book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found == index.engines.end())
         return;
     EnginePrefixes &of = found->second;
     for (auto kept = of.byHash.begin(); kept != of.byHash.end();)
-        kept = prefixTag(kept->first) == tag ? eraseKept(of, kept) : std::next(kept);
+        kept = prefixTag(kept->first) == tag ? erasePrefix(of, kept) : std::next(kept);
 }
 
-void forgetEngine(PrefixIndex &book, std::uint64_t engine)
+void forgetEngine(PrefixIndex &index, std::uint64_t engine)
 {
-    if (book.engines.erase(engine) > 0)
-        divideAmong(book, book.engines.size());
+    if (index.engines.erase(engine) > 0)
+        divideLimit(index, index.engines.size());
 }
 
-void forgetUnused(PrefixIndex &book, Instant now)
+void forgetUnused(PrefixIndex &index, Instant now)
 {
-    const auto dropped = std::erase_if(book.engines, [now](const auto &entry) {
+    const auto dropped = std::erase_if(index.engines, [now](const auto &entry) {
         return now - entry.second.readAt > unusedEngineExpiry;
     });
     if (dropped > 0)
-        divideAmong(book, book.engines.size());
+        divideLimit(index, index.engines.size());
 }
 
 bool indicatesCacheMiss(const FirstEventTiming &trial, double promptTokensPerMs) noexcept
 {
     if (trial.cachedPrefixTokens < minReportedTokens
-        || trial.cachedPrefixTokens < leastShareJudged * trial.promptTokens)
+        || trial.cachedPrefixTokens < minCachedShare * trial.promptTokens)
         return false;
-    if (trial.aheadTokens > mostShareAhead * trial.cachedPrefixTokens)
+    if (trial.aheadTokens > maxAheadShare * trial.cachedPrefixTokens)
         return false;
     const double waitedMs = 1000 * toSeconds(trial.untilFirst);
     const double wholeMs = (trial.aheadTokens + trial.promptTokens) / promptTokensPerMs;
-    return waitedMs >= wholeMs && waitedMs <= mostReadings * wholeMs;
+    return waitedMs >= wholeMs && waitedMs <= maxPrefillTimes * wholeMs;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/PrefixLog.cpp
+++ b/libs/serving/src/PrefixLog.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool isFor(const LoggedPrefix &entry, const PrefixReader &reader)
+bool isForReader(const LoggedPrefix &entry, const PrefixReader &reader)
 {
     if (reader.relay)
         return entry.source == PrefixSource::Own;
@@ -15,7 +15,7 @@
     return reader.sourceVm == 0 || entry.sourceVm != reader.sourceVm;
 }
 
-void dropOld(PrefixLog &log, Instant now)
+void dropExpired(PrefixLog &log, Instant now)
 {
     while (!log.entries.empty() && now - log.entries.front().at > prefixLogRetention)
         log.entries.pop_front();
@@ -26,7 +26,7 @@
 void logPrefix(PrefixLog &log, const PrefixRead &read, PrefixSource source, std::uint64_t sourceVm,
                Instant now)
 {
-    dropOld(log, now);
+    dropExpired(log, now);
     if (log.entries.size() == maxPrefixLogEntries)
         log.entries.pop_front();
     log.entries.push_back({++log.last, read, source, sourceVm, now});
@@ -34,16 +34,16 @@
 
 std::vector<PrefixRead> prefixesFor(const PrefixLog &log, const PrefixReader &reader, Instant now)
 {
-    std::vector<PrefixRead> told;
+    std::vector<PrefixRead> result;
     for (auto entry = log.entries.rbegin(); entry != log.entries.rend(); ++entry) {
-        const bool over = entry->number <= reader.seen || now - entry->at > prefixLogRetention;
-        if (over || told.size() == maxPrefixesPerMessage)
+        const bool isPast = entry->number <= reader.seen || now - entry->at > prefixLogRetention;
+        if (isPast || result.size() == maxPrefixesPerMessage)
             break;
-        if (isFor(*entry, reader))
-            told.push_back(entry->read);
+        if (isForReader(*entry, reader))
+            result.push_back(entry->read);
     }
-    std::sort(told.begin(), told.end());
-    return told;
+    std::sort(result.begin(), result.end());
+    return result;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/PromptPrefixes.cpp
+++ b/libs/serving/src/PromptPrefixes.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t tagBits = 0xffff;
 
 /** No model reads a part with more tokens. */
-constexpr int mostPartTokens = 1'000'000;
+constexpr int maxPartTokens = 1'000'000;
 
 } // namespace
 
@@ -28,7 +28,7 @@
     std::uint64_t hash = stableHash(adapter);
     int tokens = 0;
     for (const PromptPart &part : parts) {
-        if (part.tokens < 0 || part.tokens > mostPartTokens || prefixes.size() == maxPrefixes)
+        if (part.tokens < 0 || part.tokens > maxPartTokens || prefixes.size() == maxPrefixes)
             return prefixes;
         hash = stableHash(part.id, hash);
         tokens += part.tokens;
@@ -50,9 +50,9 @@
     return stableHash(adapter) & tagBits;
 }
 
-std::uint64_t engineKey(std::string_view target, std::int64_t born) noexcept
+std::uint64_t engineKey(std::string_view target, std::int64_t startTime) noexcept
 {
-    return stableHash(target, static_cast<std::uint64_t>(born));
+    return stableHash(target, static_cast<std::uint64_t>(startTime));
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/ServiceRetryBudget.cpp
+++ b/libs/serving/src/ServiceRetryBudget.cpp
@@ -38,12 +38,12 @@
                   const SlackSharing &sharing, Instant now)
 {
     advance(budget.calls, policy.window, now);
-    std::uint32_t &newestRepeats = advance(budget.retries, policy.window, now);
-    const double repeats = sumOf(budget.retries);
+    std::uint32_t &newestRetries = advance(budget.retries, policy.window, now);
+    const double retriesInWindow = sumOf(budget.retries);
     const double share = policy.ratio * sumOf(budget.calls) + slackShare(policy, sharing, now);
-    if (repeats + 1 > usedShare * share)
+    if (retriesInWindow + 1 > usedShare * share)
         return false;
-    ++newestRepeats;
+    ++newestRetries;
     return true;
 }
 
--- a/libs/serving/src/ServingConfig.cpp
+++ b/libs/serving/src/ServingConfig.cpp
@@ -30,7 +30,7 @@
         const Route &route = this->whole.routes[index];
         this->routeByHostAndPrefix[routeKey(route.host, route.pathPrefix)] = index;
         for (const ServiceShare &share : route.services) {
-            Duration &longest = this->longestStreams[share.service];
+            Duration &longest = this->maxResumableTimeouts[share.service];
             if (route.resumable)
                 longest = std::max(longest, route.timeout);
         }
@@ -40,8 +40,8 @@
             const Objectives first{route.latencyObjective, route.latencyObjective};
             Objectives &known =
                 this->objectivesByService.try_emplace(share.service, first).first->second;
-            known.least = std::min(known.least, route.latencyObjective);
-            known.most = std::max(known.most, route.latencyObjective);
+            known.smallest = std::min(known.smallest, route.latencyObjective);
+            known.largest = std::max(known.largest, route.latencyObjective);
         }
     }
     for (std::size_t index = 0; index < this->whole.services.size(); ++index)
@@ -88,21 +88,21 @@
 Duration RouteTable::minObjective(const std::string &service) const
 {
     const auto found = this->objectivesByService.find(service);
-    return found == this->objectivesByService.end() ? Duration::zero() : found->second.least;
+    return found == this->objectivesByService.end() ? Duration::zero() : found->second.smallest;
 }
 
 std::optional<Duration> RouteTable::shortestObjective(const std::string &service) const
 {
     const auto found = this->objectivesByService.find(service);
-    if (found == this->objectivesByService.end() || found->second.least == found->second.most)
+    if (found == this->objectivesByService.end() || found->second.smallest == found->second.largest)
         return std::nullopt;
-    return found->second.least;
+    return found->second.smallest;
 }
 
 Duration RouteTable::maxResumableTimeout(const std::string &service) const
 {
-    const auto found = this->longestStreams.find(service);
-    return found == this->longestStreams.end() ? Duration::zero() : found->second;
+    const auto found = this->maxResumableTimeouts.find(service);
+    return found == this->maxResumableTimeouts.end() ? Duration::zero() : found->second;
 }
 
 bool mayReplace(std::int64_t current, std::int64_t offered) noexcept
--- a/libs/serving/src/StreamOrigins.cpp
+++ b/libs/serving/src/StreamOrigins.cpp
@@ -56,13 +56,13 @@
     ranked.reserve(names.size());
     for (std::size_t index = 0; index < names.size(); ++index)
         ranked.emplace_back(stableHash(names[index], id), index);
-    const std::size_t kept = std::min(count, ranked.size());
-    std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(kept),
+    const std::size_t replicaCount = std::min(count, ranked.size());
+    std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(replicaCount),
                       ranked.end(), std::greater<>());
-    std::vector<std::size_t> keepers;
-    for (std::size_t place = 0; place < kept; ++place)
-        keepers.push_back(ranked[place].second);
-    return keepers;
+    std::vector<std::size_t> replicas;
+    for (std::size_t position = 0; position < replicaCount; ++position)
+        replicas.push_back(ranked[position].second);
+    return replicas;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/TargetHealth.cpp
+++ b/libs/serving/src/TargetHealth.cpp
@@ -26,18 +26,18 @@
  * Half-life of the outcomes that are reported to all VMs, s; all VMs together make ten times as
  * many calls to a target.
  */
-constexpr double lateHalfLife = 0.5;
+constexpr double recentHalfLife = 0.5;
 
 /**
  * For example three calls of different VMs without a connection; one VM alone may itself be
  * partitioned.
  */
-constexpr int failingFaults = 35; ///< tenths
+constexpr int minFailingTenths = 35; ///< tenths
 
 constexpr double tenths = 10;
 
 constexpr Duration firstEjection = std::chrono::milliseconds(1000);
-constexpr int longestDoubling = 2; ///< 4 s: faults in the users' list last 2 to 7 s
+constexpr int maxDoublings = 2; ///< 4 s: faults in the users' list last 2 to 7 s
 
 double weightOf(SendOutcome outcome)
 {
@@ -56,14 +56,14 @@
     return 0;
 }
 
-void fade(TargetHealth &health, Instant now)
+void decay(TargetHealth &health, Instant now)
 {
     const double factor = std::exp2(-toSeconds(now - health.updatedAt) / halfLife);
     health.failureScore *= factor;
     health.successes *= factor;
-    const double lateFactor = std::exp2(-toSeconds(now - health.updatedAt) / lateHalfLife);
-    health.recentFailures *= lateFactor;
-    health.recentSuccesses *= lateFactor;
+    const double recentFactor = std::exp2(-toSeconds(now - health.updatedAt) / recentHalfLife);
+    health.recentFailures *= recentFactor;
+    health.recentSuccesses *= recentFactor;
     health.updatedAt = now;
 }
 
@@ -76,7 +76,7 @@
 
 bool recordOutcome(TargetHealth &health, SendOutcome outcome, Instant now)
 {
-    fade(health, now);
+    decay(health, now);
     if (outcome == SendOutcome::Good) {
         health.successes += 1;
         health.recentSuccesses += 1;
@@ -89,7 +89,7 @@
         health.failureScore >= ejectBadness && health.failureScore > ejectRatio * health.successes;
     if (!bad || isEjected(health, now))
         return false;
-    const int doublings = std::min(health.ejections, longestDoubling);
+    const int doublings = std::min(health.ejections, maxDoublings);
     health.ejectedUntil = now + firstEjection * (1 << doublings);
     ++health.ejections;
     // A readmitted target is on trial: one more weighted failure soon ejects it again.
@@ -103,11 +103,11 @@
     return now < health.ejectedUntil;
 }
 
-void addHealth(TargetUsage &use, const TargetHealth &health, Instant now)
+void addHealth(TargetUsage &usage, const TargetHealth &health, Instant now)
 {
-    const double factor = std::exp2(-toSeconds(now - health.updatedAt) / lateHalfLife);
-    use.failures += inTenths(health.recentFailures * factor);
-    use.successes += inTenths(health.recentSuccesses * factor);
+    const double factor = std::exp2(-toSeconds(now - health.updatedAt) / recentHalfLife);
+    usage.failures += inTenths(health.recentFailures * factor);
+    usage.successes += inTenths(health.recentSuccesses * factor);
 }
 
 // With many VMs, each sends a target only one call in seconds. When a target is gone, each VM would
@@ -117,7 +117,7 @@
 // outcomes decay and it is tried again.
 bool isFailing(const TargetUsage &all) noexcept
 {
-    return all.failures >= failingFaults && all.failures > all.successes;
+    return all.failures >= minFailingTenths && all.failures > all.successes;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/TargetLinks.cpp
+++ b/libs/serving/src/TargetLinks.cpp
@@ -6,47 +6,50 @@
 
 namespace {
 
-constexpr Duration reachedCounts = std::chrono::milliseconds(500);
-constexpr Duration failureCounts = std::chrono::milliseconds(3000);
+constexpr Duration reachedValidity = std::chrono::milliseconds(500);
+constexpr Duration failureValidity = std::chrono::milliseconds(3000);
 
 /** A single target may just have ended, before other VMs report it. */
-constexpr int leastFailed = 2;
+constexpr int minFailed = 2;
 
 /** The remaining links could not carry all calls. */
-constexpr int failedForEachReached = 4;
+constexpr int failedPerReached = 4;
 
 /** With an intermittent partition, calls must not change their path at every change of it. */
-constexpr int goodRoundsToReturn = 2;
+constexpr int goodRoundsToRecover = 2;
 
 } // namespace
 
-LinkState linkState(const LinkObservation &sight, Instant now) noexcept
+LinkState linkState(const LinkObservation &observation, Instant now) noexcept
 {
-    const bool reached = sight.reachedAt != Instant{} && sight.reachedAt >= sight.failedAt;
+    const bool reached =
+        observation.reachedAt != Instant{} && observation.reachedAt >= observation.failedAt;
     if (reached)
-        return now - sight.reachedAt <= reachedCounts ? LinkState::Reached : LinkState::Unknown;
-    const bool failed = sight.failedAt != Instant{} && now - sight.failedAt <= failureCounts;
+        return now - observation.reachedAt <= reachedValidity ? LinkState::Reached
+                                                              : LinkState::Unknown;
+    const bool failed =
+        observation.failedAt != Instant{} && now - observation.failedAt <= failureValidity;
     return failed ? LinkState::Failed : LinkState::Unknown;
 }
 
 bool linksSeemLost(const LinkCounts &counts) noexcept
 {
-    const int least = counts.otherServiceLost ? 1 : leastFailed;
+    const int least = counts.otherServiceLost ? 1 : minFailed;
     const int enough = std::max(std::min(least, counts.listed), 1);
-    return counts.failed >= enough && counts.failed >= failedForEachReached * counts.reached;
+    return counts.failed >= enough && counts.failed >= failedPerReached * counts.reached;
 }
 
 bool confirmsLoss(const ProbeRound &round) noexcept
 {
     const int failed = round.tried - round.reached;
-    return failed > 0 && failed >= failedForEachReached * round.reached;
+    return failed > 0 && failed >= failedPerReached * round.reached;
 }
 
 bool recordProbes(ServiceLinks &links, const ProbeRound &round) noexcept
 {
     const bool good = round.reached * 2 > round.tried;
     links.goodRounds = good ? links.goodRounds + 1 : 0;
-    if (!links.lost || links.goodRounds < goodRoundsToReturn)
+    if (!links.lost || links.goodRounds < goodRoundsToRecover)
         return false;
     links.lost = false;
     return true;
--- a/libs/serving/src/TargetUsage.cpp
+++ b/libs/serving/src/TargetUsage.cpp
@@ -2,31 +2,31 @@
 
 namespace monsoonbay {
 
-bool isUnused(const TargetUsage &use) noexcept
+bool isUnused(const TargetUsage &usage) noexcept
 {
-    return use.runs == 0 && use.busySlots == 0 && use.failures == 0 && use.successes == 0;
+    return usage.runs == 0 && usage.busySlots == 0 && usage.failures == 0 && usage.successes == 0;
 }
 
-void addUsage(TargetUsage &sum, const TargetUsage &use)
+void addUsage(TargetUsage &sum, const TargetUsage &usage)
 {
-    sum.waitingTokens += use.waitingTokens;
-    sum.heldTokens += use.heldTokens;
-    sum.runs += use.runs;
-    sum.busySlots += use.busySlots;
-    sum.failures += use.failures;
-    sum.successes += use.successes;
-    sum.shortObjectiveRuns += use.shortObjectiveRuns;
+    sum.waitingTokens += usage.waitingTokens;
+    sum.heldTokens += usage.heldTokens;
+    sum.runs += usage.runs;
+    sum.busySlots += usage.busySlots;
+    sum.failures += usage.failures;
+    sum.successes += usage.successes;
+    sum.shortObjectiveRuns += usage.shortObjectiveRuns;
 }
 
-void subtractUsage(TargetUsage &sum, const TargetUsage &use)
+void subtractUsage(TargetUsage &sum, const TargetUsage &usage)
 {
-    sum.waitingTokens -= use.waitingTokens;
-    sum.heldTokens -= use.heldTokens;
-    sum.runs -= use.runs;
-    sum.busySlots -= use.busySlots;
-    sum.failures -= use.failures;
-    sum.successes -= use.successes;
-    sum.shortObjectiveRuns -= use.shortObjectiveRuns;
+    sum.waitingTokens -= usage.waitingTokens;
+    sum.heldTokens -= usage.heldTokens;
+    sum.runs -= usage.runs;
+    sum.busySlots -= usage.busySlots;
+    sum.failures -= usage.failures;
+    sum.successes -= usage.successes;
+    sum.shortObjectiveRuns -= usage.shortObjectiveRuns;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/ZoneRelay.cpp
+++ b/libs/serving/src/ZoneRelay.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /** Peers that have state rank before peers that are starting. */
-bool teachesBefore(const ZonePeer &left, const ZonePeer &right) noexcept
+bool isPreferredUpstream(const ZonePeer &left, const ZonePeer &right) noexcept
 {
     if (left.starting != right.starting)
         return right.starting;
@@ -27,48 +27,49 @@
 
 // No VM takes updates from a peer that is starting, so if the VM below it stopped reading the
 // store, it would receive nothing until it asks again.
-bool isRelay(const RelayRank &self, bool selfStarting, const std::vector<ZonePeer> &mates) noexcept
+bool isRelay(const RelayRank &self, bool selfStarting, const std::vector<ZonePeer> &peers) noexcept
 {
-    return std::none_of(mates.begin(), mates.end(), [&](const ZonePeer &mate) {
-        const bool teaches = selfStarting || !mate.starting;
-        return mate.reachable && teaches && ranksBefore(mate.rank, self);
+    return std::none_of(peers.begin(), peers.end(), [&](const ZonePeer &peer) {
+        const bool sendsUpdates = selfStarting || !peer.starting;
+        return peer.reachable && sendsUpdates && ranksBefore(peer.rank, self);
     });
 }
 
 std::optional<std::size_t> chooseUpstream(const RelayRank &self, bool selfStarting,
-                                          const std::vector<ZonePeer> &mates) noexcept
+                                          const std::vector<ZonePeer> &peers) noexcept
 {
     std::optional<std::size_t> best;
-    for (std::size_t index = 0; index < mates.size(); ++index) {
-        const ZonePeer &mate = mates[index];
-        if (!mate.reachable)
+    for (std::size_t index = 0; index < peers.size(); ++index) {
+        const ZonePeer &peer = peers[index];
+        if (!peer.reachable)
             continue;
         const bool above =
-            selfStarting != mate.starting ? selfStarting : ranksBefore(mate.rank, self);
+            selfStarting != peer.starting ? selfStarting : ranksBefore(peer.rank, self);
         if (!above)
             continue;
-        if (!best || teachesBefore(mate, mates[*best]))
+        if (!best || isPreferredUpstream(peer, peers[*best]))
             best = index;
     }
     return best;
 }
 
-std::vector<std::size_t> chooseLeaseHolders(const std::vector<ZonePeer> &mates, std::size_t most)
+std::vector<std::size_t> chooseLeaseHolders(const std::vector<ZonePeer> &peers,
+                                            std::size_t maxHolders)
 {
     std::vector<std::size_t> chosen;
-    for (std::size_t index = 0; index < mates.size(); ++index) {
-        if (mates[index].reachable && !mates[index].starting)
+    for (std::size_t index = 0; index < peers.size(); ++index) {
+        if (peers[index].reachable && !peers[index].starting)
             chosen.push_back(index);
     }
     std::sort(chosen.begin(), chosen.end(), [&](std::size_t left, std::size_t right) {
-        if (mates[left].linksLost != mates[right].linksLost)
-            return mates[right].linksLost;
-        if (mates[left].leaseHolder != mates[right].leaseHolder)
-            return mates[left].leaseHolder;
-        return ranksBefore(mates[left].rank, mates[right].rank);
+        if (peers[left].linksLost != peers[right].linksLost)
+            return peers[right].linksLost;
+        if (peers[left].leaseHolder != peers[right].leaseHolder)
+            return peers[left].leaseHolder;
+        return ranksBefore(peers[left].rank, peers[right].rank);
     });
-    if (chosen.size() > most)
-        chosen.resize(most);
+    if (chosen.size() > maxHolders)
+        chosen.resize(maxHolders);
     return chosen;
 }
 
