--- a/libs/serving/tests/Links.cpp
+++ b/libs/serving/tests/Links.cpp
@@ -20,23 +20,23 @@
 
 } // namespace
 
-Test(links, the_newest_attempt_tells_how_a_link_stands)
+Test(links, the_newest_attempt_determines_the_link_state)
 {
-    LinkObservation sight;
-    cr_assert_eq(linkState(sight, start), LinkState::Unknown);
-    sight.failedAt = start;
-    cr_assert_eq(linkState(sight, start + 1s), LinkState::Failed);
-    cr_assert_eq(linkState(sight, start + 4s), LinkState::Unknown, "the result has expired");
-    sight.reachedAt = start + 1s;
-    cr_assert_eq(linkState(sight, start + 1s), LinkState::Reached);
-    cr_assert_eq(linkState(sight, start + 2s), LinkState::Unknown,
+    LinkObservation observation;
+    cr_assert_eq(linkState(observation, start), LinkState::Unknown);
+    observation.failedAt = start;
+    cr_assert_eq(linkState(observation, start + 1s), LinkState::Failed);
+    cr_assert_eq(linkState(observation, start + 4s), LinkState::Unknown, "the result has expired");
+    observation.reachedAt = start + 1s;
+    cr_assert_eq(linkState(observation, start + 1s), LinkState::Reached);
+    cr_assert_eq(linkState(observation, start + 2s), LinkState::Unknown,
                  "the link may have been lost since");
-    sight.failedAt = start + 2s;
-    cr_assert_eq(linkState(sight, start + 2s), LinkState::Failed);
+    observation.failedAt = start + 2s;
+    cr_assert_eq(linkState(observation, start + 2s), LinkState::Failed);
 }
 
 // Guards against rerouted calls when one target has ended, or a part of many.
-Test(links, targets_that_end_are_not_taken_for_a_cut)
+Test(links, ended_targets_do_not_count_as_lost_links)
 {
     cr_assert(!linksSeemLost(counts(12, 1, 0)));
     cr_assert(!linksSeemLost(counts(12, 6, 3)));
@@ -46,7 +46,7 @@
     cr_assert(!confirmsLoss({0, 0}), "no VM reaches them");
 }
 
-Test(links, a_cut_from_all_or_nearly_all_targets_is_seen)
+Test(links, losing_all_or_nearly_all_targets_is_detected)
 {
     cr_assert(linksSeemLost(counts(12, 2, 0)));
     cr_assert(linksSeemLost(counts(12, 8, 2)));
@@ -56,14 +56,14 @@
     cr_assert(confirmsLoss({6, 1}));
     cr_assert(confirmsLoss({3, 0}));
     cr_assert(confirmsLoss({1, 0}));
-    LinkCounts beside = counts(3, 1, 0);
-    cr_assert(!linksSeemLost(beside));
-    beside.otherServiceLost = true;
-    cr_assert(linksSeemLost(beside), "one failure suffices for a service with few calls");
+    LinkCounts otherService = counts(3, 1, 0);
+    cr_assert(!linksSeemLost(otherService));
+    otherService.otherServiceLost = true;
+    cr_assert(linksSeemLost(otherService), "one failure suffices for a service with few calls");
 }
 
 // Guards against calls that change their path back and forth with an intermittent link.
-Test(links, links_are_back_after_two_good_rounds)
+Test(links, links_recover_after_two_good_rounds)
 {
     ServiceLinks links;
     links.lost = true;
--- a/libs/serving/tests/LoadLooks.cpp
+++ b/libs/serving/tests/LoadLooks.cpp
@@ -35,7 +35,7 @@
     return report;
 }
 
-LoadEstimator crowdedBeliefs()
+LoadEstimator saturatedEstimator()
 {
     LoadEstimator estimator;
     recordLoadOnTime(estimator.times, 1, 280ms);
@@ -47,9 +47,9 @@
 
 // Guards against calls that wait for a load that is already done, as nothing checks it before its
 // expected end.
-Test(load_looks, a_load_that_a_report_shows_as_done_is_not_waited_for)
+Test(load_checks, a_load_reported_done_is_not_waited_for)
 {
-    LoadEstimator estimator = crowdedBeliefs();
+    LoadEstimator estimator = saturatedEstimator();
     AdapterScheduler scheduler = loadingScheduler(1300ms);
     cr_assert_not(isReportCheckDue(scheduler, estimator.times, start + 100ms));
     cr_assert(isReportCheckDue(scheduler, estimator.times, start + 500ms));
@@ -62,9 +62,9 @@
 }
 
 // Guards against a report from before the command, which shows the adapter from an earlier stay.
-Test(load_looks, a_report_of_before_the_order_shows_nothing)
+Test(load_checks, a_report_from_before_the_command_completes_no_load)
 {
-    LoadEstimator estimator = crowdedBeliefs();
+    LoadEstimator estimator = saturatedEstimator();
     AdapterScheduler scheduler = loadingScheduler(1300ms);
     cr_assert_not(applyCompletedLoads(scheduler, reportOf(6, true), estimator, start + 500ms));
     EngineReport otherStart = reportOf(9, true);
@@ -77,39 +77,40 @@
 namespace {
 
 /** Expected time of a load 8 s after a surge in which loads took 1.3 s; they take 288 ms now. */
-Duration expectedAfterSurge(bool looking)
+Duration expectedAfterSurge(bool checksLoads)
 {
     constexpr Duration real = 288ms;
     constexpr Duration loadEvery = 10ms;
-    LoadEstimator estimator = crowdedBeliefs();
+    LoadEstimator estimator = saturatedEstimator();
     struct Load
     {
         AdapterScheduler scheduler;
         Instant requestedAt;
-        Instant believedAt;
-        int underWay;
+        Instant believedDoneAt;
+        int concurrentLoads;
     };
     std::deque<Load> loads;
     for (Instant now = start; now < start + 8s; now += loadEvery) {
         for (Load &load : loads) {
-            const bool due = looking && isReportCheckDue(load.scheduler, estimator.times, now);
+            const bool due = checksLoads && isReportCheckDue(load.scheduler, estimator.times, now);
             if (!due || now - load.requestedAt < real + 100ms)
                 continue;
             if (applyCompletedLoads(load.scheduler, reportOf(7, true), estimator, now))
-                load.believedAt = now;
+                load.believedDoneAt = now;
         }
-        while (!loads.empty() && loads.front().believedAt <= now) {
+        while (!loads.empty() && loads.front().believedDoneAt <= now) {
             const Load &load = loads.front();
-            recordLoadOnTime(estimator.times, load.underWay, load.believedAt - load.requestedAt);
+            recordLoadOnTime(estimator.times, load.concurrentLoads,
+                             load.believedDoneAt - load.requestedAt);
             loads.pop_front();
         }
-        const int underWay = static_cast<int>(loads.size()) + 1;
-        const Duration expected = fetchTime(estimator.times, underWay);
-        Load load{loadingScheduler(expected), now, now + expected, underWay};
+        const int concurrentLoads = static_cast<int>(loads.size()) + 1;
+        const Duration expected = fetchTime(estimator.times, concurrentLoads);
+        Load load{loadingScheduler(expected), now, now + expected, concurrentLoads};
         for (auto &[adapter, slot] : load.scheduler.slots) {
             slot.requestedAt = now;
             slot.readyAt = now + expected;
-            slot.concurrentLoads = underWay;
+            slot.concurrentLoads = concurrentLoads;
         }
         loads.push_back(std::move(load));
     }
@@ -120,7 +121,7 @@
 
 // Guards against an estimate that keeps itself up: after a surge, calls waited 1.2 s for loads of
 // 288 ms, and because of that wait as many loads seemed to run as in the surge.
-Test(load_looks, what_a_surge_taught_is_forgotten_when_it_is_over)
+Test(load_checks, estimates_recover_after_a_surge)
 {
     cr_assert_lt(expectedAfterSurge(true).count(), Duration(450ms).count());
 }
--- a/libs/serving/tests/Orders.cpp
+++ b/libs/serving/tests/Orders.cpp
@@ -24,7 +24,7 @@
     std::map<std::string, std::int64_t> held;
 
     /** True if the command was accepted. */
-    bool order(bool load, const std::string &adapter, std::int64_t version, std::int64_t expected)
+    bool command(bool load, const std::string &adapter, std::int64_t version, std::int64_t expected)
     {
         if (expected != this->sequence)
             return false;
@@ -39,7 +39,7 @@
     }
 };
 
-struct LateOrder
+struct LateCommand
 {
     bool load;
     std::string adapter;
@@ -60,7 +60,7 @@
  * One step for `adapter`. A command whose answer is lost is executed now, or kept to be executed
  * later.
  */
-void step(AdapterScheduler &scheduler, FakeEngine &engine, std::vector<LateOrder> &late,
+void step(AdapterScheduler &scheduler, FakeEngine &engine, std::vector<LateCommand> &late,
           const std::string &adapter, Instant now, bool answerLost, bool carriedOutLate)
 {
     if (scheduler.sequence < 0) {
@@ -72,24 +72,24 @@
     const bool load = choice.step == SchedulerStep::Load;
     if (!load && choice.step != SchedulerStep::Unload)
         return;
-    const std::string subject = load ? adapter : choice.victim;
+    const std::string affected = load ? adapter : choice.victim;
     if (answerLost) {
         if (carriedOutLate)
-            late.push_back({load, subject, 0, scheduler.sequence});
+            late.push_back({load, affected, 0, scheduler.sequence});
         else
-            engine.order(load, subject, 0, scheduler.sequence);
+            engine.command(load, affected, 0, scheduler.sequence);
         invalidateSequence(scheduler);
         return;
     }
     const std::int64_t before = engine.sequence;
-    if (!engine.order(load, subject, 0, scheduler.sequence)) {
+    if (!engine.command(load, affected, 0, scheduler.sequence)) {
         invalidateSequence(scheduler);
         return;
     }
     if (load)
-        recordLoadAccepted(scheduler, subject, 0, {10ms}, now);
+        recordLoadAccepted(scheduler, affected, 0, {10ms}, now);
     else
-        recordUnloaded(scheduler, subject);
+        recordUnloaded(scheduler, affected);
     if (engine.sequence != before)
         advanceSequence(scheduler, now);
 }
@@ -110,7 +110,7 @@
     cr_assert(rc::check("slots", [] {
         AdapterScheduler scheduler = freshScheduler();
         FakeEngine engine;
-        std::vector<LateOrder> late;
+        std::vector<LateCommand> late;
         Instant now = start;
         const auto steps = *rc::gen::resize(
             200,
@@ -119,9 +119,9 @@
         for (const auto &[adapter, fate, afterMs] : steps) {
             now += std::chrono::milliseconds(afterMs);
             if (fate == 5 && !late.empty()) {
-                const LateOrder order = late.back();
+                const LateCommand command = late.back();
                 late.pop_back();
-                engine.order(order.load, order.adapter, order.version, order.expected);
+                engine.command(command.load, command.adapter, command.version, command.expected);
             }
             step(scheduler, engine, late, "m/a" + std::to_string(adapter), now,
                  fate == 1 || fate == 2, fate == 2);
@@ -133,7 +133,7 @@
 // Guards against an engine that gets no commands (seen for 40 s). An unload of an adapter that is
 // not there is answered "done" without being counted, so the scheduler's count is one too high and
 // every report looks outdated; reports were only applied if their count was high enough.
-Test(orders, a_count_that_ran_ahead_is_corrected)
+Test(orders, a_command_count_that_is_too_high_is_corrected)
 {
     AdapterScheduler scheduler = freshScheduler();
     applyEngineReport(scheduler, reportOf(FakeEngine{}), start);
@@ -165,7 +165,7 @@
     cr_assert_eq(idle.victim, "m/a");
 }
 
-Test(orders, the_slot_that_goes_is_the_one_idle_for_longest)
+Test(orders, the_least_recently_used_slot_is_freed)
 {
     AdapterScheduler scheduler = freshScheduler();
     for (const char *adapter : {"m/a", "m/b", "m/c"})
@@ -178,7 +178,7 @@
     cr_assert_eq(choice.victim, "m/b");
 }
 
-Test(orders, all_slots_in_use_is_said)
+Test(orders, all_slots_in_use_is_reported)
 {
     AdapterScheduler scheduler = freshScheduler();
     for (const char *adapter : {"m/a", "m/b", "m/c"})
@@ -188,7 +188,7 @@
     cr_assert(nextCommand(scheduler, "m/d", 0, start + 1s).step == SchedulerStep::NoSlot);
 }
 
-Test(orders, what_left_its_slot_lately_loads_fast_again)
+Test(orders, recently_unloaded_adapters_load_fast)
 {
     AdapterScheduler scheduler = freshScheduler();
     LoadEstimator estimator;
@@ -201,7 +201,7 @@
     cr_assert_lt(again.time.count(), first.time.count() / 5);
 }
 
-Test(orders, memory_bounds_the_adapters_too)
+Test(orders, memory_limits_the_adapters_too)
 {
     EngineSpec engine;
     engine.adapterSlots = 9;
@@ -217,7 +217,7 @@
 // Guards against calls that are refused again and again because loads take longer than expected.
 // Each such refusal raises the estimate, and the load is checked again soon without a report, as a
 // report would be older than the refusal.
-Test(orders, calls_that_come_too_early_make_loads_expected_later)
+Test(orders, early_calls_lengthen_the_load_estimate)
 {
     AdapterScheduler scheduler = freshScheduler();
     scheduler.sequence = 1;
@@ -240,7 +240,7 @@
 // Guards against a pause of 60 ms after each refused load command, which hit a tenth of the
 // commands to heavily loaded engines. With four loads running, one of them is assumed done slightly
 // too early, and a fifth is sent and refused; the refusal was taken for a wrong command count.
-Test(orders, a_fifth_load_refused_means_that_one_is_not_done)
+Test(orders, a_refused_fifth_load_means_that_one_is_not_done)
 {
     AdapterScheduler scheduler;
     scheduler.adapterSlots = 9;
@@ -265,7 +265,7 @@
 // Guards against needless fetches from the weight store: with a constant for the copies that
 // engines keep in host memory, calls were sent to engines that had dropped the copy and away from
 // those that had it.
-Test(orders, the_copies_that_an_engine_keeps_are_learnt)
+Test(orders, the_number_of_host_copies_is_learnt)
 {
     for (const int kept : {20, 108, 400}) {
         AdapterScheduler scheduler;
@@ -285,10 +285,10 @@
             now += estimate.time;
             completeDueLoads(scheduler, now);
             const auto copy = std::find(memory.begin(), memory.end(), adapter);
-            const bool there = copy != memory.end();
-            if (there)
+            const bool hasCopy = copy != memory.end();
+            if (hasCopy)
                 memory.erase(copy);
-            if (!there && !estimate.fetched) {
+            if (!hasCopy && !estimate.fetched) {
                 recordMissing(scheduler, adapter, estimator, now);
                 now = scheduler.slots.at(adapter).readyAt;
                 completeDueLoads(scheduler, now);
@@ -315,7 +315,7 @@
 // engine restarts under the same id and counts from zero. The count and slots of the former start
 // were kept, and the lower count was taken for an outdated report; a report of the former start may
 // still arrive.
-Test(orders, an_engine_that_was_started_anew_holds_and_counts_nothing)
+Test(orders, a_restarted_engine_holds_and_counts_nothing)
 {
     AdapterScheduler scheduler;
     scheduler.adapterSlots = slotCount;
@@ -325,9 +325,9 @@
     former.resident = {{"m/a1", 1}, {"m/a2", 1}};
     cr_assert(applyEngineReport(scheduler, former, start));
     advanceSequence(scheduler, start);
-    EngineReport reborn;
-    reborn.startTime = 5000;
-    cr_assert(applyEngineReport(scheduler, reborn, start + 50ms));
+    EngineReport restarted;
+    restarted.startTime = 5000;
+    cr_assert(applyEngineReport(scheduler, restarted, start + 50ms));
     cr_assert_eq(scheduler.sequence, 0);
     cr_assert(scheduler.slots.empty());
     cr_assert_lt(loadsSinceTouch(scheduler.copies, "m/a1"), 0);
@@ -340,7 +340,7 @@
 // Guards against calls of several VMs that wait for the same load and are all let through at once:
 // when the load took longer than expected, five calls were refused within 10 ms, each at the cost
 // of a retry.
-Test(orders, one_call_goes_first_while_the_time_of_loads_is_in_doubt)
+Test(orders, one_call_probes_while_load_times_are_uncertain)
 {
     AdapterScheduler scheduler = freshScheduler();
     LoadEstimator estimator;
@@ -362,7 +362,7 @@
 
 // Two loads are started with the same estimate, and the call for the first one is refused. The
 // expected end of the second must reflect what that refusal showed.
-Test(orders, loads_under_way_wait_by_what_was_learnt_since)
+Test(orders, running_loads_use_newer_estimates)
 {
     AdapterScheduler scheduler = freshScheduler();
     LoadEstimator estimator;
--- a/libs/serving/tests/PrefillQueues.cpp
+++ b/libs/serving/tests/PrefillQueues.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double pace = 40; ///< tokens per ms
+constexpr double rate = 40; ///< tokens per ms
 const Instant start = Instant{} + 1h;
 
 } // namespace
@@ -21,30 +21,30 @@
 Test(prefill_queue, a_call_is_counted_only_if_few_enough_tokens_wait)
 {
     PrefillQueue queue;
-    cr_assert(reservePrefill(queue, {8000, 0}, pace, start).reserved);
-    const PrefillReply behind = reservePrefill(queue, {8000, 7999}, pace, start);
+    cr_assert(reservePrefill(queue, {8000, 0}, rate, start).reserved);
+    const PrefillReply behind = reservePrefill(queue, {8000, 7999}, rate, start);
     cr_assert_not(behind.reserved);
     cr_assert_eq(behind.ahead, 8000);
-    cr_assert_eq(waitingTokens(queue, pace, start), 8000);
-    cr_assert(reservePrefill(queue, {8000, 8000}, pace, start).reserved);
-    cr_assert_eq(waitingTokens(queue, pace, start + 100ms), 12000);
-    cr_assert_eq(waitingTokens(queue, pace, start + 1s), 0);
+    cr_assert_eq(waitingTokens(queue, rate, start), 8000);
+    cr_assert(reservePrefill(queue, {8000, 8000}, rate, start).reserved);
+    cr_assert_eq(waitingTokens(queue, rate, start + 100ms), 12000);
+    cr_assert_eq(waitingTokens(queue, rate, start + 1s), 0);
 }
 
 // Guards against counts that grow or become negative through invalid values from another VM.
-Test(prefill_queue, odd_values_change_nothing)
+Test(prefill_queue, invalid_values_change_nothing)
 {
     PrefillQueue queue;
-    cr_assert(reservePrefill(queue, {-5000, 0}, pace, start).reserved);
-    cr_assert_eq(waitingTokens(queue, pace, start), 0);
-    cr_assert(reservePrefill(queue, {4000, 0}, pace, start).reserved);
-    cr_assert_eq(waitingTokens(queue, pace, start - 1s), 4000);
-    cr_assert_eq(maxTokensAhead({100, 10000, 0, pace}), 0);
-    cr_assert_eq(maxTokensAhead({1000, 8000, 100, pace}), 28000);
+    cr_assert(reservePrefill(queue, {-5000, 0}, rate, start).reserved);
+    cr_assert_eq(waitingTokens(queue, rate, start), 0);
+    cr_assert(reservePrefill(queue, {4000, 0}, rate, start).reserved);
+    cr_assert_eq(waitingTokens(queue, rate, start - 1s), 4000);
+    cr_assert_eq(maxTokensAhead({100, 10000, 0, rate}), 0);
+    cr_assert_eq(maxTokensAhead({1000, 8000, 100, rate}), 28000);
 }
 
 // Guards against a count that differs from that of an engine that prefills prompts in turn.
-Test(prefill_queue, it_counts_as_an_engine_that_reads_in_turn)
+Test(prefill_queue, it_matches_an_engine_that_prefills_in_turn)
 {
     cr_assert(rc::check("waiting tokens", [] {
         PrefillQueue queue;
@@ -52,9 +52,9 @@
         Instant now = start;
         const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
             rc::gen::pair(rc::gen::inRange(0, 400), rc::gen::inRange(0, 10000)));
-        for (const auto &[pauseMs, tokens] : steps) {
-            now += std::chrono::milliseconds(pauseMs);
-            double read = pace * pauseMs;
+        for (const auto &[gapMs, tokens] : steps) {
+            now += std::chrono::milliseconds(gapMs);
+            double read = rate * gapMs;
             while (!prompts.empty() && read > 0) {
                 const double part = std::min(read, prompts.front());
                 prompts.front() -= part;
@@ -67,7 +67,7 @@
                 waiting += prompt;
             const double most = 20000;
             const PrefillReply reply =
-                reservePrefill(queue, {static_cast<double>(tokens), most}, pace, now);
+                reservePrefill(queue, {static_cast<double>(tokens), most}, rate, now);
             RC_ASSERT(std::abs(reply.ahead - waiting) < 1);
             RC_ASSERT(reply.reserved == (reply.ahead <= most));
             if (reply.reserved)
@@ -78,7 +78,7 @@
 
 namespace {
 
-struct Played
+struct QueueSimulation
 {
     double onTime = 0; ///< share of calls
     double worstMs = 0;
@@ -88,18 +88,18 @@
  * Long prompts for one adapter that is resident at six engines, sent by many VMs whose view of the
  * load is 300 ms old. With `asking`, each call tries reservations at up to three engines first.
  */
-Played play(bool asking)
+QueueSimulation simulate(bool reserves)
 {
     constexpr int calls = 4000;
     constexpr double callEveryMs = 62; // three fifths of the capacity of the six engines
-    constexpr double newsEveryMs = 300;
+    constexpr double updateEveryMs = 300;
     constexpr double objectiveMs = 1000;
     EngineWeights weights;
-    weights.promptTokensPerMs = pace;
+    weights.promptTokensPerMs = rate;
     const ResidentVersions holds{{"m/a", 1}};
     std::mt19937 random(11);
-    std::exponential_distribution<double> pauseMs(1 / callEveryMs);
-    std::uniform_real_distribution<double> doubt(0, newsEveryMs);
+    std::exponential_distribution<double> gapMs(1 / callEveryMs);
+    std::uniform_real_distribution<double> doubt(0, updateEveryMs);
     EngineNeed need;
     need.adapter = "m/a";
     need.promptTokens = 9000;
@@ -111,16 +111,16 @@
         views[index].kvTokens = 230000;
         views[index].resident = &holds;
     }
-    Played played;
+    QueueSimulation played;
     double atMs = 0;
-    double toldMs = -newsEveryMs;
+    double toldMs = -updateEveryMs;
     for (int call = 0; call < calls; ++call) {
-        atMs += pauseMs(random);
+        atMs += gapMs(random);
         const Instant now = start + fromSeconds(atMs / 1000);
-        if (atMs - toldMs >= newsEveryMs) {
+        if (atMs - toldMs >= updateEveryMs) {
             toldMs = atMs;
             for (std::size_t index = 0; index < views.size(); ++index)
-                views[index].waitingTokens = waitingTokens(queues[index], pace, now);
+                views[index].waitingTokens = waitingTokens(queues[index], rate, now);
         }
         std::vector<EngineView> known = views;
         std::size_t chosen = 0;
@@ -129,20 +129,20 @@
                 view.jitterMs = doubt(random);
             chosen = chooseEngine(known, need, {}, weights).engine;
             const double most =
-                0.5 * maxTokensAhead({0.85 * objectiveMs, need.promptTokens, 0, pace});
-            const double bound = std::max(most, known[chosen].waitingTokens);
-            if (!asking || asked == 3)
+                0.5 * maxTokensAhead({0.85 * objectiveMs, need.promptTokens, 0, rate});
+            const double maxAhead = std::max(most, known[chosen].waitingTokens);
+            if (!reserves || asked == 3)
                 break;
-            const PrefillReply reply = reservePrefill(queues[chosen], {0, bound}, pace, now);
+            const PrefillReply reply = reservePrefill(queues[chosen], {0, maxAhead}, rate, now);
             if (reply.reserved)
                 break;
             known[chosen].waitingTokens = reply.ahead;
         }
-        const double waitMs = waitingTokens(queues[chosen], pace, now) / pace;
-        const double firstMs = waitMs + need.promptTokens / pace;
+        const double waitMs = waitingTokens(queues[chosen], rate, now) / rate;
+        const double firstMs = waitMs + need.promptTokens / rate;
         played.onTime += firstMs <= objectiveMs ? 1.0 / calls : 0;
         played.worstMs = std::max(played.worstMs, firstMs);
-        reservePrefill(queues[chosen], {need.promptTokens, 1e9}, pace, now);
+        reservePrefill(queues[chosen], {need.promptTokens, 1e9}, rate, now);
     }
     return played;
 }
@@ -151,12 +151,12 @@
 
 // Guards against calls that queue for seconds at one engine while others with the same adapter are
 // idle, because many VMs choose by the same outdated view.
-Test(prefill_queue, calls_that_ask_are_on_time_where_news_are_old)
+Test(prefill_queue, calls_that_reserve_are_on_time_although_updates_are_old)
 {
-    const Played byNews = play(false);
-    const Played byAsking = play(true);
-    cr_assert_gt(byAsking.onTime, 0.99, "%f on time", byAsking.onTime);
-    cr_assert_gt(byAsking.onTime, byNews.onTime);
-    cr_assert_lt(byAsking.worstMs, byNews.worstMs, "%f ms, by updates %f ms (%f on time)",
-                 byAsking.worstMs, byNews.worstMs, byNews.onTime);
+    const QueueSimulation byUpdates = simulate(false);
+    const QueueSimulation byReserving = simulate(true);
+    cr_assert_gt(byReserving.onTime, 0.99, "%f on time", byReserving.onTime);
+    cr_assert_gt(byReserving.onTime, byUpdates.onTime);
+    cr_assert_lt(byReserving.worstMs, byUpdates.worstMs, "%f ms, by updates %f ms (%f on time)",
+                 byReserving.worstMs, byUpdates.worstMs, byUpdates.onTime);
 }
--- a/libs/serving/tests/Prefixes.cpp
+++ b/libs/serving/tests/Prefixes.cpp
@@ -16,7 +16,7 @@
 const Instant start = Instant{} + 1000s;
 
 /** Reference implementation: one table that is scanned for every query. */
-struct NaiveBook
+struct ReferenceIndex
 {
     std::map<std::pair<std::uint64_t, std::uint64_t>, CachedPrefix> rows; ///< by engine and prefix
 
@@ -81,11 +81,11 @@
 
 // Guards against sums, eviction order or hold times that deviate from the plain rules for some
 // order of calls.
-Test(prefixes, the_book_does_as_a_naive_one)
+Test(prefixes, the_index_matches_a_reference_implementation)
 {
     cr_assert(rc::check("book", [] {
-        PrefixIndex book;
-        NaiveBook naive;
+        PrefixIndex index;
+        ReferenceIndex reference;
         Instant now = start;
         const auto steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
@@ -95,80 +95,80 @@
             now += *rc::gen::inRange(0, 1500) * 1ms;
             const int kind = *rc::gen::inRange(0, 7);
             if (kind <= 1) {
-                std::vector<PromptPrefix> news;
+                std::vector<PromptPrefix> toReport;
                 for (const PromptPrefix &prefix : prompt) {
-                    if (naive.note(engine, prefix, true, now))
-                        news.push_back(prefix);
+                    if (reference.note(engine, prefix, true, now))
+                        toReport.push_back(prefix);
                 }
-                RC_ASSERT(recordRead(book, engine, prompt, now) == news);
+                RC_ASSERT(recordRead(index, engine, prompt, now) == toReport);
             } else if (kind == 2) {
-                RC_ASSERT(recordReported(book, engine, prompt.back(), now)
-                          == naive.note(engine, prompt.back(), false, now));
+                RC_ASSERT(recordReported(index, engine, prompt.back(), now)
+                          == reference.note(engine, prompt.back(), false, now));
             } else if (kind == 3) {
-                recordMissing(book, engine, prompt, now);
+                recordMissing(index, engine, prompt, now);
                 for (const PromptPrefix &prefix : prompt) {
-                    const auto row = naive.rows.find({engine, prefix.hash});
-                    if (row == naive.rows.end())
+                    const auto row = reference.rows.find({engine, prefix.hash});
+                    if (row == reference.rows.end())
                         continue;
                     row->second.tokens = 0;
                     row->second.doubtedUntil = now + missingPrefixHold;
                 }
             } else if (kind == 4) {
                 const double tokens = *rc::gen::inRange(0, 8000);
-                evictToFit(book, engine, tokens);
-                naive.evictToFit(engine, tokens);
+                evictToFit(index, engine, tokens);
+                reference.evictToFit(engine, tokens);
             } else {
                 const bool whole = kind == 5;
                 const auto tag = prefixTag(prompt[0].hash);
-                whole ? forgetEngine(book, engine) : forgetAdapter(book, engine, tag);
-                std::erase_if(naive.rows, [&](const auto &row) {
+                whole ? forgetEngine(index, engine) : forgetAdapter(index, engine, tag);
+                std::erase_if(reference.rows, [&](const auto &row) {
                     return row.first.first == engine
                         && (whole || prefixTag(row.first.second) == tag);
                 });
             }
             for (std::uint64_t asked = 1; asked < 4; ++asked) {
                 const auto any = promptOf(adapter, 3);
-                const auto of = book.engines.find(asked);
-                RC_ASSERT(cachedPrefixTokens(book, asked, any)
-                          == naive.cachedPrefixTokens(asked, any));
-                RC_ASSERT((of == book.engines.end() ? 0 : of->second.tokens)
-                          == naive.tokensAt(asked));
+                const auto of = index.engines.find(asked);
+                RC_ASSERT(cachedPrefixTokens(index, asked, any)
+                          == reference.cachedPrefixTokens(asked, any));
+                RC_ASSERT((of == index.engines.end() ? 0 : of->second.tokens)
+                          == reference.tokensAt(asked));
             }
         }
     }));
 }
 
 // Guards against memory that grows with the calls, or with the engines named in messages.
-Test(prefixes, the_book_is_bounded)
+Test(prefixes, the_index_is_bounded)
 {
-    PrefixIndex book;
+    PrefixIndex index;
     std::uint64_t hash = 0;
-    const auto total = [&book] {
+    const auto total = [&index] {
         std::size_t sum = 0;
-        for (const auto &[engine, of] : book.engines)
+        for (const auto &[engine, of] : index.engines)
             sum += of.byHash.size();
         return sum;
     };
     for (std::uint64_t read = 0; read < 2 * maxPrefixesPerEngine; ++read)
-        recordReported(book, 1, {++hash, 1000}, start + read * 1ms);
-    cr_assert_eq(book.engines.at(1).byHash.size(), maxPrefixesPerEngine);
-    cr_assert_eq(cachedPrefixTokens(book, 1, {{hash, 1000}}), 1000);
-    cr_assert_eq(cachedPrefixTokens(book, 1, {{1, 1000}}), 0,
+        recordReported(index, 1, {++hash, 1000}, start + read * 1ms);
+    cr_assert_eq(index.engines.at(1).byHash.size(), maxPrefixesPerEngine);
+    cr_assert_eq(cachedPrefixTokens(index, 1, {{hash, 1000}}), 1000);
+    cr_assert_eq(cachedPrefixTokens(index, 1, {{1, 1000}}), 0,
                  "the least recently read prefix is evicted first");
     std::size_t most = 0;
     for (std::uint64_t engine = 2; engine < 600; ++engine) {
         for (int read = 0; read < 300; ++read)
-            recordReported(book, engine, {++hash, 1000}, start + 1s);
+            recordReported(index, engine, {++hash, 1000}, start + 1s);
         most = std::max(most, total());
     }
     cr_assert_leq(most, maxPrefixesInIndex);
     for (std::uint64_t engine = 600; engine < 2 * maxEnginesInIndex; ++engine)
-        recordReported(book, engine, {++hash, 1000}, start + 2s);
-    cr_assert_eq(book.engines.size(), maxEnginesInIndex);
+        recordReported(index, engine, {++hash, 1000}, start + 2s);
+    cr_assert_eq(index.engines.size(), maxEnginesInIndex);
     cr_assert_leq(total(), maxPrefixesInIndex);
-    forgetUnused(book, start + 2s + unusedEngineExpiry + 1ms);
-    cr_assert(book.engines.empty());
-    cr_assert_eq(book.limit, maxPrefixesPerEngine);
+    forgetUnused(index, start + 2s + unusedEngineExpiry + 1ms);
+    cr_assert(index.engines.empty());
+    cr_assert_eq(index.limit, maxPrefixesPerEngine);
 }
 
 // Guards against estimates based on a prompt of another adapter, or on one that only ends alike.
@@ -193,7 +193,7 @@
 
 // Guards against an assumption that is never dropped, and against one that is dropped because the
 // engine was busy with other prompts.
-Test(prefixes, only_a_whole_reading_at_a_calm_engine_shows_that_a_prefix_is_missing)
+Test(prefixes, only_a_full_prefill_at_an_idle_engine_indicates_a_cache_miss)
 {
     const auto missing = [](Duration untilFirst, double kept, double ahead) {
         return indicatesCacheMiss({untilFirst, 8000, kept, ahead}, 40);
@@ -219,7 +219,7 @@
         PrefixReader reader;
         reader.zonePeer = true;
         reader.sourceVm = 1;
-        std::set<PrefixRead> had;
+        std::set<PrefixRead> received;
         std::uint64_t number = 0;
         Instant now = start;
         const auto rounds = *rc::gen::inRange(1, 12);
@@ -243,12 +243,12 @@
                     wanted.push_back(entry->read);
             }
             std::sort(wanted.begin(), wanted.end());
-            const auto told = prefixesFor(log, reader, now);
-            RC_ASSERT(told == wanted);
+            const auto result = prefixesFor(log, reader, now);
+            RC_ASSERT(result == wanted);
             if (*rc::gen::arbitrary<bool>())
                 continue; // the reply is lost
-            for (const PrefixRead &read : told)
-                RC_ASSERT(had.insert(read).second);
+            for (const PrefixRead &read : result)
+                RC_ASSERT(received.insert(read).second);
             reader.seen = log.last;
         }
     }));
--- a/libs/serving/tests/Queue.cpp
+++ b/libs/serving/tests/Queue.cpp
@@ -15,7 +15,7 @@
 constexpr Duration loadTime = 300ms;
 
 /** An engine with that many running loads, each of which is done `loadTime` after `start`. */
-AdapterScheduler busyScheduler(int loads)
+AdapterScheduler schedulerWithLoads(int loads)
 {
     AdapterScheduler scheduler;
     scheduler.adapterSlots = 11;
@@ -29,10 +29,10 @@
 
 } // namespace
 
-Test(load_queue, an_idle_engine_begins_at_once)
+Test(load_queue, an_idle_engine_starts_loads_at_once)
 {
-    cr_assert(expectedBegin(busyScheduler(0), 0, loadTime, start) == start);
-    cr_assert(expectedBegin(busyScheduler(3), 0, loadTime, start) == start);
+    cr_assert(expectedBegin(schedulerWithLoads(0), 0, loadTime, start) == start);
+    cr_assert(expectedBegin(schedulerWithLoads(3), 0, loadTime, start) == start);
 }
 
 // Guards against refusing a call only when its wait for a load is cut off: with an objective of 500
@@ -40,17 +40,17 @@
 // load commands. An engine runs four loads at a time, and each unanswered command blocks it for
 // another 300 ms; calls queued up there while other engines had capacity, as nothing estimated when
 // their load would start.
-Test(load_queue, a_load_behind_a_long_queue_is_known_to_begin_late)
+Test(load_queue, a_load_behind_a_long_queue_is_expected_late)
 {
-    const AdapterScheduler scheduler = busyScheduler(maxLoadsPerEngine);
+    const AdapterScheduler scheduler = schedulerWithLoads(maxLoadsPerEngine);
     cr_assert(expectedBegin(scheduler, 0, loadTime, start) == start + loadTime);
     cr_assert(expectedBegin(scheduler, maxLoadsPerEngine - 1, loadTime, start) == start + loadTime);
     cr_assert(expectedBegin(scheduler, maxLoadsPerEngine, loadTime, start) == start + 2 * loadTime);
-    cr_assert(expectedBegin(busyScheduler(0), 0, loadTime, start + 310ms) == start + 310ms,
+    cr_assert(expectedBegin(schedulerWithLoads(0), 0, loadTime, start + 310ms) == start + 310ms,
               "an unanswered command delays all loads");
 }
 
-Test(load_queue, among_equals_who_came_first_goes_first_and_an_adapter_counts_once)
+Test(load_queue, among_equals_the_first_goes_first_and_an_adapter_counts_once)
 {
     LoadQueue queue;
     const AdapterScheduler scheduler;
@@ -73,7 +73,7 @@
     cr_assert(rc::check("order of loads", [] {
         LoadQueue queue;
         AdapterScheduler scheduler;
-        std::vector<std::array<int, 4>> naive; // rank, minus callers, arrival, adapter
+        std::vector<std::array<int, 4>> expected; // rank, minus callers, arrival, adapter
         for (int index = 0; index < 6; ++index) {
             const std::string adapter = "m/" + std::to_string(index);
             const int callers = *rc::gen::inRange(1, 4);
@@ -86,11 +86,11 @@
             if (*rc::gen::inRange(0, 4) == 0)
                 scheduler.slots[adapter].loading = true;
             else
-                naive.push_back({least, -callers, index, index});
+                expected.push_back({least, -callers, index, index});
         }
-        std::sort(naive.begin(), naive.end());
-        for (std::size_t turn = 0; turn < naive.size(); ++turn) {
-            const std::string adapter = "m/" + std::to_string(naive[turn][3]);
+        std::sort(expected.begin(), expected.end());
+        for (std::size_t turn = 0; turn < expected.size(); ++turn) {
+            const std::string adapter = "m/" + std::to_string(expected[turn][3]);
             RC_ASSERT(loadsAhead(queue, scheduler, adapter) == static_cast<int>(turn));
         }
     }));
--- a/libs/serving/tests/Relays.cpp
+++ b/libs/serving/tests/Relays.cpp
@@ -16,7 +16,7 @@
 
 const Instant start = Instant{} + 1000s;
 
-ZonePeer mate(double capacity, std::uint64_t hash)
+ZonePeer zonePeer(double capacity, std::uint64_t hash)
 {
     ZonePeer made;
     made.rank.capacity = capacity;
@@ -26,11 +26,11 @@
 
 TargetUsages usageOf(const std::string &target, int runs, double tokens)
 {
-    TargetUsage use;
-    use.runs = runs;
-    use.waitingTokens = tokens;
-    use.heldTokens = 2 * tokens;
-    return {{target, use}};
+    TargetUsage usage;
+    usage.runs = runs;
+    usage.waitingTokens = tokens;
+    usage.heldTokens = 2 * tokens;
+    return {{target, usage}};
 }
 
 ReporterUsage reportOf(TargetUsages uses, Instant at)
@@ -43,47 +43,47 @@
 
 } // namespace
 
-Test(relays, the_strongest_that_reaches_the_store_relays)
+Test(relays, the_strongest_vm_that_reaches_the_store_is_the_relay)
 {
     RelayRank self;
     self.capacity = 0.25;
     self.hash = 5;
-    std::vector<ZonePeer> mates{mate(0.5, 9), mate(0.25, 1)};
-    cr_assert_eq(chooseUpstream(self, false, mates), std::optional<std::size_t>(0));
-    mates[0].rank.storeUnreachable = true;
-    cr_assert_eq(chooseUpstream(self, false, mates), std::optional<std::size_t>(1));
-    mates[1].reachable = false;
-    cr_assert(!chooseUpstream(self, false, mates));
-    cr_assert(isRelay(self, false, mates));
+    std::vector<ZonePeer> peers{zonePeer(0.5, 9), zonePeer(0.25, 1)};
+    cr_assert_eq(chooseUpstream(self, false, peers), std::optional<std::size_t>(0));
+    peers[0].rank.storeUnreachable = true;
+    cr_assert_eq(chooseUpstream(self, false, peers), std::optional<std::size_t>(1));
+    peers[1].reachable = false;
+    cr_assert(!chooseUpstream(self, false, peers));
+    cr_assert(isRelay(self, false, peers));
 }
 
 // Guards against a VM that is started while the store is unreachable and learns nothing although
 // its zone peers have all state: as the strongest it has no VM above it and only tries the store. A
 // starting VM must take updates from any VM that is not starting.
-Test(relays, a_starting_vm_learns_from_those_below_it)
+Test(relays, a_starting_vm_takes_updates_from_lower_ranked_vms)
 {
     RelayRank self;
     self.capacity = 0.5;
-    std::vector<ZonePeer> mates{mate(0.25, 1)};
-    cr_assert(isRelay(self, true, mates));
-    cr_assert(!chooseUpstream(self, false, mates));
-    cr_assert_eq(chooseUpstream(self, true, mates), std::optional<std::size_t>(0));
-    mates[0].starting = true;
-    cr_assert(!chooseUpstream(self, true, mates), "that peer has no state either");
+    std::vector<ZonePeer> peers{zonePeer(0.25, 1)};
+    cr_assert(isRelay(self, true, peers));
+    cr_assert(!chooseUpstream(self, false, peers));
+    cr_assert_eq(chooseUpstream(self, true, peers), std::optional<std::size_t>(0));
+    peers[0].starting = true;
+    cr_assert(!chooseUpstream(self, true, peers), "that peer has no state either");
 }
 
 // Guards against a VM that neither reads the list nor receives it, because the VM above it is
 // starting.
-Test(relays, a_vm_relays_on_until_the_one_above_it_has_started)
+Test(relays, a_vm_stays_relay_until_the_one_above_it_has_started)
 {
     RelayRank self;
     self.capacity = 0.25;
-    std::vector<ZonePeer> mates{mate(0.5, 1)};
-    mates[0].starting = true;
-    cr_assert(!chooseUpstream(self, false, mates));
-    cr_assert(isRelay(self, false, mates));
-    mates[0].starting = false;
-    cr_assert(!isRelay(self, false, mates));
+    std::vector<ZonePeer> peers{zonePeer(0.5, 1)};
+    peers[0].starting = true;
+    cr_assert(!chooseUpstream(self, false, peers));
+    cr_assert(isRelay(self, false, peers));
+    peers[0].starting = false;
+    cr_assert(!isRelay(self, false, peers));
 }
 
 // VMs that see the same zone peers agree on one relay, and all others report to it.
@@ -94,7 +94,7 @@
         std::vector<ZonePeer> all;
         for (int vm = 0; vm < count; ++vm) {
             ZonePeer made =
-                mate(*rc::gen::element(0.12, 0.25, 0.5), static_cast<std::uint64_t>(vm));
+                zonePeer(*rc::gen::element(0.12, 0.25, 0.5), static_cast<std::uint64_t>(vm));
             made.rank.storeUnreachable = *rc::gen::arbitrary<bool>();
             all.push_back(made);
         }
@@ -115,11 +115,12 @@
     cr_assert(holds);
 }
 
-Test(relays, holders_are_the_best_ranked_that_can_be_reached)
+Test(relays, lease_holders_are_the_best_ranked_reachable_vms)
 {
-    std::vector<ZonePeer> mates{mate(0.12, 1), mate(0.5, 2), mate(0.25, 3), mate(0.25, 4)};
-    mates[2].reachable = false;
-    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{1, 3}));
+    std::vector<ZonePeer> peers{zonePeer(0.12, 1), zonePeer(0.5, 2), zonePeer(0.25, 3),
+                                zonePeer(0.25, 4)};
+    peers[2].reachable = false;
+    cr_assert_eq(chooseLeaseHolders(peers, 2), (std::vector<std::size_t>{1, 3}));
 }
 
 // Guards against engines without commands for 3 to 6 s after a change of the relay: the new relay
@@ -127,24 +128,25 @@
 // reassigned all engines. Current lease holders must be preferred.
 Test(relays, those_that_hold_already_go_on)
 {
-    std::vector<ZonePeer> mates{mate(0.5, 1), mate(0.25, 2), mate(0.12, 3), mate(0.12, 4)};
-    mates[2].leaseHolder = true;
-    mates[3].leaseHolder = true;
-    mates[3].rank.storeUnreachable = true;
-    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{2, 3}));
-    mates[2].reachable = false;
-    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{3, 0}));
+    std::vector<ZonePeer> peers{zonePeer(0.5, 1), zonePeer(0.25, 2), zonePeer(0.12, 3),
+                                zonePeer(0.12, 4)};
+    peers[2].leaseHolder = true;
+    peers[3].leaseHolder = true;
+    peers[3].rank.storeUnreachable = true;
+    cr_assert_eq(chooseLeaseHolders(peers, 2), (std::vector<std::size_t>{2, 3}));
+    peers[2].reachable = false;
+    cr_assert_eq(chooseLeaseHolders(peers, 2), (std::vector<std::size_t>{3, 0}));
 }
 
 // Guards against engines that get no commands because their lease holders do not reach them.
-Test(relays, a_mate_that_reaches_no_engines_orders_none_while_others_can)
+Test(relays, vms_that_reach_no_engines_hold_leases_last)
 {
-    std::vector<ZonePeer> mates{mate(0.25, 1), mate(0.25, 2), mate(0.25, 3)};
-    mates[0].leaseHolder = true;
-    mates[0].linksLost = true;
-    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{1, 2}));
-    mates[1].linksLost = true;
-    cr_assert_eq(chooseLeaseHolders(mates, 2), (std::vector<std::size_t>{2, 0}));
+    std::vector<ZonePeer> peers{zonePeer(0.25, 1), zonePeer(0.25, 2), zonePeer(0.25, 3)};
+    peers[0].leaseHolder = true;
+    peers[0].linksLost = true;
+    cr_assert_eq(chooseLeaseHolders(peers, 2), (std::vector<std::size_t>{1, 2}));
+    peers[1].linksLost = true;
+    cr_assert_eq(chooseLeaseHolders(peers, 2), (std::vector<std::size_t>{2, 0}));
 }
 
 // The sum must equal adding up all current reports, whatever reports came, went or were replaced: a
@@ -153,7 +155,7 @@
 {
     const bool holds = rc::check("sum", [] {
         UsageLedger ledger;
-        std::map<std::string, ReporterUsage> naive;
+        std::map<std::string, ReporterUsage> reference;
         Instant now = start;
         const int steps = *rc::gen::inRange(1, 40);
         for (int step = 0; step < steps; ++step) {
@@ -163,18 +165,18 @@
             const int runs = *rc::gen::inRange(0, 5);
             const ReporterUsage report = reportOf(usageOf(target, runs, 100.0 * runs), now);
             applyReport(ledger, reporter, report);
-            naive[reporter] = report;
+            reference[reporter] = report;
             if (*rc::gen::inRange(0, 5) == 0) {
                 dropSilent(ledger, 300ms, now);
-                std::erase_if(naive,
+                std::erase_if(reference,
                               [now](const auto &old) { return now - old.second.at > 300ms; });
             }
         }
         std::map<std::string, std::pair<int, double>> expected;
-        for (const auto &[reporter, report] : naive) {
-            for (const auto &[target, use] : report.targets) {
-                expected[target].first += use.runs;
-                expected[target].second += use.waitingTokens;
+        for (const auto &[reporter, report] : reference) {
+            for (const auto &[target, usage] : report.targets) {
+                expected[target].first += usage.runs;
+                expected[target].second += usage.waitingTokens;
             }
         }
         for (const auto &[target, sum] : expected) {
@@ -183,12 +185,12 @@
             RC_ASSERT((found == ledger.total.end() ? 0 : found->second.waitingTokens)
                       == sum.second);
         }
-        RC_ASSERT(vmsReported(ledger) == static_cast<int>(naive.size()));
+        RC_ASSERT(vmsReported(ledger) == static_cast<int>(reference.size()));
     });
     cr_assert(holds);
 }
 
-Test(relays, a_reporter_is_not_told_its_own_use)
+Test(relays, a_reporter_does_not_receive_its_own_usage)
 {
     UsageLedger ledger;
     applyReport(ledger, "a", reportOf(usageOf("t", 3, 300), start));
@@ -199,7 +201,7 @@
 
 // Guards against calls sent to engines that have unloaded their adapter: a lease moves to another
 // holder, and the records of both arrive in reverse order, also through a third VM.
-Test(relays, the_later_holders_word_stands_in_any_order)
+Test(relays, the_record_of_the_later_lease_wins_in_any_order)
 {
     EngineRecord former;
     former.revision = {4, 1, 90};
@@ -219,16 +221,16 @@
 
 // Guards against calls sent to engines that lost their adapters in a restart under the same id,
 // when records of the former start, even of a later lease, arrive afterwards.
-Test(relays, words_of_a_former_start_are_dropped)
+Test(relays, records_of_a_former_start_are_dropped)
 {
-    EngineRecord reborn;
-    reborn.startTime = 5000;
-    reborn.revision = {4, 1, 91};
+    EngineRecord current;
+    current.startTime = 5000;
+    current.revision = {4, 1, 91};
     EngineRecord former;
     former.startTime = 1000;
     former.revision = {5, 1, 1};
-    cr_assert(!mayReplaceRecord(reborn, former));
-    cr_assert(mayReplaceRecord(former, reborn));
+    cr_assert(!mayReplaceRecord(current, former));
+    cr_assert(mayReplaceRecord(former, current));
 }
 
 // A reader that asks for changes since its last reply ends up with all values, however the requests
--- a/libs/serving/tests/Retries.cpp
+++ b/libs/serving/tests/Retries.cpp
@@ -13,20 +13,20 @@
 
 enum class Kind : std::uint8_t { Call, Repeat, Restart };
 
-struct Happening
+struct Event
 {
     int vm;
     Kind kind;
     int afterMs;
 };
 
-std::vector<Happening> drawHappenings(int vms)
+std::vector<Event> generateEvents(int vms)
 {
     const auto kind =
         rc::gen::weightedElement<Kind>({{9, Kind::Call}, {9, Kind::Repeat}, {1, Kind::Restart}});
     const auto one =
-        rc::gen::construct<Happening>(rc::gen::inRange(0, vms), kind, rc::gen::inRange(0, 120));
-    return *rc::gen::resize(400, rc::gen::container<std::vector<Happening>>(one));
+        rc::gen::construct<Event>(rc::gen::inRange(0, vms), kind, rc::gen::inRange(0, 120));
+    return *rc::gen::resize(400, rc::gen::container<std::vector<Event>>(one));
 }
 
 /** One VM's share of a service's budget. */
@@ -59,12 +59,12 @@
         for (Vm &vm : all)
             vm.sharing = among(vms);
         std::deque<Instant> calls;
-        std::deque<Instant> repeats;
+        std::deque<Instant> retries;
         Instant now = Instant{} + 100s;
-        for (const Happening &happening : drawHappenings(vms)) {
-            now += std::chrono::milliseconds(happening.afterMs);
-            Vm &vm = all[static_cast<std::size_t>(happening.vm)];
-            if (happening.kind == Kind::Restart) {
+        for (const Event &event : generateEvents(vms)) {
+            now += std::chrono::milliseconds(event.afterMs);
+            Vm &vm = all[static_cast<std::size_t>(event.vm)];
+            if (event.kind == Kind::Restart) {
                 vm = Vm();
                 vm.sharing.from = slackAvailableFrom(policy, now);
                 vm.knowsOthersAt = now + 300ms;
@@ -72,20 +72,20 @@
             }
             if (now >= vm.knowsOthersAt)
                 vm.sharing.vms = vms;
-            if (happening.kind == Kind::Call) {
+            if (event.kind == Kind::Call) {
                 recordCall(vm.budget, policy, now);
                 calls.push_back(now);
                 continue;
             }
             if (!tryTakeRetry(vm.budget, policy, vm.sharing, now))
                 continue;
-            repeats.push_back(now);
-            while (!repeats.empty() && now - repeats.front() > policy.window)
-                repeats.pop_front();
+            retries.push_back(now);
+            while (!retries.empty() && now - retries.front() > policy.window)
+                retries.pop_front();
             while (!calls.empty() && now - calls.front() > 2 * policy.window)
                 calls.pop_front();
             const double allowed = policy.ratio * static_cast<double>(calls.size()) + policy.slack;
-            RC_ASSERT(static_cast<double>(repeats.size()) <= allowed);
+            RC_ASSERT(static_cast<double>(retries.size()) <= allowed);
         }
     }));
 }
@@ -117,7 +117,7 @@
     }));
 }
 
-Test(retries, the_share_comes_back_after_the_window)
+Test(retries, the_share_is_available_again_after_the_window)
 {
     RetryPolicy policy;
     policy.slack = 10;
@@ -133,7 +133,7 @@
 
 // Guards against a VM that uses the whole slack while it does not know how many other VMs there
 // are.
-Test(retries, a_vm_that_knows_of_no_others_has_no_part_of_the_slack)
+Test(retries, a_vm_that_does_not_know_the_fleet_size_has_no_slack)
 {
     RetryPolicy policy;
     ServiceRetryBudget budget;
@@ -146,7 +146,7 @@
 }
 
 // Guards against a share of the slack for each start of a VM instead of one for each VM.
-Test(retries, a_vm_has_its_part_of_the_slack_a_window_after_its_start)
+Test(retries, a_vm_has_its_share_of_the_slack_a_window_after_its_start)
 {
     RetryPolicy policy;
     ServiceRetryBudget budget;
--- a/libs/serving/tests/Routes.cpp
+++ b/libs/serving/tests/Routes.cpp
@@ -17,8 +17,8 @@
 }
 
 /** Reference implementation that checks every route. */
-const Route *findNaively(const ServingConfig &config, const std::string &host,
-                         const std::string &path)
+const Route *findByScan(const ServingConfig &config, const std::string &host,
+                        const std::string &path)
 {
     const Route *best = nullptr;
     const std::string plain = path.substr(0, path.find('?'));
@@ -32,7 +32,7 @@
     return best;
 }
 
-std::string drawnPath(const std::vector<int> &parts)
+std::string generatePath(const std::vector<int> &parts)
 {
     std::string path = "/";
     for (const int part : parts)
@@ -42,24 +42,24 @@
 
 } // namespace
 
-Test(routes, longest_prefix_against_a_naive_search)
+Test(routes, longest_prefix_matches_a_reference_search)
 {
     cr_assert(rc::check("longest prefix", [] {
-        const auto drawnParts = rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 3));
+        const auto generatedParts = rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 3));
         ServingConfig config;
-        const auto prefixes = *rc::gen::container<std::vector<std::vector<int>>>(drawnParts);
+        const auto prefixes = *rc::gen::container<std::vector<std::vector<int>>>(generatedParts);
         for (const std::vector<int> &parts : prefixes)
             config.routes.push_back(
-                route("h" + std::to_string(parts.size() % 2), drawnPath(parts)));
+                route("h" + std::to_string(parts.size() % 2), generatePath(parts)));
         const RouteTable table(config);
-        std::string path = drawnPath(*drawnParts);
+        std::string path = generatePath(*generatedParts);
         if (*rc::gen::arbitrary<bool>())
             path.pop_back();
         if (*rc::gen::arbitrary<bool>())
             path += "?q=/a/b/";
         const std::string host = "h" + std::to_string(*rc::gen::inRange(0, 3));
         const Route *found = table.findRoute(host, path);
-        const Route *expected = findNaively(config, host, path);
+        const Route *expected = findByScan(config, host, path);
         RC_ASSERT((found == nullptr) == (expected == nullptr));
         if (found != nullptr)
             RC_ASSERT(found->pathPrefix == expected->pathPrefix);
@@ -109,7 +109,7 @@
     cr_assert(!mayReplace(4, 3));
 }
 
-Test(routes, what_may_be_repeated)
+Test(routes, retries_depend_on_the_kind_of_call)
 {
     Route any = route("one", "/");
     any.kind = CallKind::Streaming;
--- a/libs/serving/tests/StreamOrigins.cpp
+++ b/libs/serving/tests/StreamOrigins.cpp
@@ -21,7 +21,7 @@
     return names;
 }
 
-std::set<std::string> keeperNames(StreamId id, const std::vector<std::string> &names)
+std::set<std::string> replicaNames(StreamId id, const std::vector<std::string> &names)
 {
     std::set<std::string> chosen;
     for (const std::size_t index : chooseReplicas(id, names, 2))
@@ -32,7 +32,7 @@
 } // namespace
 
 // Guards against a stream that is resumed at another software version, or after its deadline.
-Test(stream_origins, what_began_a_stream_is_known_until_its_caller_gives_up)
+Test(stream_origins, the_origin_of_a_stream_is_known_until_its_deadline)
 {
     StreamOrigins origins;
     const StreamId id = streamIdOf("attempt-1");
@@ -60,20 +60,20 @@
 
 // Guards against VMs that store origins at some VMs and ask others, because their lists are ordered
 // differently or one VM has ended.
-Test(stream_origins, vms_agree_on_who_keeps_a_stream)
+Test(stream_origins, vms_agree_on_the_replicas_of_a_stream)
 {
     cr_assert(rc::check("keepers", [] {
         const auto id = *rc::gen::arbitrary<StreamId>();
         std::vector<std::string> names = vmNames(*rc::gen::inRange<std::size_t>(3, 60));
-        const std::set<std::string> chosen = keeperNames(id, names);
+        const std::set<std::string> chosen = replicaNames(id, names);
         RC_ASSERT(chosen.size() == 2u);
         std::reverse(names.begin(), names.end());
-        RC_ASSERT(keeperNames(id, names) == chosen);
+        RC_ASSERT(replicaNames(id, names) == chosen);
         const std::string gone = *rc::gen::elementOf(names);
         std::erase(names, gone);
-        std::set<std::string> after = keeperNames(id, names);
-        for (const std::string &keeper : chosen)
-            RC_ASSERT(keeper == gone || after.count(keeper) == 1);
+        std::set<std::string> after = replicaNames(id, names);
+        for (const std::string &replica : chosen)
+            RC_ASSERT(replica == gone || after.count(replica) == 1);
     }));
 }
 
@@ -83,9 +83,9 @@
     const std::vector<std::string> names = vmNames(20);
     std::map<std::string, int> kept;
     for (int stream = 0; stream < streams; ++stream) {
-        for (const std::string &keeper :
-             keeperNames(streamIdOf("attempt-" + std::to_string(stream)), names))
-            ++kept[keeper];
+        for (const std::string &replica :
+             replicaNames(streamIdOf("attempt-" + std::to_string(stream)), names))
+            ++kept[replica];
     }
     for (const std::string &name : names) {
         cr_assert_gt(kept[name], 300);
@@ -111,7 +111,7 @@
 
 // Guards against taking an engine that has just restarted, whose version is not known yet, for one
 // of a version without a name.
-Test(software_versions, what_has_no_name_beside_named_versions_is_none)
+Test(software_versions, an_unnamed_version_next_to_named_ones_is_ignored)
 {
     SoftwareVersions versions;
     recordSoftware(versions, "", start);
@@ -127,7 +127,7 @@
 
 // Guards against streams at a version that other VMs do not know of yet, as they would take the old
 // one for the only one.
-Test(software_versions, a_new_version_settles_before_it_begins_streams)
+Test(software_versions, a_new_version_settles_before_it_starts_streams)
 {
     SoftwareVersions versions;
     cr_assert(isSettled(versions, "v1", start), "nothing is known yet");
