--- a/libs/serving/include/serving/LoadQueue.h
+++ b/libs/serving/include/serving/LoadQueue.h
@@ -43,9 +43,9 @@
 
 /**
  * Expected time at which a load starts that has `ahead` others before it, each of which takes
- * `loadTime`. The engine accepts commands from `ordersFrom` on.
+ * `loadTime`. The engine accepts commands from `commandsFrom` on.
  */
 Instant expectedBegin(const AdapterScheduler &scheduler, int ahead, Duration loadTime,
-                      Instant ordersFrom) noexcept;
+                      Instant commandsFrom) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/ServingConfig.h
+++ b/libs/serving/include/serving/ServingConfig.h
@@ -77,7 +77,7 @@
         Duration largest{};
     };
 
-    ServingConfig whole;
+    ServingConfig configuration;
     std::unordered_map<std::string, Objectives> objectivesByService;
     std::unordered_map<std::string, Duration> maxResumableTimeouts; ///< by service
     std::unordered_map<std::string, std::size_t> routeByHostAndPrefix;
--- a/libs/serving/include/serving/ZoneRelay.h
+++ b/libs/serving/include/serving/ZoneRelay.h
@@ -54,9 +54,10 @@
                                           const std::vector<ZonePeer> &peers) noexcept;
 
 /**
- * The zone peers that the relay lets hold leases on engines in addition to itself: the `most`
- * best-ranked ones, with current lease holders first and VMs that reach no engines last. Each VM
- * that joins causes engines to be reassigned, and a reassigned engine gets no commands for seconds.
+ * The zone peers that the relay lets hold leases on engines in addition to itself: the
+ * `maxHolders` best-ranked ones, with current lease holders first and VMs that reach no engines
+ * last. Each VM that joins causes engines to be reassigned, and a reassigned engine gets no
+ * commands for seconds.
  */
 std::vector<std::size_t> chooseLeaseHolders(const std::vector<ZonePeer> &peers,
                                             std::size_t maxHolders);
--- a/libs/serving/src/CapacityQueue.cpp
+++ b/libs/serving/src/CapacityQueue.cpp
@@ -114,17 +114,18 @@
 // CPU.
 std::vector<std::uint64_t> callsToWake(const CapacityQueue &queue, int loads, Instant now)
 {
-    std::vector<const WaitingCall *> order;
-    order.reserve(queue.calls.size());
+    std::vector<const WaitingCall *> ordered;
+    ordered.reserve(queue.calls.size());
     for (const WaitingCall &call : queue.calls) {
         if (now >= call.notBefore)
-            order.push_back(&call);
+            ordered.push_back(&call);
     }
-    std::sort(order.begin(), order.end(), [now](const WaitingCall *first, const WaitingCall *next) {
-        return isServedBefore(*first, *next, now);
-    });
+    std::sort(ordered.begin(), ordered.end(),
+              [now](const WaitingCall *first, const WaitingCall *next) {
+                  return isServedBefore(*first, *next, now);
+              });
     std::vector<std::uint64_t> woken;
-    for (const WaitingCall *call : order) {
+    for (const WaitingCall *call : ordered) {
         if (call->adapterReady) {
             woken.push_back(call->id);
         } else if (loads > 0) {
--- a/libs/serving/src/LoadQueue.cpp
+++ b/libs/serving/src/LoadQueue.cpp
@@ -63,16 +63,16 @@
 // this estimate, calls refused for lack of capacity fell from 4.8 to 4.0 in 100 on a test day with
 // load commands that were not answered (70 VMs, one run each).
 Instant expectedBegin(const AdapterScheduler &scheduler, int ahead, Duration loadTime,
-                      Instant ordersFrom) noexcept
+                      Instant commandsFrom) noexcept
 {
     std::array<Instant, maxLoadsPerEngine> freeFrom{};
-    freeFrom.fill(ordersFrom);
-    std::size_t taken = 0;
+    freeFrom.fill(commandsFrom);
+    std::size_t busySlots = 0;
     for (const auto &[adapter, slot] : scheduler.slots) {
-        if (!slot.loading || taken == freeFrom.size())
+        if (!slot.loading || busySlots == freeFrom.size())
             continue;
-        freeFrom[taken] = std::max(ordersFrom, slot.readyAt);
-        ++taken;
+        freeFrom[busySlots] = std::max(commandsFrom, slot.readyAt);
+        ++busySlots;
     }
     for (int load = 0; load < ahead; ++load) {
         Instant &next = *std::min_element(freeFrom.begin(), freeFrom.end());
--- a/libs/serving/src/LoadTimeModel.cpp
+++ b/libs/serving/src/LoadTimeModel.cpp
@@ -106,8 +106,8 @@
 void recordLoadOnTime(LoadTimeModel &times, int concurrentLoads, Duration waited) noexcept
 {
     ++times.onTimeStreak;
-    const Duration believed = fetchTime(times, concurrentLoads);
-    if (waited > believed)
+    const Duration estimate = fetchTime(times, concurrentLoads);
+    if (waited > estimate)
         return;
     const std::size_t classIndex = concurrencyClassOf(concurrentLoads);
     const Duration shorter = scaled(waited, 1 - shortenShareOf(times, classIndex));
--- a/libs/serving/src/PrefixIndex.cpp
+++ b/libs/serving/src/PrefixIndex.cpp
@@ -24,28 +24,29 @@
  */
 constexpr double minCacheShare = 0.25;
 
-using Kept = std::unordered_map<std::uint64_t, CachedPrefix>;
+using CachedPrefixes = std::unordered_map<std::uint64_t, CachedPrefix>;
 
-Kept::iterator erasePrefix(EnginePrefixes &of, Kept::iterator at)
+CachedPrefixes::iterator erasePrefix(EnginePrefixes &enginePrefixes, CachedPrefixes::iterator at)
 {
-    of.tokens -= at->second.tokens;
-    return of.byHash.erase(at);
+    enginePrefixes.tokens -= at->second.tokens;
+    return enginePrefixes.byHash.erase(at);
 }
 
 // The hash breaks ties, so that the result does not depend on the order of the hash table.
-void dropLeastRecent(EnginePrefixes &of)
+void dropLeastRecent(EnginePrefixes &enginePrefixes)
 {
-    const auto least =
-        std::min_element(of.byHash.begin(), of.byHash.end(), [](const auto &a, const auto &b) {
+    const auto leastRecent = std::min_element(
+        enginePrefixes.byHash.begin(), enginePrefixes.byHash.end(),
+        [](const auto &a, const auto &b) {
             return std::tie(a.second.readAt, a.first) < std::tie(b.second.readAt, b.first);
         });
-    erasePrefix(of, least);
+    erasePrefix(enginePrefixes, leastRecent);
 }
 
-void trimTo(EnginePrefixes &of, std::size_t limit)
+void trimTo(EnginePrefixes &enginePrefixes, std::size_t limit)
 {
-    while (of.byHash.size() > limit)
-        dropLeastRecent(of);
+    while (enginePrefixes.byHash.size() > limit)
+        dropLeastRecent(enginePrefixes);
 }
 
 void divideLimit(PrefixIndex &index, std::size_t engines)
@@ -56,8 +57,8 @@
     index.limit = limit;
     if (!fewer)
         return;
-    for (auto &[engine, of] : index.engines)
-        trimTo(of, limit);
+    for (auto &[engine, enginePrefixes] : index.engines)
+        trimTo(enginePrefixes, limit);
 }
 
 /** Null if the index is full. */
@@ -72,29 +73,30 @@
     return &index.engines[engine];
 }
 
-CachedPrefix &findOrAddPrefix(const PrefixIndex &index, EnginePrefixes &of, std::uint64_t hash)
+CachedPrefix &findOrAddPrefix(const PrefixIndex &index, EnginePrefixes &enginePrefixes,
+                              std::uint64_t hash)
 {
-    const auto found = of.byHash.find(hash);
-    if (found != of.byHash.end())
+    const auto found = enginePrefixes.byHash.find(hash);
+    if (found != enginePrefixes.byHash.end())
         return found->second;
-    trimTo(of, index.limit - 1);
-    return of.byHash[hash];
+    trimTo(enginePrefixes, index.limit - 1);
+    return enginePrefixes.byHash[hash];
 }
 
-void markCached(EnginePrefixes &of, CachedPrefix &kept, int tokens, Instant now)
+void markCached(EnginePrefixes &enginePrefixes, CachedPrefix &cached, int tokens, Instant now)
 {
-    of.tokens += tokens - kept.tokens;
-    kept.tokens = tokens;
-    kept.readAt = now;
-    of.readAt = now;
+    enginePrefixes.tokens += tokens - cached.tokens;
+    cached.tokens = tokens;
+    cached.readAt = now;
+    enginePrefixes.readAt = now;
 }
 
 /** True if other VMs should get it now; it then counts as reported. */
-bool isReportDue(CachedPrefix &kept, Instant now)
+bool isReportDue(CachedPrefix &cached, Instant now)
 {
-    if (kept.reportedAt != Instant{} && now - kept.reportedAt < prefixReportInterval)
+    if (cached.reportedAt != Instant{} && now - cached.reportedAt < prefixReportInterval)
         return false;
-    kept.reportedAt = now;
+    cached.reportedAt = now;
     return true;
 }
 
@@ -106,17 +108,17 @@
     std::vector<PromptPrefix> toReport;
     if (prefixes.empty())
         return toReport;
-    EnginePrefixes *of = findOrAddEngine(index, engine);
-    if (of == nullptr)
+    EnginePrefixes *enginePrefixes = findOrAddEngine(index, engine);
+    if (enginePrefixes == nullptr)
         return toReport;
     for (const PromptPrefix &prefix : prefixes) {
-        CachedPrefix &kept = findOrAddPrefix(index, *of, prefix.hash);
-        if (now < kept.doubtedUntil)
+        CachedPrefix &cached = findOrAddPrefix(index, *enginePrefixes, prefix.hash);
+        if (now < cached.doubtedUntil)
             continue;
-        markCached(*of, kept, prefix.tokens, now);
+        markCached(*enginePrefixes, cached, prefix.tokens, now);
         const bool isReportable =
             prefix.tokens >= minReportedTokens && prefix.tokens <= maxReportedTokens;
-        if (isReportable && isReportDue(kept, now))
+        if (isReportable && isReportDue(cached, now))
             toReport.push_back(prefix);
     }
     return toReport;
@@ -127,13 +129,13 @@
 bool recordReported(PrefixIndex &index, std::uint64_t engine, const PromptPrefix &prefix,
                     Instant now)
 {
-    EnginePrefixes *of = findOrAddEngine(index, engine);
-    if (of == nullptr)
+    EnginePrefixes *enginePrefixes = findOrAddEngine(index, engine);
+    if (enginePrefixes == nullptr)
         return false;
-    CachedPrefix &kept = findOrAddPrefix(index, *of, prefix.hash);
-    const bool toReport = isReportDue(kept, now);
-    if (now >= kept.doubtedUntil)
-        markCached(*of, kept, prefix.tokens, now);
+    CachedPrefix &cached = findOrAddPrefix(index, *enginePrefixes, prefix.hash);
+    const bool toReport = isReportDue(cached, now);
+    if (now >= cached.doubtedUntil)
+        markCached(*enginePrefixes, cached, prefix.tokens, now);
     return toReport;
 }
 
@@ -143,14 +145,14 @@
     const auto found = index.engines.find(engine);
     if (found == index.engines.end())
         return;
-    EnginePrefixes &of = found->second;
+    EnginePrefixes &enginePrefixes = found->second;
     for (const PromptPrefix &prefix : prefixes) {
-        const auto kept = of.byHash.find(prefix.hash);
-        if (kept == of.byHash.end())
+        const auto cached = enginePrefixes.byHash.find(prefix.hash);
+        if (cached == enginePrefixes.byHash.end())
             continue;
-        of.tokens -= kept->second.tokens;
-        kept->second.tokens = 0;
-        kept->second.doubtedUntil = now + missingPrefixHold;
+        enginePrefixes.tokens -= cached->second.tokens;
+        cached->second.tokens = 0;
+        cached->second.doubtedUntil = now + missingPrefixHold;
     }
 }
 
@@ -164,8 +166,8 @@
         return 0;
     // An engine that has a prefix cached also has all shorter prefixes of it.
     for (auto prefix = prefixes.rbegin(); prefix != prefixes.rend(); ++prefix) {
-        const auto kept = found->second.byHash.find(prefix->hash);
-        if (kept != found->second.byHash.end() && kept->second.tokens > 0)
+        const auto cached = found->second.byHash.find(prefix->hash);
+        if (cached != found->second.byHash.end() && cached->second.tokens > 0)
             return prefix->tokens;
     }
     return 0;
@@ -184,9 +186,9 @@
     const auto found = index.engines.find(engine);
     if (found == index.engines.end())
         return;
-    EnginePrefixes &of = found->second;
-    while (of.tokens > tokens && !of.byHash.empty())
-        dropLeastRecent(of);
+    EnginePrefixes &enginePrefixes = found->second;
+    while (enginePrefixes.tokens > tokens && !enginePrefixes.byHash.empty())
+        dropLeastRecent(enginePrefixes);
 }
 
 void forgetAdapter(PrefixIndex &index, std::uint64_t engine, std::uint64_t tag)
@@ -194,9 +196,10 @@
     const auto found = index.engines.find(engine);
     if (found == index.engines.end())
         return;
-    EnginePrefixes &of = found->second;
-    for (auto kept = of.byHash.begin(); kept != of.byHash.end();)
-        kept = prefixTag(kept->first) == tag ? erasePrefix(of, kept) : std::next(kept);
+    EnginePrefixes &enginePrefixes = found->second;
+    for (auto cached = enginePrefixes.byHash.begin(); cached != enginePrefixes.byHash.end();)
+        cached = prefixTag(cached->first) == tag ? erasePrefix(enginePrefixes, cached)
+                                                 : std::next(cached);
 }
 
 void forgetEngine(PrefixIndex &index, std::uint64_t engine)
--- a/libs/serving/src/ServingConfig.cpp
+++ b/libs/serving/src/ServingConfig.cpp
@@ -24,10 +24,10 @@
 } // namespace
 
 RouteTable::RouteTable(ServingConfig config)
-    : whole(std::move(config))
+    : configuration(std::move(config))
 {
-    for (std::size_t index = 0; index < this->whole.routes.size(); ++index) {
-        const Route &route = this->whole.routes[index];
+    for (std::size_t index = 0; index < this->configuration.routes.size(); ++index) {
+        const Route &route = this->configuration.routes[index];
         this->routeByHostAndPrefix[routeKey(route.host, route.pathPrefix)] = index;
         for (const ServiceShare &share : route.services) {
             Duration &longest = this->maxResumableTimeouts[share.service];
@@ -44,15 +44,15 @@
             known.largest = std::max(known.largest, route.latencyObjective);
         }
     }
-    for (std::size_t index = 0; index < this->whole.services.size(); ++index)
-        this->serviceByName[this->whole.services[index].name] = index;
-    for (std::size_t index = 0; index < this->whole.workspaces.size(); ++index)
-        this->workspaceByName[this->whole.workspaces[index].name] = index;
+    for (std::size_t index = 0; index < this->configuration.services.size(); ++index)
+        this->serviceByName[this->configuration.services[index].name] = index;
+    for (std::size_t index = 0; index < this->configuration.workspaces.size(); ++index)
+        this->workspaceByName[this->configuration.workspaces[index].name] = index;
 }
 
 const ServingConfig &RouteTable::config() const noexcept
 {
-    return this->whole;
+    return this->configuration;
 }
 
 // Prefixes end with a slash, so only cuts after a slash have to be tried, longest first. The lookup
@@ -68,7 +68,7 @@
         key.resize(slash + 1);
         const auto found = this->routeByHostAndPrefix.find(key);
         if (found != this->routeByHostAndPrefix.end())
-            return &this->whole.routes[found->second];
+            return &this->configuration.routes[found->second];
         key.resize(slash);
     }
 }
@@ -76,13 +76,15 @@
 const ServiceSpec *RouteTable::findService(const std::string &name) const
 {
     const auto found = this->serviceByName.find(name);
-    return found == this->serviceByName.end() ? nullptr : &this->whole.services[found->second];
+    return found == this->serviceByName.end() ? nullptr
+                                              : &this->configuration.services[found->second];
 }
 
 const Workspace *RouteTable::findWorkspace(const std::string &name) const
 {
     const auto found = this->workspaceByName.find(name);
-    return found == this->workspaceByName.end() ? nullptr : &this->whole.workspaces[found->second];
+    return found == this->workspaceByName.end() ? nullptr
+                                                : &this->configuration.workspaces[found->second];
 }
 
 Duration RouteTable::minObjective(const std::string &service) const
--- a/libs/serving/src/TargetLinks.cpp
+++ b/libs/serving/src/TargetLinks.cpp
@@ -34,8 +34,8 @@
 
 bool linksSeemLost(const LinkCounts &counts) noexcept
 {
-    const int least = counts.otherServiceLost ? 1 : minFailed;
-    const int enough = std::max(std::min(least, counts.listed), 1);
+    const int threshold = counts.otherServiceLost ? 1 : minFailed;
+    const int enough = std::max(std::min(threshold, counts.listed), 1);
     return counts.failed >= enough && counts.failed >= failedPerReached * counts.reached;
 }
 
--- a/libs/serving/tests/Links.cpp
+++ b/libs/serving/tests/Links.cpp
@@ -11,11 +11,11 @@
 
 LinkCounts counts(int listed, int failed, int reached)
 {
-    LinkCounts made;
-    made.listed = listed;
-    made.failed = failed;
-    made.reached = reached;
-    return made;
+    LinkCounts result;
+    result.listed = listed;
+    result.failed = failed;
+    result.reached = reached;
+    return result;
 }
 
 } // namespace
--- a/libs/serving/tests/Orders.cpp
+++ b/libs/serving/tests/Orders.cpp
@@ -267,7 +267,7 @@
 // those that had it.
 Test(orders, the_number_of_host_copies_is_learnt)
 {
-    for (const int kept : {20, 108, 400}) {
+    for (const int keptCopies : {20, 108, 400}) {
         AdapterScheduler scheduler;
         scheduler.adapterSlots = 1;
         LoadEstimator estimator;
@@ -298,16 +298,16 @@
                 completeDueLoads(scheduler, now);
             }
             memory.push_front(adapter);
-            if (static_cast<int>(memory.size()) > kept)
+            if (static_cast<int>(memory.size()) > keptCopies)
                 memory.pop_back();
             now += 200ms;
             learnFromLoads(scheduler, estimator, now);
         }
-        cr_assert_geq(estimator.memory.retainedLoads, 0.5 * kept, "%d kept: %f", kept,
+        cr_assert_geq(estimator.memory.retainedLoads, 0.5 * keptCopies, "%d kept: %f", keptCopies,
                       estimator.memory.retainedLoads);
-        cr_assert_leq(estimator.memory.retainedLoads, 1.6 * kept, "%d kept: %f", kept,
+        cr_assert_leq(estimator.memory.retainedLoads, 1.6 * keptCopies, "%d kept: %f", keptCopies,
                       estimator.memory.retainedLoads);
-        cr_assert_lt(early, 150, "%d kept: %d early", kept, early);
+        cr_assert_lt(early, 150, "%d kept: %d early", keptCopies, early);
     }
 }
 
--- a/libs/serving/tests/PendingLoads.cpp
+++ b/libs/serving/tests/PendingLoads.cpp
@@ -61,7 +61,7 @@
             views.push_back(generateEngine(index));
         const double waitLimitMs = *rc::gen::inRange(20, 700);
         const auto chosen = chooseLoadingEngine(views, EngineNeed(), {"e0"}, weights, waitLimitMs);
-        double least = 1e9;
+        double minForecast = 1e9;
         for (const EngineView &view : views) {
             const double wait =
                 view.waitingTokens / weights.promptTokensPerMs + weights.runPenaltyMs * view.runs;
@@ -69,10 +69,11 @@
             const bool isCandidate =
                 view.id != "e0" && view.usable && view.hasModel && view.runs < 4;
             if (isCandidate && view.incomingMs >= 0 && forecast <= waitLimitMs)
-                least = std::min(least, forecast);
+                minForecast = std::min(minForecast, forecast);
         }
-        RC_ASSERT(chosen.has_value() == (least <= waitLimitMs));
+        RC_ASSERT(chosen.has_value() == (minForecast <= waitLimitMs));
         if (chosen)
-            RC_ASSERT(views[*chosen].incomingMs + expectedWaitMs(views[*chosen], weights) == least);
+            RC_ASSERT(views[*chosen].incomingMs + expectedWaitMs(views[*chosen], weights)
+                      == minForecast);
     }));
 }
--- a/libs/serving/tests/PrefillQueues.cpp
+++ b/libs/serving/tests/PrefillQueues.cpp
@@ -65,11 +65,11 @@
             double waiting = 0;
             for (const double prompt : prompts)
                 waiting += prompt;
-            const double most = 20000;
+            const double limit = 20000;
             const PrefillReply reply =
-                reservePrefill(queue, {static_cast<double>(tokens), most}, rate, now);
+                reservePrefill(queue, {static_cast<double>(tokens), limit}, rate, now);
             RC_ASSERT(std::abs(reply.ahead - waiting) < 1);
-            RC_ASSERT(reply.reserved == (reply.ahead <= most));
+            RC_ASSERT(reply.reserved == (reply.ahead <= limit));
             if (reply.reserved)
                 prompts.push_back(tokens);
         }
@@ -128,9 +128,9 @@
             for (EngineView &view : known)
                 view.jitterMs = doubt(random);
             chosen = chooseEngine(known, need, {}, weights).engine;
-            const double most =
+            const double limit =
                 0.5 * maxTokensAhead({0.85 * objectiveMs, need.promptTokens, 0, rate});
-            const double maxAhead = std::max(most, known[chosen].waitingTokens);
+            const double maxAhead = std::max(limit, known[chosen].waitingTokens);
             if (!reserves || asked == 3)
                 break;
             const PrefillReply reply = reservePrefill(queues[chosen], {0, maxAhead}, rate, now);
--- a/libs/serving/tests/Prefixes.cpp
+++ b/libs/serving/tests/Prefixes.cpp
@@ -23,35 +23,35 @@
     /** True if the prefix is to be reported. */
     bool note(std::uint64_t engine, const PromptPrefix &prefix, bool own, Instant now)
     {
-        CachedPrefix &kept = this->rows[{engine, prefix.hash}];
-        const bool doubted = now < kept.doubtedUntil;
-        if (!doubted) {
-            kept.tokens = prefix.tokens;
-            kept.readAt = now;
+        CachedPrefix &cached = this->rows[{engine, prefix.hash}];
+        const bool distrusted = now < cached.doubtedUntil;
+        if (!distrusted) {
+            cached.tokens = prefix.tokens;
+            cached.readAt = now;
         }
         const bool recent =
-            kept.reportedAt != Instant{} && now - kept.reportedAt < prefixReportInterval;
-        if (recent || (own && (doubted || prefix.tokens < minReportedTokens)))
+            cached.reportedAt != Instant{} && now - cached.reportedAt < prefixReportInterval;
+        if (recent || (own && (distrusted || prefix.tokens < minReportedTokens)))
             return false;
-        kept.reportedAt = now;
+        cached.reportedAt = now;
         return true;
     }
 
     double tokensAt(std::uint64_t engine) const
     {
         double sum = 0;
-        for (const auto &[key, kept] : this->rows)
-            sum += key.first == engine ? kept.tokens : 0;
+        for (const auto &[key, cached] : this->rows)
+            sum += key.first == engine ? cached.tokens : 0;
         return sum;
     }
 
     void evictToFit(std::uint64_t engine, double tokens)
     {
-        const auto order = [engine](const auto &row) {
+        const auto sortKey = [engine](const auto &row) {
             return std::tuple(row.first.first != engine, row.second.readAt, row.first.second);
         };
         const auto before = [&](const auto &a, const auto &b) {
-            return order(a) < order(b);
+            return sortKey(a) < sortKey(b);
         };
         while (this->tokensAt(engine) > tokens)
             this->rows.erase(std::min_element(this->rows.begin(), this->rows.end(), before));
@@ -59,12 +59,12 @@
 
     double cachedPrefixTokens(std::uint64_t engine, const std::vector<PromptPrefix> &prompt)
     {
-        double most = 0;
+        double largest = 0;
         for (const PromptPrefix &prefix : prompt) {
             const auto row = this->rows.find({engine, prefix.hash});
-            most = std::max<double>(most, row == this->rows.end() ? 0 : row->second.tokens);
+            largest = std::max<double>(largest, row == this->rows.end() ? 0 : row->second.tokens);
         }
-        return most;
+        return largest;
     }
 };
 
@@ -128,11 +128,12 @@
             }
             for (std::uint64_t asked = 1; asked < 4; ++asked) {
                 const auto any = promptOf(adapter, 3);
-                const auto of = index.engines.find(asked);
+                const auto enginePrefixes = index.engines.find(asked);
                 RC_ASSERT(cachedPrefixTokens(index, asked, any)
                           == reference.cachedPrefixTokens(asked, any));
-                RC_ASSERT((of == index.engines.end() ? 0 : of->second.tokens)
-                          == reference.tokensAt(asked));
+                RC_ASSERT(
+                    (enginePrefixes == index.engines.end() ? 0 : enginePrefixes->second.tokens)
+                    == reference.tokensAt(asked));
             }
         }
     }));
@@ -145,8 +146,8 @@
     std::uint64_t hash = 0;
     const auto total = [&index] {
         std::size_t sum = 0;
-        for (const auto &[engine, of] : index.engines)
-            sum += of.byHash.size();
+        for (const auto &[engine, enginePrefixes] : index.engines)
+            sum += enginePrefixes.byHash.size();
         return sum;
     };
     for (std::uint64_t read = 0; read < 2 * maxPrefixesPerEngine; ++read)
@@ -155,13 +156,13 @@
     cr_assert_eq(cachedPrefixTokens(index, 1, {{hash, 1000}}), 1000);
     cr_assert_eq(cachedPrefixTokens(index, 1, {{1, 1000}}), 0,
                  "the least recently read prefix is evicted first");
-    std::size_t most = 0;
+    std::size_t largest = 0;
     for (std::uint64_t engine = 2; engine < 600; ++engine) {
         for (int read = 0; read < 300; ++read)
             recordReported(index, engine, {++hash, 1000}, start + 1s);
-        most = std::max(most, total());
+        largest = std::max(largest, total());
     }
-    cr_assert_leq(most, maxPrefixesInIndex);
+    cr_assert_leq(largest, maxPrefixesInIndex);
     for (std::uint64_t engine = 600; engine < 2 * maxEnginesInIndex; ++engine)
         recordReported(index, engine, {++hash, 1000}, start + 2s);
     cr_assert_eq(index.engines.size(), maxEnginesInIndex);
@@ -195,8 +196,8 @@
 // engine was busy with other prompts.
 Test(prefixes, only_a_full_prefill_at_an_idle_engine_indicates_a_cache_miss)
 {
-    const auto missing = [](Duration untilFirst, double kept, double ahead) {
-        return indicatesCacheMiss({untilFirst, 8000, kept, ahead}, 40);
+    const auto missing = [](Duration untilFirst, double cached, double ahead) {
+        return indicatesCacheMiss({untilFirst, 8000, cached, ahead}, 40);
     };
     cr_assert(missing(210ms, 6000, 0));
     cr_assert(!missing(60ms, 6000, 0), "the prefix was read from the cache");
--- a/libs/serving/tests/Queue.cpp
+++ b/libs/serving/tests/Queue.cpp
@@ -77,16 +77,16 @@
         for (int index = 0; index < 6; ++index) {
             const std::string adapter = "m/" + std::to_string(index);
             const int callers = *rc::gen::inRange(1, 4);
-            int least = 9;
+            int minRank = 9;
             for (int caller = 0; caller < callers; ++caller) {
                 const int rank = *rc::gen::inRange(0, 3);
                 joinQueue(queue, adapter, rank);
-                least = std::min(least, rank);
+                minRank = std::min(minRank, rank);
             }
             if (*rc::gen::inRange(0, 4) == 0)
                 scheduler.slots[adapter].loading = true;
             else
-                expected.push_back({least, -callers, index, index});
+                expected.push_back({minRank, -callers, index, index});
         }
         std::sort(expected.begin(), expected.end());
         for (std::size_t turn = 0; turn < expected.size(); ++turn) {
--- a/libs/serving/tests/Relays.cpp
+++ b/libs/serving/tests/Relays.cpp
@@ -18,10 +18,10 @@
 
 ZonePeer zonePeer(double capacity, std::uint64_t hash)
 {
-    ZonePeer made;
-    made.rank.capacity = capacity;
-    made.rank.hash = hash;
-    return made;
+    ZonePeer peer;
+    peer.rank.capacity = capacity;
+    peer.rank.hash = hash;
+    return peer;
 }
 
 TargetUsages usageOf(const std::string &target, int runs, double tokens)
@@ -93,10 +93,10 @@
         const int count = *rc::gen::inRange(1, 12);
         std::vector<ZonePeer> all;
         for (int vm = 0; vm < count; ++vm) {
-            ZonePeer made =
+            ZonePeer peer =
                 zonePeer(*rc::gen::element(0.12, 0.25, 0.5), static_cast<std::uint64_t>(vm));
-            made.rank.storeUnreachable = *rc::gen::arbitrary<bool>();
-            all.push_back(made);
+            peer.rank.storeUnreachable = *rc::gen::arbitrary<bool>();
+            all.push_back(peer);
         }
         int relays = 0;
         std::set<std::uint64_t> upstreams;
--- a/libs/serving/tests/Routes.cpp
+++ b/libs/serving/tests/Routes.cpp
@@ -9,11 +9,11 @@
 
 Route route(const std::string &host, const std::string &prefix)
 {
-    Route made;
-    made.name = host + prefix;
-    made.host = host;
-    made.pathPrefix = prefix;
-    return made;
+    Route result;
+    result.name = host + prefix;
+    result.host = host;
+    result.pathPrefix = prefix;
+    return result;
 }
 
 /** Reference implementation that checks every route. */
--- a/libs/serving/tests/Targets.cpp
+++ b/libs/serving/tests/Targets.cpp
@@ -16,10 +16,10 @@
 
 TargetEntry entry(const std::string &id)
 {
-    TargetEntry made;
-    made.id = id;
-    made.service = "s";
-    return made;
+    TargetEntry result;
+    result.id = id;
+    result.service = "s";
+    return result;
 }
 
 /** A table that follows a list with these targets at `start`. */
