--- a/libs/access/src/KeyTable.cpp
+++ b/libs/access/src/KeyTable.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t loggedDigits = 8;
 
-std::uint32_t placeOf(KeyTable &table, const std::string &name)
+std::uint32_t indexOf(KeyTable &table, const std::string &name)
 {
     const auto [found, added] =
         table.indexByName.try_emplace(name, static_cast<std::uint32_t>(table.names.size()));
@@ -23,10 +23,10 @@
 }
 
 const Workspace *findByName(const std::vector<Workspace> &workspaces, const Workspace &like,
-                            std::size_t likelyAt)
+                            std::size_t likelyIndex)
 {
-    if (likelyAt < workspaces.size() && workspaces[likelyAt].name == like.name)
-        return &workspaces[likelyAt];
+    if (likelyIndex < workspaces.size() && workspaces[likelyIndex].name == like.name)
+        return &workspaces[likelyIndex];
     const auto found =
         std::find_if(workspaces.begin(), workspaces.end(),
                      [&like](const Workspace &other) { return other.name == like.name; });
@@ -34,13 +34,13 @@
 }
 
 /** Keys of `workspace` that `other`, which may be null, does not have. */
-std::vector<std::string_view> keysBeside(const Workspace &workspace, const Workspace *other)
+std::vector<std::string_view> keysNotIn(const Workspace &workspace, const Workspace *other)
 {
     std::span<const std::string> keys(workspace.keys);
     std::span<const std::string> others;
     if (other != nullptr)
         others = other->keys;
-    // What a change leaves as it was stands at the ends of the lists, but for a few keys.
+    // Skip the unchanged keys at both ends of the lists, which are all but a few.
     while (!keys.empty() && !others.empty() && keys.front() == others.front()) {
         keys = keys.subspan(1);
         others = others.subspan(1);
@@ -50,12 +50,12 @@
         others = others.first(others.size() - 1);
     }
     const std::set<std::string_view> shared(others.begin(), others.end());
-    std::vector<std::string_view> beside;
+    std::vector<std::string_view> missing;
     for (const std::string &key : keys) {
         if (shared.count(key) == 0)
-            beside.push_back(key);
+            missing.push_back(key);
     }
-    return beside;
+    return missing;
 }
 
 } // namespace
@@ -74,14 +74,15 @@
     return text;
 }
 
-// A key may go from one workspace to another in one change, so all are taken before any is given.
+// A key may move from one workspace to another in one change, so all removals come before
+// additions.
 KeyChanges updateKeys(KeyTable &table, const std::vector<Workspace> &before,
                       const std::vector<Workspace> &after)
 {
     KeyChanges changes;
     for (std::size_t index = 0; index < before.size(); ++index) {
         const Workspace &held = before[index];
-        for (const std::string_view key : keysBeside(held, findByName(after, held, index))) {
+        for (const std::string_view key : keysNotIn(held, findByName(after, held, index))) {
             const auto found = table.workspaceByKey.find(digestOfKey(key));
             if (found == table.workspaceByKey.end() || table.names[found->second] != held.name)
                 continue;
@@ -91,17 +92,17 @@
     }
     for (std::size_t index = 0; index < after.size(); ++index) {
         const Workspace &holder = after[index];
-        for (const std::string_view key : keysBeside(holder, findByName(before, holder, index))) {
+        for (const std::string_view key : keysNotIn(holder, findByName(before, holder, index))) {
             if (key.empty())
                 continue;
-            table.workspaceByKey[digestOfKey(key)] = placeOf(table, holder.name);
+            table.workspaceByKey[digestOfKey(key)] = indexOf(table, holder.name);
             ++changes.added;
         }
     }
     return changes;
 }
 
-// Found by the digest, and compared by it: how long that takes tells nothing of the keys.
+// Lookup and comparison use the digest, so the time they take reveals nothing about the keys.
 const std::string *workspaceOf(const KeyTable &table, const KeyDigest &key)
 {
     const auto found = table.workspaceByKey.find(key);
--- a/libs/access/tests/Access.cpp
+++ b/libs/access/tests/Access.cpp
@@ -27,8 +27,8 @@
     return workspaceOf(table, digestOfKey(key));
 }
 
-/** Workspaces of a few names that share out a few keys. */
-std::vector<Workspace> drawWorkspaces()
+/** Workspaces with a few names, among which a few keys are distributed. */
+std::vector<Workspace> generateWorkspaces()
 {
     std::map<std::string, std::vector<std::string>> byName;
     for (int key = 0; key < 12; ++key) {
@@ -52,11 +52,11 @@
     cr_assert_eq(*holderOf(table, "k1"), "a");
     cr_assert_eq(*holderOf(table, "k3"), "b");
     cr_assert_null(holderOf(table, "k4"));
-    cr_assert_null(holderOf(table, ""), "no key is nobody's");
+    cr_assert_null(holderOf(table, ""), "an empty key belongs to no workspace");
 }
 
-// Guards against a key that is still honoured for the workspace it was taken from.
-Test(access, a_key_that_goes_to_another_workspace_is_the_others)
+// Guards against a key that is still accepted for the workspace from which it was moved.
+Test(access, a_key_moved_to_another_workspace_belongs_to_that_one)
 {
     KeyTable table;
     const std::vector<Workspace> first{workspace("a", {"k1", "k2"}), workspace("b", {})};
@@ -65,27 +65,27 @@
     updateKeys(table, first, second);
     cr_assert_eq(*holderOf(table, "k1"), "b");
     updateKeys(table, second, {workspace("b", {"k1"})});
-    cr_assert_null(holderOf(table, "k2"), "its workspace is gone");
+    cr_assert_null(holderOf(table, "k2"), "its workspace was removed");
 }
 
-// Whatever changes come one after the other, the table holds just what the last one says.
-Test(access, changes_end_where_a_new_table_would)
+// After any sequence of changes, the table holds exactly what the last configuration says.
+Test(access, updates_lead_to_the_same_table_as_a_rebuild)
 {
     cr_assert(rc::check("changes", [] {
         KeyTable table;
         std::vector<Workspace> before;
         for (int change = 0; change < 6; ++change) {
-            std::vector<Workspace> after = drawWorkspaces();
+            std::vector<Workspace> after = generateWorkspaces();
             updateKeys(table, before, after);
             before = std::move(after);
         }
-        KeyTable anew;
-        updateKeys(anew, {}, before);
-        RC_ASSERT(table.workspaceByKey.size() == anew.workspaceByKey.size());
+        KeyTable rebuilt;
+        updateKeys(rebuilt, {}, before);
+        RC_ASSERT(table.workspaceByKey.size() == rebuilt.workspaceByKey.size());
         for (int key = 0; key < 12; ++key) {
             const std::string name = "key" + std::to_string(key);
             const std::string *holder = holderOf(table, name);
-            const std::string *expected = holderOf(anew, name);
+            const std::string *expected = holderOf(rebuilt, name);
             const std::string none;
             RC_ASSERT((holder != nullptr ? *holder : none)
                       == (expected != nullptr ? *expected : none));
@@ -93,7 +93,7 @@
     }));
 }
 
-Test(access, a_logged_text_gives_no_key_away)
+Test(access, a_logged_text_does_not_reveal_the_key)
 {
     const std::string text = shortText(digestOfKey("asnmgkcuyj8pjbvk9m68"));
     cr_assert_eq(text.size(), 8);
@@ -107,7 +107,7 @@
     cr_assert(confirmationFromAnswer(7, -5s, start).at == start, "an age is never negative");
 }
 
-// Guards against an older word that makes a confirmation older again.
+// Guards against an outdated message that moves a confirmation back in time.
 Test(access, the_latest_confirmation_of_a_version_counts)
 {
     Confirmations confirmations;
@@ -117,19 +117,20 @@
     cr_assert(!confirmedAt(confirmations, 8));
     for (std::int64_t version = 8; version < 100; ++version)
         recordConfirmation(confirmations, {version, start});
-    cr_assert(!confirmedAt(confirmations, 7), "old versions are forgotten");
+    cr_assert(!confirmedAt(confirmations, 7), "old versions are dropped");
     cr_assert(confirmedAt(confirmations, 99) == start);
     cr_assert_leq(confirmations.latest.size(), 8);
 }
 
-// Guards against keys honoured by a VM that cannot know that they were taken.
+// Guards against keys accepted by a VM that cannot know that they were revoked.
 Test(access, keys_are_trusted_for_as_long_as_the_bound_allows)
 {
     const AccessPolicy strict{true, 5s};
     cr_assert(mayTrustKeys(strict, start, start + 3900ms));
     cr_assert(!mayTrustKeys(strict, start, start + 4100ms));
     cr_assert(!mayTrustKeys(strict, std::nullopt, start));
-    cr_assert(mayTrustKeys({false, 5s}, std::nullopt, start), "a cut-off zone serves on");
+    cr_assert(mayTrustKeys({false, 5s}, std::nullopt, start),
+              "a partitioned zone continues to serve");
 }
 
 Test(access, no_schedule_honours_a_key_after_the_bound)
@@ -139,7 +140,7 @@
     cr_assert_gt(found.states, 3000000, "states: %lu", found.states);
 }
 
-Test(access, the_exploration_finds_each_fault_that_is_put_in)
+Test(access, the_exploration_finds_each_injected_fault)
 {
     for (const AccessFault fault : {AccessFault::CountsFromAnswer, AccessFault::ForgetsOwnWait,
                                     AccessFault::IgnoresVersion, AccessFault::ClockStops})
--- a/libs/serving/src/AdapterScheduler.cpp
+++ b/libs/serving/src/AdapterScheduler.cpp
@@ -10,58 +10,65 @@
 namespace {
 
 /**
- * A slot that was in use this recently may have a call on its way: VMs tell the holder within some
- * 10 ms what they use.
+ * A slot that was in use this recently may have a call on its way: VMs report their usage to the
+ * lease holder within about 10 ms.
  */
-constexpr Duration settleAfterUse = std::chrono::milliseconds(60);
+constexpr Duration usageReportDelay = std::chrono::milliseconds(60);
 
 bool isInUse(const AdapterSlot &slot, Instant now)
 {
     return slot.loading || slot.unloadDeferred || slot.runs > 0
-        || now - slot.lastUsedAt < settleAfterUse;
+        || now - slot.lastUsedAt < usageReportDelay;
 }
 
-/** A load that is expected to be done within this is not looked at: reports lag as much. */
-constexpr Duration lookBefore = std::chrono::milliseconds(150);
+/**
+ * A load that is expected to be done within this time is not checked, as reports lag by as much.
+ */
+constexpr Duration minRemainingForCheck = std::chrono::milliseconds(150);
 
-/** A call that is refused this soon after a load was due came too early. */
-constexpr Duration freshlyLoaded = std::chrono::milliseconds(150);
+/** A call that is refused this soon after its load was due arrived too early. */
+constexpr Duration earlyCallWindow = std::chrono::milliseconds(150);
 
-/** From the word to a call that its adapter is there to the word that the engine refused it. */
-constexpr Duration trialTime = std::chrono::milliseconds(30);
+/** From telling a call that its adapter is resident to hearing that the engine refused the call. */
+constexpr Duration probeTimeout = std::chrono::milliseconds(30);
 
-/** With more refused calls for one load, something else is wrong than its time. */
-constexpr int mostEarlyCalls = 8;
+/** With more refused calls for one load, the cause is not its estimated time. */
+constexpr int maxEarlyCalls = 8;
 
 /**
- * Slots that a new holder finds may be in use by calls that it has not been told of yet; VMs learn
- * who the new holder is within this.
+ * Slots found by a new lease holder may be in use by calls that were not reported to it yet; VMs
+ * learn of the new holder within this time.
  */
-constexpr Duration newHolderTold = std::chrono::milliseconds(600);
+constexpr Duration newHolderDelay = std::chrono::milliseconds(600);
 
-/** From the word that an adapter is there to the note of the call that asked for it. */
-constexpr Duration callOnItsWay = std::chrono::milliseconds(100);
+/**
+ * From telling a call that its adapter is resident until its VM's usage report includes the call.
+ */
+constexpr Duration pendingCallTime = std::chrono::milliseconds(100);
 
-/** A report that shows a load under way after its expected end is looked at again after this. */
-constexpr Duration loadLook = std::chrono::milliseconds(120);
+/**
+ * Delay until the next check of a load that a report shows as still running after its expected end.
+ */
+constexpr Duration overdueRecheckDelay = std::chrono::milliseconds(120);
 
-/** Reports are "some hundred ms" old, by the platform's word. */
-constexpr Duration longestReportLag = std::chrono::milliseconds(500);
+/** The platform states that reports are "some hundred ms" old. */
+constexpr Duration maxReportLag = std::chrono::milliseconds(500);
 
-/** The idle slot that was used longest ago; empty if all are in use. */
-std::string idlestSlot(const AdapterScheduler &scheduler, const std::string &except, Instant now)
+/** The least recently used idle slot; empty if all are in use. */
+std::string leastRecentlyUsed(const AdapterScheduler &scheduler, const std::string &except,
+                              Instant now)
 {
-    std::string idlest;
+    std::string candidate;
     Instant oldest{};
     for (const auto &[adapter, slot] : scheduler.slots) {
         if (isInUse(slot, now) || adapter == except)
             continue;
-        if (!idlest.empty() && slot.lastUsedAt >= oldest)
+        if (!candidate.empty() && slot.lastUsedAt >= oldest)
             continue;
-        idlest = adapter;
+        candidate = adapter;
         oldest = slot.lastUsedAt;
     }
-    return idlest;
+    return candidate;
 }
 
 int loadsUnderWay(const AdapterScheduler &scheduler)
@@ -72,18 +79,18 @@
 
 } // namespace
 
-void resetScheduler(AdapterScheduler &scheduler, std::int64_t born)
+void resetScheduler(AdapterScheduler &scheduler, std::int64_t startTime)
 {
     const int adapterSlots = scheduler.adapterSlots;
     scheduler = AdapterScheduler();
     scheduler.adapterSlots = adapterSlots;
-    scheduler.startTime = born;
+    scheduler.startTime = startTime;
 }
 
-// Reports lag by some hundred ms. One from before the last accepted order would show that order's
-// slot as free; the engine's count of orders tells such a report from a current one. The count
-// known here can be too high by itself, when the engine took an order as done without counting it,
-// so a report that cannot lag any more is always taken.
+// Reports lag by some hundred ms. One from before the last accepted command would show the slot of
+// that command as free; the engine's command count identifies such reports. The count known here
+// may be too high, when the engine confirmed a command as already done without counting it. A
+// report that can no longer lag is therefore always applied.
 bool applyEngineReport(AdapterScheduler &scheduler, const EngineReport &report, Instant now)
 {
     const StartOrder age = compareStarts(scheduler.startTime, report.startTime);
@@ -92,7 +99,7 @@
     if (age == StartOrder::Newer)
         resetScheduler(scheduler, report.startTime);
     scheduler.startTime = std::max(scheduler.startTime, report.startTime);
-    const bool mayLag = now - scheduler.acceptedAt < longestReportLag;
+    const bool mayLag = now - scheduler.acceptedAt < maxReportLag;
     if (report.sequence < scheduler.minSequence && mayLag)
         return false;
     std::unordered_map<std::string, AdapterSlot> slots;
@@ -102,7 +109,7 @@
         if (known != scheduler.slots.end())
             slot = known->second;
         else
-            slot.lastUsedAt = now + newHolderTold;
+            slot.lastUsedAt = now + newHolderDelay;
         slot.version = version;
         slot.loading = false;
         slots[adapter] = slot;
@@ -116,7 +123,7 @@
             slot = known->second;
         slot.version = version;
         slot.loading = true;
-        slot.readyAt = std::max(slot.readyAt, now + loadLook);
+        slot.readyAt = std::max(slot.readyAt, now + overdueRecheckDelay);
         slots[adapter] = slot;
     }
     scheduler.slots = std::move(slots);
@@ -138,20 +145,20 @@
             return {slot.loading ? SchedulerStep::Wait : SchedulerStep::Ready, {}};
         if (slot.loading)
             return {SchedulerStep::Wait, {}};
-        // An engine that is told to replace or unload an adapter in use takes no other order until
-        // those calls have ended, which can be many seconds. The old version stays until it is
-        // idle; meanwhile the new one is loaded elsewhere.
+        // An engine that is told to replace or unload an adapter in use accepts no other command
+        // until the calls using it have ended, which can take many seconds. The old version stays
+        // until it is idle; meanwhile the new one is loaded elsewhere.
         if (isInUse(slot, now))
             return {SchedulerStep::NoSlot, {}};
         return {SchedulerStep::Unload, adapter};
     }
     if (loadsUnderWay(scheduler) >= maxLoadsPerEngine)
         return {SchedulerStep::Wait, {}};
-    // An engine that is ordered to hold more adapters than it has slots for crashes, so a slot is
-    // freed and seen to be free before the load is ordered.
+    // An engine that is commanded to hold more adapters than it has slots for crashes, so a slot is
+    // freed, and known to be free, before the load command is sent.
     if (static_cast<int>(scheduler.slots.size()) < scheduler.adapterSlots)
         return {SchedulerStep::Load, {}};
-    std::string victim = idlestSlot(scheduler, adapter, now);
+    std::string victim = leastRecentlyUsed(scheduler, adapter, now);
     if (victim.empty())
         return {SchedulerStep::NoSlot, {}};
     return {SchedulerStep::Unload, std::move(victim)};
@@ -181,8 +188,8 @@
     scheduler.slots.erase(adapter);
 }
 
-// Such an adapter must not be chosen again as the one to go, nor counted as free: the engine takes
-// no other order before those calls have ended, and refuses new calls for it meanwhile.
+// Such an adapter must not be chosen as the victim again or counted as free: the engine accepts no
+// other command before its calls have ended, and refuses new calls for it meanwhile.
 void recordDeferredUnload(AdapterScheduler &scheduler, const std::string &adapter)
 {
     const auto slot = scheduler.slots.find(adapter);
@@ -200,7 +207,7 @@
 {
     const auto slot = scheduler.slots.find(adapter);
     if (slot != scheduler.slots.end())
-        slot->second.lastUsedAt = std::max(slot->second.lastUsedAt, now + callOnItsWay);
+        slot->second.lastUsedAt = std::max(slot->second.lastUsedAt, now + pendingCallTime);
 }
 
 void advanceSequence(AdapterScheduler &scheduler, Instant now)
@@ -232,7 +239,7 @@
     return scheduler.adapterSlots - static_cast<int>(used);
 }
 
-// A load that is under way is for callers who wait for it, so its slot is not free afterwards.
+// Callers wait for the loads that are running, so the slots of these are not free afterwards.
 Instant nextFreeSlotTime(const AdapterScheduler &scheduler, Instant now)
 {
     if (static_cast<int>(scheduler.slots.size()) < scheduler.adapterSlots)
@@ -241,7 +248,7 @@
     for (const auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading || slot.unloadDeferred || slot.runs > 0)
             continue;
-        const Instant idleAt = std::max(now, slot.lastUsedAt + settleAfterUse);
+        const Instant idleAt = std::max(now, slot.lastUsedAt + usageReportDelay);
         if (first == Instant{} || idleAt < first)
             first = idleAt;
     }
@@ -266,8 +273,8 @@
                       [](const auto &slot) { return slot.second.loading && slot.second.fetched; }));
 }
 
-// An adapter that was believed to be in the engine's memory and is not comes from the weight store,
-// and is expected when that load would be done.
+// An adapter that was assumed to be in the engine's host memory and is not comes from the weight
+// store instead, and is expected when that load would be done.
 void recordMissing(AdapterScheduler &scheduler, const std::string &adapter,
                    LoadEstimator &estimator, Instant now)
 {
@@ -275,7 +282,7 @@
     if (found == scheduler.slots.end() || found->second.loading)
         return;
     AdapterSlot &slot = found->second;
-    const bool early = now - slot.readyAt < freshlyLoaded && slot.earlyCalls < mostEarlyCalls;
+    const bool early = now - slot.readyAt < earlyCallWindow && slot.earlyCalls < maxEarlyCalls;
     if (!early) {
         invalidateSequence(scheduler);
         return;
@@ -283,9 +290,9 @@
     const Duration waited = now - slot.requestedAt;
     ++slot.earlyCalls;
     slot.readyAt = now + recheckDelay(waited, slot.earlyCalls);
-    const bool mayBeCopy = !slot.fetched && slot.earlyCalls == 1;
-    if (mayBeCopy) {
-        // The way of this order may have been a little longer than that of others.
+    const bool mayBeLatency = !slot.fetched && slot.earlyCalls == 1;
+    if (mayBeLatency) {
+        // This command may just have taken slightly longer on its way than others.
     } else if (slot.fetched) {
         recordEarlyCall(estimator.times, slot.concurrentLoads, waited);
     } else {
@@ -299,54 +306,55 @@
     slot.lastUsedAt = slot.readyAt;
 }
 
-// Symptom without this: the holder takes the refusal for a count of orders that differs, asks for a
-// report, and gives no order for 60 ms and more, on the most crowded engines.
+// Without this, the lease holder would take the refusal for a wrong command count, ask for a
+// report, and send no command for 60 ms or more, on the most heavily loaded engines.
 bool recordBusyRefusal(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now)
 {
-    int underWay = loadsUnderWay(scheduler);
+    int runningLoads = loadsUnderWay(scheduler);
     const std::string *newest = nullptr;
     Instant newestAt{};
     for (const auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading || slot.evaluated)
             continue;
-        ++underWay;
+        ++runningLoads;
         if (newest != nullptr && slot.requestedAt <= newestAt)
             continue;
         newest = &adapter;
         newestAt = slot.requestedAt;
     }
-    if (newest == nullptr || underWay < maxLoadsPerEngine)
+    if (newest == nullptr || runningLoads < maxLoadsPerEngine)
         return false;
     recordMissing(scheduler, std::string(*newest), estimator, now);
     return scheduler.sequence >= 0;
 }
 
-void extendLoadEstimates(AdapterScheduler &scheduler, const LoadTimeModel &pace)
+void extendLoadEstimates(AdapterScheduler &scheduler, const LoadTimeModel &times)
 {
     for (auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading && slot.fetched && slot.earlyCalls == 0)
             slot.readyAt =
-                std::max(slot.readyAt, slot.requestedAt + fetchTime(pace, slot.concurrentLoads));
+                std::max(slot.readyAt, slot.requestedAt + fetchTime(times, slot.concurrentLoads));
     }
 }
 
 Duration probeCallDelay(AdapterScheduler &scheduler, const std::string &adapter,
-                        const LoadTimeModel &pace, Instant now)
+                        const LoadTimeModel &times, Instant now)
 {
     const auto found = scheduler.slots.find(adapter);
-    if (found == scheduler.slots.end() || found->second.evaluated || !isUncertain(pace))
+    if (found == scheduler.slots.end() || found->second.evaluated || !isUncertain(times))
         return Duration::zero();
     AdapterSlot &slot = found->second;
     const bool first = slot.probedAt < slot.readyAt;
     if (first)
         slot.probedAt = now;
-    return first ? Duration::zero() : std::max(slot.probedAt + trialTime - now, Duration::zero());
+    return first ? Duration::zero()
+                 : std::max(slot.probedAt + probeTimeout - now, Duration::zero());
 }
 
 void learnFromLoads(AdapterScheduler &scheduler, LoadEstimator &estimator, Instant now)
 {
     for (auto &[adapter, slot] : scheduler.slots) {
-        if (slot.evaluated || slot.loading || now - slot.readyAt < freshlyLoaded)
+        if (slot.evaluated || slot.loading || now - slot.readyAt < earlyCallWindow)
             continue;
         slot.evaluated = true;
         if (slot.fetched)
@@ -357,16 +365,16 @@
     }
 }
 
-// Calls wait until a load is expected to be done, so a time that is believed too long is never seen
-// to be so: loads seem to be under way for longer, the store seems more crowded, and the next ones
-// are expected to take as long. A look at the engine in between ends that.
-bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &pace, Instant now)
+// Calls wait until a load is expected to be done, so an estimate that is too long would never be
+// corrected: loads would seem to run for longer, the store would seem more loaded, and the next
+// loads would be expected to take as long. Checking the engine in between breaks this cycle.
+bool isReportCheckDue(const AdapterScheduler &scheduler, const LoadTimeModel &times, Instant now)
 {
-    const Duration alone = fetchTime(pace, 1);
+    const Duration alone = fetchTime(times, 1);
     return std::any_of(scheduler.slots.begin(), scheduler.slots.end(), [&](const auto &entry) {
         const AdapterSlot &slot = entry.second;
         return slot.loading && slot.fetched && now - slot.requestedAt >= alone
-            && slot.readyAt - now >= lookBefore;
+            && slot.readyAt - now >= minRemainingForCheck;
     });
 }
 
@@ -377,7 +385,7 @@
         return false;
     bool any = false;
     for (auto &[adapter, slot] : scheduler.slots) {
-        // A report of before the order may show the adapter as it was there at another time.
+        // A report from before the command may show the adapter from an earlier stay.
         const auto held = report.resident.find(adapter);
         const bool done = slot.loading && report.sequence >= slot.sequence
             && held != report.resident.end() && held->second >= slot.version;
--- a/libs/serving/src/AdvertisedLimit.cpp
+++ b/libs/serving/src/AdvertisedLimit.cpp
@@ -8,21 +8,21 @@
 namespace {
 
 /**
- * Of the limit. VMs that begin to send together draw for the span under way and for the next one
- * within one span of the target, and chance lets more of them send than on average; a target takes
- * half as much again and five calls more than it names.
+ * Used share of the limit. VMs that start sending together draw their shares of the current and of
+ * the next window within one window of the target, and by chance more of them send than on average;
+ * targets tolerate 1.5 times their limit plus five calls.
  */
 constexpr double usedShare = 0.45;
 
-/** Without a call now and then nobody would hear that the limit has gone. */
-constexpr double leastPerSecond = 0.2;
+/** Without an occasional call no VM would learn that the limit has been lifted. */
+constexpr double minPerSecond = 0.2;
 
 } // namespace
 
 bool updateLimit(AdvertisedLimit &limit, std::optional<double> perSecond) noexcept
 {
     const double before = limit.perSecond;
-    limit.perSecond = perSecond ? std::max(*perSecond, leastPerSecond) : 0;
+    limit.perSecond = perSecond ? std::max(*perSecond, minPerSecond) : 0;
     return limit.perSecond != before;
 }
 
@@ -35,8 +35,9 @@
     advance(limit.sent, AdvertisedLimit::span, now);
     const std::int64_t current = now.time_since_epoch() / AdvertisedLimit::span;
     if (limit.drawnWindow != current) {
-        const double even = usedShare * limit.perSecond * toSeconds(AdvertisedLimit::span) / vms;
-        limit.share = static_cast<std::uint32_t>(std::floor(even + draw));
+        const double equalShare =
+            usedShare * limit.perSecond * toSeconds(AdvertisedLimit::span) / vms;
+        limit.share = static_cast<std::uint32_t>(std::floor(equalShare + draw));
         limit.drawnWindow = current;
     }
     return sumOf(limit.sent) < limit.share;
--- a/libs/serving/src/PendingLoads.cpp
+++ b/libs/serving/src/PendingLoads.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** The word that a load is done comes about as late as the one that it had begun. */
-constexpr Duration wordOnItsWay = std::chrono::milliseconds(250);
+/** The report that a load is done is about as late as the one that it had started. */
+constexpr Duration reportDelay = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -23,13 +23,13 @@
     }
 }
 
-// A load that fails, or whose holder goes, is named until there is other news of the engine. Calls
-// wait for it no longer than it was expected to take.
+// A load that fails, or whose lease holder is lost, stays listed until the next update about the
+// engine. Calls wait for it no longer than it was expected to take.
 std::optional<Duration> timeUntilLoaded(const PendingLoads &loads, const std::string &adapter,
                                         Instant now)
 {
     const auto load = loads.doneAt.find(adapter);
-    if (load == loads.doneAt.end() || now >= load->second + wordOnItsWay)
+    if (load == loads.doneAt.end() || now >= load->second + reportDelay)
         return std::nullopt;
     return std::max(load->second - now, Duration::zero());
 }
@@ -37,10 +37,10 @@
 std::optional<std::size_t> chooseLoadingEngine(const std::vector<EngineView> &engines,
                                                const EngineNeed &need,
                                                const std::vector<std::string> &tried,
-                                               const EngineWeights &weights, double patienceMs)
+                                               const EngineWeights &weights, double waitLimitMs)
 {
     std::optional<std::size_t> best;
-    double bestMs = patienceMs;
+    double bestMs = waitLimitMs;
     for (std::size_t index = 0; index < engines.size(); ++index) {
         const EngineView &engine = engines[index];
         const bool wasTried = std::find(tried.begin(), tried.end(), engine.id) != tried.end();
--- a/libs/serving/src/PrefixIndex.cpp
+++ b/libs/serving/src/PrefixIndex.cpp
@@ -10,218 +10,223 @@
 namespace {
 
 /**
- * Less than this share of a prompt does not show in the time to its first event, which varies with
- * the steps of the running calls.
+ * A smaller share of a prompt is not visible in the time to its first event, which varies with the
+ * steps of the running calls.
  */
-constexpr double leastShareJudged = 0.25;
-/** With more than this share of the kept tokens waiting ahead, the wait may be due to those. */
-constexpr double mostShareAhead = 0.25;
-/** What took longer than this many readings of the prompt was held up by something else. */
-constexpr double mostReadings = 2;
+constexpr double minCachedShare = 0.25;
+/** With more than this share of the cached tokens waiting ahead, these may explain the wait. */
+constexpr double maxAheadShare = 0.25;
+/** A wait longer than this many prefills of the prompt has another cause. */
+constexpr double maxPrefillTimes = 2;
 
-/** Part of an engine's memory that counts as free for prefixes however much its calls hold. */
-constexpr double leastMemoryShare = 0.25;
+/**
+ * Share of an engine's KV memory that counts as available for prefixes however much its calls hold.
+ */
+constexpr double minCacheShare = 0.25;
 
-using Kept = std::unordered_map<std::uint64_t, CachedPrefix>;
+using CachedPrefixes = std::unordered_map<std::uint64_t, CachedPrefix>;
 
-Kept::iterator eraseKept(EnginePrefixes &of, Kept::iterator at)
+CachedPrefixes::iterator erasePrefix(EnginePrefixes &enginePrefixes, CachedPrefixes::iterator at)
 {
-    of.tokens -= at->second.tokens;
-    return of.byHash.erase(at);
+    enginePrefixes.tokens -= at->second.tokens;
+    return enginePrefixes.byHash.erase(at);
 }
 
-// The hash breaks ties, so that the order of the table does not matter.
-void dropLeastRecent(EnginePrefixes &of)
+// The hash breaks ties, so that the result does not depend on the order of the hash table.
+void dropLeastRecent(EnginePrefixes &enginePrefixes)
 {
-    const auto least =
-        std::min_element(of.byHash.begin(), of.byHash.end(), [](const auto &a, const auto &b) {
+    const auto leastRecent = std::min_element(
+        enginePrefixes.byHash.begin(), enginePrefixes.byHash.end(),
+        [](const auto &a, const auto &b) {
             return std::tie(a.second.readAt, a.first) < std::tie(b.second.readAt, b.first);
         });
-    eraseKept(of, least);
+    erasePrefix(enginePrefixes, leastRecent);
 }
 
-void trimTo(EnginePrefixes &of, std::size_t limit)
+void trimTo(EnginePrefixes &enginePrefixes, std::size_t limit)
 {
-    while (of.byHash.size() > limit)
-        dropLeastRecent(of);
+    while (enginePrefixes.byHash.size() > limit)
+        dropLeastRecent(enginePrefixes);
 }
 
-void divideAmong(PrefixIndex &book, std::size_t engines)
+void divideLimit(PrefixIndex &index, std::size_t engines)
 {
     const std::size_t share = maxPrefixesInIndex / std::max<std::size_t>(engines, 1);
     const std::size_t limit = std::min(share, maxPrefixesPerEngine);
-    const bool fewer = limit < book.limit;
-    book.limit = limit;
+    const bool fewer = limit < index.limit;
+    index.limit = limit;
     if (!fewer)
         return;
-    for (auto &[engine, of] : book.engines)
-        trimTo(of, limit);
+    for (auto &[engine, enginePrefixes] : index.engines)
+        trimTo(enginePrefixes, limit);
 }
 
-/** Null if the book has no room for another engine. */
-EnginePrefixes *engineIn(PrefixIndex &book, std::uint64_t engine)
+/** Null if the index is full. */
+EnginePrefixes *findOrAddEngine(PrefixIndex &index, std::uint64_t engine)
 {
-    const auto found = book.engines.find(engine);
-    if (found != book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found != index.engines.end())
         return &found->second;
-    if (book.engines.size() >= maxEnginesInIndex)
+    if (index.engines.size() >= maxEnginesInIndex)
         return nullptr;
-    divideAmong(book, book.engines.size() + 1);
-    return &book.engines[engine];
+    divideLimit(index, index.engines.size() + 1);
+    return &index.engines[engine];
 }
 
-CachedPrefix &prefixIn(const PrefixIndex &book, EnginePrefixes &of, std::uint64_t hash)
+CachedPrefix &findOrAddPrefix(const PrefixIndex &index, EnginePrefixes &enginePrefixes,
+                              std::uint64_t hash)
 {
-    const auto found = of.byHash.find(hash);
-    if (found != of.byHash.end())
+    const auto found = enginePrefixes.byHash.find(hash);
+    if (found != enginePrefixes.byHash.end())
         return found->second;
-    trimTo(of, book.limit - 1);
-    return of.byHash[hash];
+    trimTo(enginePrefixes, index.limit - 1);
+    return enginePrefixes.byHash[hash];
 }
 
-void believe(EnginePrefixes &of, CachedPrefix &kept, int tokens, Instant now)
+void markCached(EnginePrefixes &enginePrefixes, CachedPrefix &cached, int tokens, Instant now)
 {
-    of.tokens += tokens - kept.tokens;
-    kept.tokens = tokens;
-    kept.readAt = now;
-    of.readAt = now;
+    enginePrefixes.tokens += tokens - cached.tokens;
+    cached.tokens = tokens;
+    cached.readAt = now;
+    enginePrefixes.readAt = now;
 }
 
-/** True if others are to hear of it now; it counts as told then. */
-bool isNews(CachedPrefix &kept, Instant now)
+/** True if other VMs should get it now; it then counts as reported. */
+bool isReportDue(CachedPrefix &cached, Instant now)
 {
-    if (kept.reportedAt != Instant{} && now - kept.reportedAt < prefixReportInterval)
+    if (cached.reportedAt != Instant{} && now - cached.reportedAt < prefixReportInterval)
         return false;
-    kept.reportedAt = now;
+    cached.reportedAt = now;
     return true;
 }
 
 } // namespace
 
-std::vector<PromptPrefix> recordRead(PrefixIndex &book, std::uint64_t engine,
+std::vector<PromptPrefix> recordRead(PrefixIndex &index, std::uint64_t engine,
                                      const std::vector<PromptPrefix> &prefixes, Instant now)
 {
-    std::vector<PromptPrefix> news;
+    std::vector<PromptPrefix> toReport;
     if (prefixes.empty())
-        return news;
-    EnginePrefixes *of = engineIn(book, engine);
-    if (of == nullptr)
-        return news;
+        return toReport;
+    EnginePrefixes *enginePrefixes = findOrAddEngine(index, engine);
+    if (enginePrefixes == nullptr)
+        return toReport;
     for (const PromptPrefix &prefix : prefixes) {
-        CachedPrefix &kept = prefixIn(book, *of, prefix.hash);
-        if (now < kept.doubtedUntil)
+        CachedPrefix &cached = findOrAddPrefix(index, *enginePrefixes, prefix.hash);
+        if (now < cached.doubtedUntil)
             continue;
-        believe(*of, kept, prefix.tokens, now);
-        const bool worthIt =
+        markCached(*enginePrefixes, cached, prefix.tokens, now);
+        const bool isReportable =
             prefix.tokens >= minReportedTokens && prefix.tokens <= maxReportedTokens;
-        if (worthIt && isNews(kept, now))
-            news.push_back(prefix);
+        if (isReportable && isReportDue(cached, now))
+            toReport.push_back(prefix);
     }
-    return news;
+    return toReport;
 }
 
-// A doubted prefix is told on all the same: the call that showed it ran at another VM, and the
-// doubt here may be of before it.
-bool recordReported(PrefixIndex &book, std::uint64_t engine, const PromptPrefix &prefix,
+// A prefix under doubt is passed on all the same: the call that showed it ran at another VM, and
+// may have run after the cache miss seen here.
+bool recordReported(PrefixIndex &index, std::uint64_t engine, const PromptPrefix &prefix,
                     Instant now)
 {
-    EnginePrefixes *of = engineIn(book, engine);
-    if (of == nullptr)
+    EnginePrefixes *enginePrefixes = findOrAddEngine(index, engine);
+    if (enginePrefixes == nullptr)
         return false;
-    CachedPrefix &kept = prefixIn(book, *of, prefix.hash);
-    const bool news = isNews(kept, now);
-    if (now >= kept.doubtedUntil)
-        believe(*of, kept, prefix.tokens, now);
-    return news;
+    CachedPrefix &cached = findOrAddPrefix(index, *enginePrefixes, prefix.hash);
+    const bool toReport = isReportDue(cached, now);
+    if (now >= cached.doubtedUntil)
+        markCached(*enginePrefixes, cached, prefix.tokens, now);
+    return toReport;
 }
 
-void recordMissing(PrefixIndex &book, std::uint64_t engine,
+void recordMissing(PrefixIndex &index, std::uint64_t engine,
                    const std::vector<PromptPrefix> &prefixes, Instant now)
 {
-    const auto found = book.engines.find(engine);
-    if (found == book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found == index.engines.end())
         return;
-    EnginePrefixes &of = found->second;
+    EnginePrefixes &enginePrefixes = found->second;
     for (const PromptPrefix &prefix : prefixes) {
-        const auto kept = of.byHash.find(prefix.hash);
-        if (kept == of.byHash.end())
+        const auto cached = enginePrefixes.byHash.find(prefix.hash);
+        if (cached == enginePrefixes.byHash.end())
             continue;
-        of.tokens -= kept->second.tokens;
-        kept->second.tokens = 0;
-        kept->second.doubtedUntil = now + missingPrefixHold;
+        enginePrefixes.tokens -= cached->second.tokens;
+        cached->second.tokens = 0;
+        cached->second.doubtedUntil = now + missingPrefixHold;
     }
 }
 
-double cachedPrefixTokens(const PrefixIndex &book, std::uint64_t engine,
+double cachedPrefixTokens(const PrefixIndex &index, std::uint64_t engine,
                           const std::vector<PromptPrefix> &prefixes)
 {
     if (prefixes.empty())
         return 0;
-    const auto found = book.engines.find(engine);
-    if (found == book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found == index.engines.end())
         return 0;
-    // An engine that keeps a prefix keeps the beginning of it, too.
+    // An engine that has a prefix cached also has all shorter prefixes of it.
     for (auto prefix = prefixes.rbegin(); prefix != prefixes.rend(); ++prefix) {
-        const auto kept = found->second.byHash.find(prefix->hash);
-        if (kept != found->second.byHash.end() && kept->second.tokens > 0)
+        const auto cached = found->second.byHash.find(prefix->hash);
+        if (cached != found->second.byHash.end() && cached->second.tokens > 0)
             return prefix->tokens;
     }
     return 0;
 }
 
-// Running calls hold prefixes that they share only once, but each is counted with all its tokens.
+// Running calls hold a shared prefix only once, but each is counted with all its tokens.
 double prefixCacheCapacity(double kvTokens, double heldTokens) noexcept
 {
     if (kvTokens <= 0)
         return std::numeric_limits<double>::infinity();
-    return std::max(kvTokens - heldTokens, leastMemoryShare * kvTokens);
+    return std::max(kvTokens - heldTokens, minCacheShare * kvTokens);
 }
 
-void evictToFit(PrefixIndex &book, std::uint64_t engine, double tokens)
+void evictToFit(PrefixIndex &index, std::uint64_t engine, double tokens)
 {
-    const auto found = book.engines.find(engine);
-    if (found == book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found == index.engines.end())
         return;
-    EnginePrefixes &of = found->second;
-    while (of.tokens > tokens && !of.byHash.empty())
-        dropLeastRecent(of);
+    EnginePrefixes &enginePrefixes = found->second;
+    while (enginePrefixes.tokens > tokens && !enginePrefixes.byHash.empty())
+        dropLeastRecent(enginePrefixes);
 }
 
-void forgetAdapter(PrefixIndex &book, std::uint64_t engine, std::uint64_t tag)
+void forgetAdapter(PrefixIndex &index, std::uint64_t engine, std::uint64_t tag)
 {
-    const auto found = book.engines.find(engine);
-    if (found == book.engines.end())
+    const auto found = index.engines.find(engine);
+    if (found == index.engines.end())
         return;
-    EnginePrefixes &of = found->second;
-    for (auto kept = of.byHash.begin(); kept != of.byHash.end();)
-        kept = prefixTag(kept->first) == tag ? eraseKept(of, kept) : std::next(kept);
+    EnginePrefixes &enginePrefixes = found->second;
+    for (auto cached = enginePrefixes.byHash.begin(); cached != enginePrefixes.byHash.end();)
+        cached = prefixTag(cached->first) == tag ? erasePrefix(enginePrefixes, cached)
+                                                 : std::next(cached);
 }
 
-void forgetEngine(PrefixIndex &book, std::uint64_t engine)
+void forgetEngine(PrefixIndex &index, std::uint64_t engine)
 {
-    if (book.engines.erase(engine) > 0)
-        divideAmong(book, book.engines.size());
+    if (index.engines.erase(engine) > 0)
+        divideLimit(index, index.engines.size());
 }
 
-void forgetUnused(PrefixIndex &book, Instant now)
+void forgetUnused(PrefixIndex &index, Instant now)
 {
-    const auto dropped = std::erase_if(book.engines, [now](const auto &entry) {
+    const auto dropped = std::erase_if(index.engines, [now](const auto &entry) {
         return now - entry.second.readAt > unusedEngineExpiry;
     });
     if (dropped > 0)
-        divideAmong(book, book.engines.size());
+        divideLimit(index, index.engines.size());
 }
 
 bool indicatesCacheMiss(const FirstEventTiming &trial, double promptTokensPerMs) noexcept
 {
     if (trial.cachedPrefixTokens < minReportedTokens
-        || trial.cachedPrefixTokens < leastShareJudged * trial.promptTokens)
+        || trial.cachedPrefixTokens < minCachedShare * trial.promptTokens)
         return false;
-    if (trial.aheadTokens > mostShareAhead * trial.cachedPrefixTokens)
+    if (trial.aheadTokens > maxAheadShare * trial.cachedPrefixTokens)
         return false;
     const double waitedMs = 1000 * toSeconds(trial.untilFirst);
     const double wholeMs = (trial.aheadTokens + trial.promptTokens) / promptTokensPerMs;
-    return waitedMs >= wholeMs && waitedMs <= mostReadings * wholeMs;
+    return waitedMs >= wholeMs && waitedMs <= maxPrefillTimes * wholeMs;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/ServingConfig.cpp
+++ b/libs/serving/src/ServingConfig.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Neither a host nor a path may contain a line break, so the two parts cannot run together.
+// Neither a host nor a path can contain a line break, so the two parts of the key cannot run
+// together.
 constexpr char keySeparator = '\n';
 
 std::string routeKey(std::string_view host, std::string_view prefix)
@@ -23,13 +24,13 @@
 } // namespace
 
 RouteTable::RouteTable(ServingConfig config)
-    : whole(std::move(config))
+    : configuration(std::move(config))
 {
-    for (std::size_t index = 0; index < this->whole.routes.size(); ++index) {
-        const Route &route = this->whole.routes[index];
+    for (std::size_t index = 0; index < this->configuration.routes.size(); ++index) {
+        const Route &route = this->configuration.routes[index];
         this->routeByHostAndPrefix[routeKey(route.host, route.pathPrefix)] = index;
         for (const ServiceShare &share : route.services) {
-            Duration &longest = this->longestStreams[share.service];
+            Duration &longest = this->maxResumableTimeouts[share.service];
             if (route.resumable)
                 longest = std::max(longest, route.timeout);
         }
@@ -39,23 +40,23 @@
             const Objectives first{route.latencyObjective, route.latencyObjective};
             Objectives &known =
                 this->objectivesByService.try_emplace(share.service, first).first->second;
-            known.least = std::min(known.least, route.latencyObjective);
-            known.most = std::max(known.most, route.latencyObjective);
+            known.smallest = std::min(known.smallest, route.latencyObjective);
+            known.largest = std::max(known.largest, route.latencyObjective);
         }
     }
-    for (std::size_t index = 0; index < this->whole.services.size(); ++index)
-        this->serviceByName[this->whole.services[index].name] = index;
-    for (std::size_t index = 0; index < this->whole.workspaces.size(); ++index)
-        this->workspaceByName[this->whole.workspaces[index].name] = index;
+    for (std::size_t index = 0; index < this->configuration.services.size(); ++index)
+        this->serviceByName[this->configuration.services[index].name] = index;
+    for (std::size_t index = 0; index < this->configuration.workspaces.size(); ++index)
+        this->workspaceByName[this->configuration.workspaces[index].name] = index;
 }
 
 const ServingConfig &RouteTable::config() const noexcept
 {
-    return this->whole;
+    return this->configuration;
 }
 
-// Prefixes end with a slash, so only the cuts after a slash have to be tried, longest first. A
-// configuration of hundreds of routes then costs a look-up for each slash of the path.
+// Prefixes end with a slash, so only cuts after a slash have to be tried, longest first. The lookup
+// costs one hash access per slash of the path, also with hundreds of routes.
 const Route *RouteTable::findRoute(std::string_view host, std::string_view path) const
 {
     std::string key = routeKey(host, path.substr(0, path.find('?')));
@@ -67,7 +68,7 @@
         key.resize(slash + 1);
         const auto found = this->routeByHostAndPrefix.find(key);
         if (found != this->routeByHostAndPrefix.end())
-            return &this->whole.routes[found->second];
+            return &this->configuration.routes[found->second];
         key.resize(slash);
     }
 }
@@ -75,33 +76,35 @@
 const ServiceSpec *RouteTable::findService(const std::string &name) const
 {
     const auto found = this->serviceByName.find(name);
-    return found == this->serviceByName.end() ? nullptr : &this->whole.services[found->second];
+    return found == this->serviceByName.end() ? nullptr
+                                              : &this->configuration.services[found->second];
 }
 
 const Workspace *RouteTable::findWorkspace(const std::string &name) const
 {
     const auto found = this->workspaceByName.find(name);
-    return found == this->workspaceByName.end() ? nullptr : &this->whole.workspaces[found->second];
+    return found == this->workspaceByName.end() ? nullptr
+                                                : &this->configuration.workspaces[found->second];
 }
 
 Duration RouteTable::minObjective(const std::string &service) const
 {
     const auto found = this->objectivesByService.find(service);
-    return found == this->objectivesByService.end() ? Duration::zero() : found->second.least;
+    return found == this->objectivesByService.end() ? Duration::zero() : found->second.smallest;
 }
 
 std::optional<Duration> RouteTable::shortestObjective(const std::string &service) const
 {
     const auto found = this->objectivesByService.find(service);
-    if (found == this->objectivesByService.end() || found->second.least == found->second.most)
+    if (found == this->objectivesByService.end() || found->second.smallest == found->second.largest)
         return std::nullopt;
-    return found->second.least;
+    return found->second.smallest;
 }
 
 Duration RouteTable::maxResumableTimeout(const std::string &service) const
 {
-    const auto found = this->longestStreams.find(service);
-    return found == this->longestStreams.end() ? Duration::zero() : found->second;
+    const auto found = this->maxResumableTimeouts.find(service);
+    return found == this->maxResumableTimeouts.end() ? Duration::zero() : found->second;
 }
 
 bool mayReplace(std::int64_t current, std::int64_t offered) noexcept
--- a/libs/serving/tests/Orders.cpp
+++ b/libs/serving/tests/Orders.cpp
@@ -14,20 +14,22 @@
 constexpr int slotCount = 3;
 const Instant start = Instant{} + 1000s;
 
-/** An engine as the platform describes it: it counts accepted orders and checks the expected count.
+/**
+ * An engine as described by the platform: it counts accepted commands and checks the expected count
+ * of each.
  */
 struct FakeEngine
 {
     std::int64_t sequence = 0;
     std::map<std::string, std::int64_t> held;
 
-    /** True if the order was accepted. */
-    bool order(bool load, const std::string &adapter, std::int64_t version, std::int64_t expected)
+    /** True if the command was accepted. */
+    bool command(bool load, const std::string &adapter, std::int64_t version, std::int64_t expected)
     {
         if (expected != this->sequence)
             return false;
         if (!load && this->held.count(adapter) == 0)
-            return true; // done already, and not counted
+            return true; // already done, and not counted
         if (load)
             this->held[adapter] = version;
         else
@@ -37,7 +39,7 @@
     }
 };
 
-struct LateOrder
+struct LateCommand
 {
     bool load;
     std::string adapter;
@@ -54,8 +56,11 @@
     return report;
 }
 
-/** One step for `adapter`; a lost order is kept to be carried out later, or never was sent. */
-void step(AdapterScheduler &scheduler, FakeEngine &engine, std::vector<LateOrder> &late,
+/**
+ * One step for `adapter`. A command whose answer is lost is executed now, or kept to be executed
+ * later.
+ */
+void step(AdapterScheduler &scheduler, FakeEngine &engine, std::vector<LateCommand> &late,
           const std::string &adapter, Instant now, bool answerLost, bool carriedOutLate)
 {
     if (scheduler.sequence < 0) {
@@ -67,24 +72,24 @@
     const bool load = choice.step == SchedulerStep::Load;
     if (!load && choice.step != SchedulerStep::Unload)
         return;
-    const std::string subject = load ? adapter : choice.victim;
+    const std::string affected = load ? adapter : choice.victim;
     if (answerLost) {
         if (carriedOutLate)
-            late.push_back({load, subject, 0, scheduler.sequence});
+            late.push_back({load, affected, 0, scheduler.sequence});
         else
-            engine.order(load, subject, 0, scheduler.sequence);
+            engine.command(load, affected, 0, scheduler.sequence);
         invalidateSequence(scheduler);
         return;
     }
     const std::int64_t before = engine.sequence;
-    if (!engine.order(load, subject, 0, scheduler.sequence)) {
+    if (!engine.command(load, affected, 0, scheduler.sequence)) {
         invalidateSequence(scheduler);
         return;
     }
     if (load)
-        recordLoadAccepted(scheduler, subject, 0, {10ms}, now);
+        recordLoadAccepted(scheduler, affected, 0, {10ms}, now);
     else
-        recordUnloaded(scheduler, subject);
+        recordUnloaded(scheduler, affected);
     if (engine.sequence != before)
         advanceSequence(scheduler, now);
 }
@@ -98,14 +103,14 @@
 
 } // namespace
 
-// An engine that is ordered to hold more adapters than it has slots for crashes. Orders get no
-// answer and are carried out later, after newer ones; whatever the order of events, the slots hold.
+// An engine that is commanded to hold more adapters than it has slots for crashes. Commands lose
+// their answers and are executed after newer ones; in any order of events the slots are respected.
 Test(orders, lost_and_late_orders_never_overfill_an_engine)
 {
     cr_assert(rc::check("slots", [] {
         AdapterScheduler scheduler = freshScheduler();
         FakeEngine engine;
-        std::vector<LateOrder> late;
+        std::vector<LateCommand> late;
         Instant now = start;
         const auto steps = *rc::gen::resize(
             200,
@@ -114,9 +119,9 @@
         for (const auto &[adapter, fate, afterMs] : steps) {
             now += std::chrono::milliseconds(afterMs);
             if (fate == 5 && !late.empty()) {
-                const LateOrder order = late.back();
+                const LateCommand command = late.back();
                 late.pop_back();
-                engine.order(order.load, order.adapter, order.version, order.expected);
+                engine.command(command.load, command.adapter, command.version, command.expected);
             }
             step(scheduler, engine, late, "m/a" + std::to_string(adapter), now,
                  fate == 1 || fate == 2, fate == 2);
@@ -125,10 +130,10 @@
     }));
 }
 
-// Symptom: an engine got no order for 40 s. Sequence: an unload of an adapter that was not there is
-// answered "done" without being counted; the scheduler counts one order too many; every report then
-// looks older than what is known. Cause: a report was only taken if it counted enough.
-Test(orders, a_count_that_ran_ahead_is_corrected)
+// Guards against an engine that gets no commands (seen for 40 s). An unload of an adapter that is
+// not there is answered "done" without being counted, so the scheduler's count is one too high and
+// every report looks outdated; reports were only applied if their count was high enough.
+Test(orders, a_command_count_that_is_too_high_is_corrected)
 {
     AdapterScheduler scheduler = freshScheduler();
     applyEngineReport(scheduler, reportOf(FakeEngine{}), start);
@@ -137,15 +142,16 @@
     invalidateSequence(scheduler);
     FakeEngine engine;
     engine.sequence = 1;
-    cr_assert(!applyEngineReport(scheduler, reportOf(engine), start + 100ms), "it may lag");
+    cr_assert(!applyEngineReport(scheduler, reportOf(engine), start + 100ms),
+              "the report may be outdated");
     cr_assert(applyEngineReport(scheduler, reportOf(engine), start + 700ms),
-              "it cannot lag any more");
+              "the report can no longer be outdated");
     cr_assert_eq(scheduler.sequence, 1);
 }
 
-// Symptom: an engine refused all orders for seconds. Sequence: a new version of an adapter is named
-// while a long answer uses the old one; the engine is told to replace it, and takes no other order
-// until that answer has ended. Answer: a version in use stays until it is idle.
+// Guards against an engine that refuses all commands for seconds: told to replace an adapter
+// version that a long answer still uses, it accepts no other command until that answer ends. A
+// version in use therefore stays until it is idle.
 Test(orders, an_older_version_in_use_is_not_replaced)
 {
     AdapterScheduler scheduler = freshScheduler();
@@ -159,7 +165,7 @@
     cr_assert_eq(idle.victim, "m/a");
 }
 
-Test(orders, the_slot_that_goes_is_the_one_idle_for_longest)
+Test(orders, the_least_recently_used_slot_is_freed)
 {
     AdapterScheduler scheduler = freshScheduler();
     for (const char *adapter : {"m/a", "m/b", "m/c"})
@@ -172,7 +178,7 @@
     cr_assert_eq(choice.victim, "m/b");
 }
 
-Test(orders, all_slots_in_use_is_said)
+Test(orders, all_slots_in_use_is_reported)
 {
     AdapterScheduler scheduler = freshScheduler();
     for (const char *adapter : {"m/a", "m/b", "m/c"})
@@ -182,7 +188,7 @@
     cr_assert(nextCommand(scheduler, "m/d", 0, start + 1s).step == SchedulerStep::NoSlot);
 }
 
-Test(orders, what_left_its_slot_lately_loads_fast_again)
+Test(orders, recently_unloaded_adapters_load_fast)
 {
     AdapterScheduler scheduler = freshScheduler();
     LoadEstimator estimator;
@@ -195,7 +201,7 @@
     cr_assert_lt(again.time.count(), first.time.count() / 5);
 }
 
-Test(orders, memory_bounds_the_adapters_too)
+Test(orders, memory_limits_the_adapters_too)
 {
     EngineSpec engine;
     engine.adapterSlots = 9;
@@ -208,10 +214,10 @@
     cr_assert_eq(adapterCapacity(engine, model), 4);
 }
 
-// Symptom: calls were refused by engines that had been told to load their adapter, again and again.
-// Cause: loads take longer there than expected. Each such refusal makes the expectation longer, and
-// the load is looked at again soon, without a report, whose word is older than the refusal.
-Test(orders, calls_that_come_too_early_make_loads_expected_later)
+// Guards against calls that are refused again and again because loads take longer than expected.
+// Each such refusal raises the estimate, and the load is checked again soon without a report, as a
+// report would be older than the refusal.
+Test(orders, early_calls_lengthen_the_load_estimate)
 {
     AdapterScheduler scheduler = freshScheduler();
     scheduler.sequence = 1;
@@ -225,17 +231,16 @@
     cr_assert_lt((scheduler.slots.at("m/a").readyAt - due).count(), (estimate.time / 4).count());
     cr_assert(estimateLoad(scheduler, "m/b", 7, estimator).time > estimate.time);
     cr_assert_geq(scheduler.sequence, 0);
-    // Long after that, a refusal means that the slots are not what they were taken to be.
+    // Long after that, a refusal means that the known state of the slots is wrong.
     completeDueLoads(scheduler, due + 1s);
     recordMissing(scheduler, "m/a", estimator, due + 2s);
     cr_assert_lt(scheduler.sequence, 0);
 }
 
-// Symptom: on crowded engines a tenth of the orders was refused, and each refusal kept the holder
-// from ordering for 60 ms. Sequence: four loads are under way, one of them is taken as done a
-// little too early, a fifth is ordered and refused. Cause: the refusal was taken for a count that
-// differs.
-Test(orders, a_fifth_load_refused_means_that_one_is_not_done)
+// Guards against a pause of 60 ms after each refused load command, which hit a tenth of the
+// commands to heavily loaded engines. With four loads running, one of them is assumed done slightly
+// too early, and a fifth is sent and refused; the refusal was taken for a wrong command count.
+Test(orders, a_refused_fifth_load_means_that_one_is_not_done)
 {
     AdapterScheduler scheduler;
     scheduler.adapterSlots = 9;
@@ -251,22 +256,22 @@
     cr_assert_gt(scheduler.slots.at("m/d").readyAt.time_since_epoch().count(),
                  (start + 206ms).time_since_epoch().count());
     cr_assert_eq(scheduler.sequence, 4);
-    // With less under way, something else is wrong.
+    // With fewer loads running, the refusal has another cause.
     completeDueLoads(scheduler, start + 1s);
     learnFromLoads(scheduler, estimator, start + 2s);
     cr_assert(!recordBusyRefusal(scheduler, estimator, start + 2s));
 }
 
-// Symptom: more adapters were fetched from the weight store than left the engines' memories.
-// Sequence: engines keep more copies, or fewer, than a constant says. Cause: calls were sent to
-// engines that had dropped the copy, and away from those that had it.
-Test(orders, the_copies_that_an_engine_keeps_are_learnt)
+// Guards against needless fetches from the weight store: with a constant for the copies that
+// engines keep in host memory, calls were sent to engines that had dropped the copy and away from
+// those that had it.
+Test(orders, the_number_of_host_copies_is_learnt)
 {
-    for (const int kept : {20, 108, 400}) {
+    for (const int keptCopies : {20, 108, 400}) {
         AdapterScheduler scheduler;
         scheduler.adapterSlots = 1;
         LoadEstimator estimator;
-        std::list<std::string> memory; // of the engine, newest first
+        std::list<std::string> memory; // host memory of the engine, newest first
         Instant now = start;
         int early = 0;
         for (int load = 0; load < 4000; ++load) {
@@ -280,10 +285,10 @@
             now += estimate.time;
             completeDueLoads(scheduler, now);
             const auto copy = std::find(memory.begin(), memory.end(), adapter);
-            const bool there = copy != memory.end();
-            if (there)
+            const bool hasCopy = copy != memory.end();
+            if (hasCopy)
                 memory.erase(copy);
-            if (!there && !estimate.fetched) {
+            if (!hasCopy && !estimate.fetched) {
                 recordMissing(scheduler, adapter, estimator, now);
                 now = scheduler.slots.at(adapter).readyAt;
                 completeDueLoads(scheduler, now);
@@ -293,25 +298,24 @@
                 completeDueLoads(scheduler, now);
             }
             memory.push_front(adapter);
-            if (static_cast<int>(memory.size()) > kept)
+            if (static_cast<int>(memory.size()) > keptCopies)
                 memory.pop_back();
             now += 200ms;
             learnFromLoads(scheduler, estimator, now);
         }
-        cr_assert_geq(estimator.memory.retainedLoads, 0.5 * kept, "%d kept: %f", kept,
+        cr_assert_geq(estimator.memory.retainedLoads, 0.5 * keptCopies, "%d kept: %f", keptCopies,
                       estimator.memory.retainedLoads);
-        cr_assert_leq(estimator.memory.retainedLoads, 1.6 * kept, "%d kept: %f", kept,
+        cr_assert_leq(estimator.memory.retainedLoads, 1.6 * keptCopies, "%d kept: %f", keptCopies,
                       estimator.memory.retainedLoads);
-        cr_assert_lt(early, 150, "%d kept: %d early", kept, early);
+        cr_assert_lt(early, 150, "%d kept: %d early", keptCopies, early);
     }
 }
 
-// Symptom: every order to an engine was refused for its count, and calls bounced off adapters it
-// had lost. Sequence: an engine that has taken seven orders ends and is started anew under its id,
-// so it counts from nothing; a report of the former start is still under way. Cause: the count and
-// the slots of the former start were kept, and a count that went back was taken for an older
-// report.
-Test(orders, an_engine_that_was_started_anew_holds_and_counts_nothing)
+// Guards against commands refused for their count, and calls refused for missing adapters, after an
+// engine restarts under the same id and counts from zero. The count and slots of the former start
+// were kept, and the lower count was taken for an outdated report; a report of the former start may
+// still arrive.
+Test(orders, a_restarted_engine_holds_and_counts_nothing)
 {
     AdapterScheduler scheduler;
     scheduler.adapterSlots = slotCount;
@@ -321,9 +325,9 @@
     former.resident = {{"m/a1", 1}, {"m/a2", 1}};
     cr_assert(applyEngineReport(scheduler, former, start));
     advanceSequence(scheduler, start);
-    EngineReport reborn;
-    reborn.startTime = 5000;
-    cr_assert(applyEngineReport(scheduler, reborn, start + 50ms));
+    EngineReport restarted;
+    restarted.startTime = 5000;
+    cr_assert(applyEngineReport(scheduler, restarted, start + 50ms));
     cr_assert_eq(scheduler.sequence, 0);
     cr_assert(scheduler.slots.empty());
     cr_assert_lt(loadsSinceTouch(scheduler.copies, "m/a1"), 0);
@@ -333,10 +337,10 @@
     cr_assert_eq(scheduler.sequence, 0);
 }
 
-// Symptom: five calls of five VMs for one adapter were refused within 10 ms, each at the cost of a
-// repeat. Sequence: all wait for one load, which takes longer than expected. Cause: all were let
-// through at the same moment.
-Test(orders, one_call_goes_first_while_the_time_of_loads_is_in_doubt)
+// Guards against calls of several VMs that wait for the same load and are all let through at once:
+// when the load took longer than expected, five calls were refused within 10 ms, each at the cost
+// of a retry.
+Test(orders, one_call_probes_while_load_times_are_uncertain)
 {
     AdapterScheduler scheduler = freshScheduler();
     LoadEstimator estimator;
@@ -356,9 +360,9 @@
     cr_assert(probeCallDelay(scheduler, "m/a", estimator.times, again + 1ms) == Duration::zero());
 }
 
-// Sequence: two loads are ordered one after the other; the call for the first one is refused. The
-// second was expected by the same belief, and waits as long as is known by now.
-Test(orders, loads_under_way_wait_by_what_was_learnt_since)
+// Two loads are started with the same estimate, and the call for the first one is refused. The
+// expected end of the second must reflect what that refusal showed.
+Test(orders, running_loads_use_newer_estimates)
 {
     AdapterScheduler scheduler = freshScheduler();
     LoadEstimator estimator;
--- a/libs/serving/tests/Prefixes.cpp
+++ b/libs/serving/tests/Prefixes.cpp
@@ -15,43 +15,43 @@
 
 const Instant start = Instant{} + 1000s;
 
-/** What is believed, in one table that every question walks through. */
-struct NaiveBook
+/** Reference implementation: one table that is scanned for every query. */
+struct ReferenceIndex
 {
     std::map<std::pair<std::uint64_t, std::uint64_t>, CachedPrefix> rows; ///< by engine and prefix
 
-    /** True if it is news. */
+    /** True if the prefix is to be reported. */
     bool note(std::uint64_t engine, const PromptPrefix &prefix, bool own, Instant now)
     {
-        CachedPrefix &kept = this->rows[{engine, prefix.hash}];
-        const bool doubted = now < kept.doubtedUntil;
-        if (!doubted) {
-            kept.tokens = prefix.tokens;
-            kept.readAt = now;
+        CachedPrefix &cached = this->rows[{engine, prefix.hash}];
+        const bool distrusted = now < cached.doubtedUntil;
+        if (!distrusted) {
+            cached.tokens = prefix.tokens;
+            cached.readAt = now;
         }
         const bool recent =
-            kept.reportedAt != Instant{} && now - kept.reportedAt < prefixReportInterval;
-        if (recent || (own && (doubted || prefix.tokens < minReportedTokens)))
+            cached.reportedAt != Instant{} && now - cached.reportedAt < prefixReportInterval;
+        if (recent || (own && (distrusted || prefix.tokens < minReportedTokens)))
             return false;
-        kept.reportedAt = now;
+        cached.reportedAt = now;
         return true;
     }
 
     double tokensAt(std::uint64_t engine) const
     {
         double sum = 0;
-        for (const auto &[key, kept] : this->rows)
-            sum += key.first == engine ? kept.tokens : 0;
+        for (const auto &[key, cached] : this->rows)
+            sum += key.first == engine ? cached.tokens : 0;
         return sum;
     }
 
     void evictToFit(std::uint64_t engine, double tokens)
     {
-        const auto order = [engine](const auto &row) {
+        const auto sortKey = [engine](const auto &row) {
             return std::tuple(row.first.first != engine, row.second.readAt, row.first.second);
         };
         const auto before = [&](const auto &a, const auto &b) {
-            return order(a) < order(b);
+            return sortKey(a) < sortKey(b);
         };
         while (this->tokensAt(engine) > tokens)
             this->rows.erase(std::min_element(this->rows.begin(), this->rows.end(), before));
@@ -59,16 +59,16 @@
 
     double cachedPrefixTokens(std::uint64_t engine, const std::vector<PromptPrefix> &prompt)
     {
-        double most = 0;
+        double largest = 0;
         for (const PromptPrefix &prefix : prompt) {
             const auto row = this->rows.find({engine, prefix.hash});
-            most = std::max<double>(most, row == this->rows.end() ? 0 : row->second.tokens);
+            largest = std::max<double>(largest, row == this->rows.end() ? 0 : row->second.tokens);
         }
-        return most;
+        return largest;
     }
 };
 
-/** Prefixes of the prompts that are drawn: two adapters, three parts each, of different sizes. */
+/** Prefixes of the generated prompts: two adapters, up to three parts of different sizes. */
 std::vector<PromptPrefix> promptOf(int adapter, int parts)
 {
     std::vector<PromptPart> named;
@@ -79,13 +79,13 @@
 
 } // namespace
 
-// Guards against a table whose sums, order of eviction or hold-back times drift from the plain
-// rules in whatever order its calls come.
-Test(prefixes, the_book_does_as_a_naive_one)
+// Guards against sums, eviction order or hold times that deviate from the plain rules for some
+// order of calls.
+Test(prefixes, the_index_matches_a_reference_implementation)
 {
     cr_assert(rc::check("book", [] {
-        PrefixIndex book;
-        NaiveBook naive;
+        PrefixIndex index;
+        ReferenceIndex reference;
         Instant now = start;
         const auto steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
@@ -95,82 +95,84 @@
             now += *rc::gen::inRange(0, 1500) * 1ms;
             const int kind = *rc::gen::inRange(0, 7);
             if (kind <= 1) {
-                std::vector<PromptPrefix> news;
+                std::vector<PromptPrefix> toReport;
                 for (const PromptPrefix &prefix : prompt) {
-                    if (naive.note(engine, prefix, true, now))
-                        news.push_back(prefix);
+                    if (reference.note(engine, prefix, true, now))
+                        toReport.push_back(prefix);
                 }
-                RC_ASSERT(recordRead(book, engine, prompt, now) == news);
+                RC_ASSERT(recordRead(index, engine, prompt, now) == toReport);
             } else if (kind == 2) {
-                RC_ASSERT(recordReported(book, engine, prompt.back(), now)
-                          == naive.note(engine, prompt.back(), false, now));
+                RC_ASSERT(recordReported(index, engine, prompt.back(), now)
+                          == reference.note(engine, prompt.back(), false, now));
             } else if (kind == 3) {
-                recordMissing(book, engine, prompt, now);
+                recordMissing(index, engine, prompt, now);
                 for (const PromptPrefix &prefix : prompt) {
-                    const auto row = naive.rows.find({engine, prefix.hash});
-                    if (row == naive.rows.end())
+                    const auto row = reference.rows.find({engine, prefix.hash});
+                    if (row == reference.rows.end())
                         continue;
                     row->second.tokens = 0;
                     row->second.doubtedUntil = now + missingPrefixHold;
                 }
             } else if (kind == 4) {
                 const double tokens = *rc::gen::inRange(0, 8000);
-                evictToFit(book, engine, tokens);
-                naive.evictToFit(engine, tokens);
+                evictToFit(index, engine, tokens);
+                reference.evictToFit(engine, tokens);
             } else {
                 const bool whole = kind == 5;
                 const auto tag = prefixTag(prompt[0].hash);
-                whole ? forgetEngine(book, engine) : forgetAdapter(book, engine, tag);
-                std::erase_if(naive.rows, [&](const auto &row) {
+                whole ? forgetEngine(index, engine) : forgetAdapter(index, engine, tag);
+                std::erase_if(reference.rows, [&](const auto &row) {
                     return row.first.first == engine
                         && (whole || prefixTag(row.first.second) == tag);
                 });
             }
             for (std::uint64_t asked = 1; asked < 4; ++asked) {
                 const auto any = promptOf(adapter, 3);
-                const auto of = book.engines.find(asked);
-                RC_ASSERT(cachedPrefixTokens(book, asked, any)
-                          == naive.cachedPrefixTokens(asked, any));
-                RC_ASSERT((of == book.engines.end() ? 0 : of->second.tokens)
-                          == naive.tokensAt(asked));
+                const auto enginePrefixes = index.engines.find(asked);
+                RC_ASSERT(cachedPrefixTokens(index, asked, any)
+                          == reference.cachedPrefixTokens(asked, any));
+                RC_ASSERT(
+                    (enginePrefixes == index.engines.end() ? 0 : enginePrefixes->second.tokens)
+                    == reference.tokensAt(asked));
             }
         }
     }));
 }
 
-// Guards against memory that grows with the calls or with engines that are named on the wire.
-Test(prefixes, the_book_is_bounded)
+// Guards against memory that grows with the calls, or with the engines named in messages.
+Test(prefixes, the_index_is_bounded)
 {
-    PrefixIndex book;
+    PrefixIndex index;
     std::uint64_t hash = 0;
-    const auto total = [&book] {
+    const auto total = [&index] {
         std::size_t sum = 0;
-        for (const auto &[engine, of] : book.engines)
-            sum += of.byHash.size();
+        for (const auto &[engine, enginePrefixes] : index.engines)
+            sum += enginePrefixes.byHash.size();
         return sum;
     };
     for (std::uint64_t read = 0; read < 2 * maxPrefixesPerEngine; ++read)
-        recordReported(book, 1, {++hash, 1000}, start + read * 1ms);
-    cr_assert_eq(book.engines.at(1).byHash.size(), maxPrefixesPerEngine);
-    cr_assert_eq(cachedPrefixTokens(book, 1, {{hash, 1000}}), 1000);
-    cr_assert_eq(cachedPrefixTokens(book, 1, {{1, 1000}}), 0, "what was read first goes first");
-    std::size_t most = 0;
+        recordReported(index, 1, {++hash, 1000}, start + read * 1ms);
+    cr_assert_eq(index.engines.at(1).byHash.size(), maxPrefixesPerEngine);
+    cr_assert_eq(cachedPrefixTokens(index, 1, {{hash, 1000}}), 1000);
+    cr_assert_eq(cachedPrefixTokens(index, 1, {{1, 1000}}), 0,
+                 "the least recently read prefix is evicted first");
+    std::size_t largest = 0;
     for (std::uint64_t engine = 2; engine < 600; ++engine) {
         for (int read = 0; read < 300; ++read)
-            recordReported(book, engine, {++hash, 1000}, start + 1s);
-        most = std::max(most, total());
+            recordReported(index, engine, {++hash, 1000}, start + 1s);
+        largest = std::max(largest, total());
     }
-    cr_assert_leq(most, maxPrefixesInIndex);
+    cr_assert_leq(largest, maxPrefixesInIndex);
     for (std::uint64_t engine = 600; engine < 2 * maxEnginesInIndex; ++engine)
-        recordReported(book, engine, {++hash, 1000}, start + 2s);
-    cr_assert_eq(book.engines.size(), maxEnginesInIndex);
+        recordReported(index, engine, {++hash, 1000}, start + 2s);
+    cr_assert_eq(index.engines.size(), maxEnginesInIndex);
     cr_assert_leq(total(), maxPrefixesInIndex);
-    forgetUnused(book, start + 2s + unusedEngineExpiry + 1ms);
-    cr_assert(book.engines.empty());
-    cr_assert_eq(book.limit, maxPrefixesPerEngine);
+    forgetUnused(index, start + 2s + unusedEngineExpiry + 1ms);
+    cr_assert(index.engines.empty());
+    cr_assert_eq(index.limit, maxPrefixesPerEngine);
 }
 
-// Guards against estimates for a prompt of another adapter, or one that only ends alike.
+// Guards against estimates based on a prompt of another adapter, or on one that only ends alike.
 Test(prefixes, a_prefix_is_of_an_adapter_and_all_parts_so_far)
 {
     const std::vector<PromptPart> parts{{"a", 2000}, {"b", 4300}, {"own", 2890}};
@@ -190,26 +192,26 @@
     cr_assert_eq(promptPrefixes("m/x", many, 9190).size(), maxPrefixes);
 }
 
-// Guards against a belief that is never given up, and against one that is given up because the
+// Guards against an assumption that is never dropped, and against one that is dropped because the
 // engine was busy with other prompts.
-Test(prefixes, only_a_whole_reading_at_a_calm_engine_shows_that_a_prefix_is_missing)
+Test(prefixes, only_a_full_prefill_at_an_idle_engine_indicates_a_cache_miss)
 {
-    const auto missing = [](Duration untilFirst, double kept, double ahead) {
-        return indicatesCacheMiss({untilFirst, 8000, kept, ahead}, 40);
+    const auto missing = [](Duration untilFirst, double cached, double ahead) {
+        return indicatesCacheMiss({untilFirst, 8000, cached, ahead}, 40);
     };
     cr_assert(missing(210ms, 6000, 0));
-    cr_assert(!missing(60ms, 6000, 0), "it was read from the cache");
-    cr_assert(!missing(210ms, 6000, 4000), "others' prompts may have been read first");
-    cr_assert(!missing(500ms, 6000, 0), "something else held it up");
-    cr_assert(!missing(210ms, 1500, 0), "too small a part to show");
+    cr_assert(!missing(60ms, 6000, 0), "the prefix was read from the cache");
+    cr_assert(!missing(210ms, 6000, 4000), "other prompts may have been prefilled first");
+    cr_assert(!missing(500ms, 6000, 0), "the delay has another cause");
+    cr_assert(!missing(210ms, 1500, 0), "the cached share is too small to be visible");
     cr_assert(!missing(210ms, 0, 0));
     cr_assert_eq(prefixCacheCapacity(200'000, 80'000), 120'000);
     cr_assert_eq(prefixCacheCapacity(200'000, 190'000), 50'000);
-    cr_assert_gt(prefixCacheCapacity(0, 10), 1e12, "an engine that names no memory");
+    cr_assert_gt(prefixCacheCapacity(0, 10), 1e12, "an engine without a stated KV memory");
 }
 
-// Guards against entries that are lost with one message, and against logs and messages that grow
-// with the calls. Messages are lost and time passes as drawn.
+// Guards against entries lost with one message, and against logs and messages that grow with the
+// calls. Message loss and elapsed time are generated.
 Test(prefixes, a_reader_gets_what_is_new_whatever_messages_are_lost)
 {
     cr_assert(rc::check("log", [] {
@@ -218,7 +220,7 @@
         PrefixReader reader;
         reader.zonePeer = true;
         reader.sourceVm = 1;
-        std::set<PrefixRead> had;
+        std::set<PrefixRead> received;
         std::uint64_t number = 0;
         Instant now = start;
         const auto rounds = *rc::gen::inRange(1, 12);
@@ -242,12 +244,12 @@
                     wanted.push_back(entry->read);
             }
             std::sort(wanted.begin(), wanted.end());
-            const auto told = prefixesFor(log, reader, now);
-            RC_ASSERT(told == wanted);
+            const auto result = prefixesFor(log, reader, now);
+            RC_ASSERT(result == wanted);
             if (*rc::gen::arbitrary<bool>())
-                continue; // the answer is lost
-            for (const PrefixRead &read : told)
-                RC_ASSERT(had.insert(read).second);
+                continue; // the reply is lost
+            for (const PrefixRead &read : result)
+                RC_ASSERT(received.insert(read).second);
             reader.seen = log.last;
         }
     }));
--- a/libs/serving/tests/Retries.cpp
+++ b/libs/serving/tests/Retries.cpp
@@ -13,23 +13,23 @@
 
 enum class Kind : std::uint8_t { Call, Repeat, Restart };
 
-struct Happening
+struct Event
 {
     int vm;
     Kind kind;
     int afterMs;
 };
 
-std::vector<Happening> drawHappenings(int vms)
+std::vector<Event> generateEvents(int vms)
 {
     const auto kind =
         rc::gen::weightedElement<Kind>({{9, Kind::Call}, {9, Kind::Repeat}, {1, Kind::Restart}});
     const auto one =
-        rc::gen::construct<Happening>(rc::gen::inRange(0, vms), kind, rc::gen::inRange(0, 120));
-    return *rc::gen::resize(400, rc::gen::container<std::vector<Happening>>(one));
+        rc::gen::construct<Event>(rc::gen::inRange(0, vms), kind, rc::gen::inRange(0, 120));
+    return *rc::gen::resize(400, rc::gen::container<std::vector<Event>>(one));
 }
 
-/** One VM's part of the budget of a service. */
+/** One VM's share of a service's budget. */
 struct Vm
 {
     ServiceRetryBudget budget;
@@ -46,9 +46,9 @@
 
 } // namespace
 
-// The bound over all VMs, looked at in every window that ends with a repeat: repeats are at most
-// the ratio of the calls in that window, or the one before, plus the slack. VMs start anew
-// meanwhile, together or not, and learn only then how many there are.
+// The budget over all VMs, checked in every window that ends with a retry: retries are at most the
+// ratio of the calls in that window, or in the one before, plus the slack. VMs restart meanwhile,
+// together or separately, and learn only afterwards how many there are.
 Test(retries, all_vms_together_stay_within_the_bound)
 {
     cr_assert(rc::check("bound", [] {
@@ -59,12 +59,12 @@
         for (Vm &vm : all)
             vm.sharing = among(vms);
         std::deque<Instant> calls;
-        std::deque<Instant> repeats;
+        std::deque<Instant> retries;
         Instant now = Instant{} + 100s;
-        for (const Happening &happening : drawHappenings(vms)) {
-            now += std::chrono::milliseconds(happening.afterMs);
-            Vm &vm = all[static_cast<std::size_t>(happening.vm)];
-            if (happening.kind == Kind::Restart) {
+        for (const Event &event : generateEvents(vms)) {
+            now += std::chrono::milliseconds(event.afterMs);
+            Vm &vm = all[static_cast<std::size_t>(event.vm)];
+            if (event.kind == Kind::Restart) {
                 vm = Vm();
                 vm.sharing.from = slackAvailableFrom(policy, now);
                 vm.knowsOthersAt = now + 300ms;
@@ -72,32 +72,33 @@
             }
             if (now >= vm.knowsOthersAt)
                 vm.sharing.vms = vms;
-            if (happening.kind == Kind::Call) {
+            if (event.kind == Kind::Call) {
                 recordCall(vm.budget, policy, now);
                 calls.push_back(now);
                 continue;
             }
             if (!tryTakeRetry(vm.budget, policy, vm.sharing, now))
                 continue;
-            repeats.push_back(now);
-            while (!repeats.empty() && now - repeats.front() > policy.window)
-                repeats.pop_front();
+            retries.push_back(now);
+            while (!retries.empty() && now - retries.front() > policy.window)
+                retries.pop_front();
             while (!calls.empty() && now - calls.front() > 2 * policy.window)
                 calls.pop_front();
             const double allowed = policy.ratio * static_cast<double>(calls.size()) + policy.slack;
-            RC_ASSERT(static_cast<double>(repeats.size()) <= allowed);
+            RC_ASSERT(static_cast<double>(retries.size()) <= allowed);
         }
     }));
 }
 
-// Guards against repeats that wait for a place and are counted when they were granted, not sent.
+// Guards against counting a retry that waits for capacity when it was granted instead of when it is
+// sent.
 Test(retries, repeats_that_wait_stay_within_the_bound)
 {
     cr_assert(rc::check("bound", [] {
         RetryPolicy policy;
         policy.slack = *rc::gen::inRange(4, 30);
         ServiceRetryBudget budget;
-        std::multimap<Instant, Instant> waiting; // by when it is sent: when it was granted
+        std::multimap<Instant, Instant> waiting; // by time of sending: time of the grant
         std::deque<Instant> sent;
         Instant now = Instant{} + 100s;
         for (int step = 0; step < 400; ++step) {
@@ -116,7 +117,7 @@
     }));
 }
 
-Test(retries, the_share_comes_back_after_the_window)
+Test(retries, the_share_is_available_again_after_the_window)
 {
     RetryPolicy policy;
     policy.slack = 10;
@@ -130,8 +131,9 @@
     cr_assert(tryTakeRetry(budget, policy, among(1), now + 11s));
 }
 
-// Guards against the whole slack for each VM that does not know yet how many others there are.
-Test(retries, a_vm_that_knows_of_no_others_has_no_part_of_the_slack)
+// Guards against a VM that uses the whole slack while it does not know how many other VMs there
+// are.
+Test(retries, a_vm_that_does_not_know_the_fleet_size_has_no_slack)
 {
     RetryPolicy policy;
     ServiceRetryBudget budget;
@@ -139,11 +141,12 @@
     cr_assert(!tryTakeRetry(budget, policy, among(0), now));
     for (int call = 0; call < 100; ++call)
         recordCall(budget, policy, now);
-    cr_assert(tryTakeRetry(budget, policy, among(0), now), "its own calls' part is its own");
+    cr_assert(tryTakeRetry(budget, policy, among(0), now),
+              "the ratio of its own calls needs no other VM");
 }
 
-// Guards against a part of the slack for each start of a VM instead of one for each VM.
-Test(retries, a_vm_has_its_part_of_the_slack_a_window_after_its_start)
+// Guards against a share of the slack for each start of a VM instead of one for each VM.
+Test(retries, a_vm_has_its_share_of_the_slack_a_window_after_its_start)
 {
     RetryPolicy policy;
     ServiceRetryBudget budget;
--- a/libs/transfer/src/PackedDocument.cpp
+++ b/libs/transfer/src/PackedDocument.cpp
@@ -12,12 +12,13 @@
 namespace {
 
 /**
- * The fastest level: 315 KB of routes become 23 KB in 1.1 ms; zlib's default makes it 21 KB in 2.2.
+ * The fastest level: 315 KB of routes become 23 KB in 1.1 ms; zlib's default level gives 21 KB in
+ * 2.2 ms.
  */
 constexpr int compressionLevel = Z_BEST_SPEED;
 
-/** More than any configuration; a damaged length must not take the memory of the VM. */
-constexpr std::uint64_t longestPlain = 64ULL * 1024 * 1024;
+/** Larger than any configuration. A damaged length must not exhaust the VM's memory. */
+constexpr std::uint64_t maxPlainBytes = 64ULL * 1024 * 1024;
 
 const Bytef *bytesOf(std::string_view text)
 {
@@ -26,7 +27,7 @@
 
 std::optional<std::string> unpackBytes(const PackedDocument &packed)
 {
-    if (packed.plainBytes > longestPlain || stableHash(packed.bytes) != packed.digest)
+    if (packed.plainBytes > maxPlainBytes || stableHash(packed.bytes) != packed.digest)
         return std::nullopt;
     std::string plain(packed.plainBytes, '\0');
     uLongf length = plain.size();
@@ -48,7 +49,7 @@
     packed.bytes.resize(length);
     const int result = compress2(reinterpret_cast<Bytef *>(packed.bytes.data()), &length,
                                  bytesOf(plain), plain.size(), compressionLevel);
-    // With a buffer of that bound it can only run out of memory.
+    // With a buffer of compressBound() bytes this only fails when out of memory.
     assert(result == Z_OK);
     static_cast<void>(result);
     packed.bytes.resize(length);
