--- a/libs/gateway/src/ActiveCall.cpp
+++ b/libs/gateway/src/ActiveCall.cpp
@@ -30,61 +30,61 @@
     , arrivedAt(BootClock::now())
 { }
 
-std::string callerAddressOf(const ActiveCall &run)
+std::string callerAddressOf(const ActiveCall &call)
 {
-    if (run.forwarded)
-        return run.forwarded->callerAddress;
+    if (call.forwarded)
+        return call.forwarded->callerAddress;
     boost::system::error_code ignored; // of a caller that has gone; it is told apart all the same
-    return run.caller.socket().remote_endpoint(ignored).address().to_string();
+    return call.caller.socket().remote_endpoint(ignored).address().to_string();
 }
 
-bool hasBody(const ActiveCall &run)
+bool hasBody(const ActiveCall &call)
 {
-    if (run.forwarded)
-        return run.forwarded->hasBody;
-    return !run.request->body().empty() || run.request->has_content_length()
-        || run.request->chunked();
+    if (call.forwarded)
+        return call.forwarded->hasBody;
+    return !call.request->body().empty() || call.request->has_content_length()
+        || call.request->chunked();
 }
 
-CallIdentity identityOf(const ActiveCall &run)
+CallIdentity identityOf(const ActiveCall &call)
 {
-    const std::string_view method(run.request->method_string().data(),
-                                  run.request->method_string().size());
-    return identifyCall(method, run.host, run.path, run.request->body(), callerAddressOf(run));
+    const std::string_view method(call.request->method_string().data(),
+                                  call.request->method_string().size());
+    return identifyCall(method, call.host, call.path, call.request->body(), callerAddressOf(call));
 }
 
-Duration timeLeft(const ActiveCall &run)
+Duration timeLeft(const ActiveCall &call)
 {
-    return std::max(run.deadline - BootClock::now(), Duration::zero());
+    return std::max(call.deadline - BootClock::now(), Duration::zero());
 }
 
-void recordPiece(ActiveCall &run)
+void recordPiece(ActiveCall &call)
 {
     const Instant now = BootClock::now();
-    if (run.firstPieceAt == Instant{}) {
-        run.firstPieceAt = now;
-        run.node.metrics.record(Timing::FirstPiece, toSeconds(now - run.arrivedAt));
+    if (call.firstPieceAt == Instant{}) {
+        call.firstPieceAt = now;
+        call.node.metrics.record(Timing::FirstPiece, toSeconds(now - call.arrivedAt));
     } else {
-        run.longestGap = std::max(run.longestGap, now - run.lastPieceAt);
-        run.node.metrics.record(Timing::BetweenPieces, toSeconds(now - run.lastPieceAt));
+        call.longestGap = std::max(call.longestGap, now - call.lastPieceAt);
+        call.node.metrics.record(Timing::BetweenPieces, toSeconds(now - call.lastPieceAt));
     }
-    run.lastPieceAt = now;
+    call.lastPieceAt = now;
 }
 
-void cancelActiveCall(ActiveCall &run)
+void cancelActiveCall(ActiveCall &call)
 {
-    if (run.connection)
-        closeConnection(*run.connection);
+    if (call.connection)
+        closeConnection(*call.connection);
 }
 
 // The wait may be told of bytes that were read long before, so the peek never blocks and the wait
 // goes on. A caller that has sent its next call already is not watched further: the end of its
 // connection cannot be seen behind those bytes.
-void watchCaller(const ActiveCallPtr &run)
+void watchCaller(const ActiveCallPtr &call)
 {
-    run->caller.socket().async_wait(
+    call->caller.socket().async_wait(
         tcp::socket::wait_read,
-        [weak = std::weak_ptr<ActiveCall>(run)](boost::system::error_code error) {
+        [weak = std::weak_ptr<ActiveCall>(call)](boost::system::error_code error) {
             const ActiveCallPtr watched = weak.lock();
             if (!watched || watched->ended || error == asio::error::operation_aborted)
                 return;
@@ -104,58 +104,58 @@
 
 namespace {
 
-void setReset(ActiveCall &run, bool reset)
+void setResetOnClose(ActiveCall &call, bool reset)
 {
     boost::system::error_code ignored; // of a connection that has ended already
-    run.caller.socket().set_option(asio::socket_base::linger(reset, 0), ignored);
+    call.caller.socket().set_option(asio::socket_base::linger(reset, 0), ignored);
 }
 
 } // namespace
 
-void resetOnClose(ActiveCall &run)
+void resetOnClose(ActiveCall &call)
 {
-    run.closeConnection = true;
-    setReset(run, true);
+    call.closeConnection = true;
+    setResetOnClose(call, true);
 }
 
-void closeOrderly(ActiveCall &run)
+void closeOrderly(ActiveCall &call)
 {
-    setReset(run, false);
+    setResetOnClose(call, false);
 }
 
-void abortAnswer(ActiveCall &run)
+void abortAnswer(ActiveCall &call)
 {
-    resetOnClose(run);
+    resetOnClose(call);
     boost::system::error_code ignored;
-    run.caller.socket().close(ignored);
+    call.caller.socket().close(ignored);
 }
 
-asio::awaitable<bool> writeAnswer(ActiveCall &run, HttpReply reply, ForwardOutcome outcome,
+asio::awaitable<bool> writeAnswer(ActiveCall &call, HttpReply reply, ForwardOutcome outcome,
                                   BodyDelimiter end)
 {
-    run.answerStarted = true;
+    call.answerStarted = true;
     http::response<http::string_body> response(static_cast<http::status>(reply.status),
-                                               run.request->version());
+                                               call.request->version());
     for (const HttpHeader &header : reply.headers)
         response.insert(header.name, header.value);
     if (!reply.contentType.empty())
         response.set(http::field::content_type, reply.contentType);
-    run.closeConnection = run.closeConnection || run.node.shuttingDown;
-    if (run.forwarded)
-        writeForwardReport(response, {outcome, run.runsStarted, end, std::string()});
-    const bool framed = run.forwarded || end == BodyDelimiter::SelfDelimited;
+    call.closeConnection = call.closeConnection || call.node.shuttingDown;
+    if (call.forwarded)
+        writeForwardReport(response, {outcome, call.runsStarted, end, std::string()});
+    const bool framed = call.forwarded || end == BodyDelimiter::SelfDelimited;
     if (!framed)
-        resetOnClose(run);
-    response.keep_alive(run.request->keep_alive() && !run.closeConnection);
+        resetOnClose(call);
+    response.keep_alive(call.request->keep_alive() && !call.closeConnection);
     response.body() = std::move(reply.body);
     if (framed)
         response.prepare_payload();
-    run.caller.expires_after(callerWriteTimeout);
-    auto [error, bytes] = co_await http::async_write(run.caller, response, nothrowAwaitable);
+    call.caller.expires_after(callerWriteTimeout);
+    auto [error, bytes] = co_await http::async_write(call.caller, response, nothrowAwaitable);
     if (error)
-        run.closeConnection = true;
+        call.closeConnection = true;
     else if (!framed)
-        closeOrderly(run);
+        closeOrderly(call);
     co_return !error;
 }
 
@@ -168,10 +168,10 @@
     return answer;
 }
 
-asio::awaitable<void> sendLocalReply(ActiveCall &run, LocalReply answer)
+asio::awaitable<void> sendLocalReply(ActiveCall &call, LocalReply answer)
 {
     const bool ours = answer.status == 503 || (answer.status >= 400 && answer.status < 500);
-    const bool notRun = ours && !run.mayHaveRun;
+    const bool notRun = ours && !call.mayHaveRun;
     HttpReply reply;
     reply.status = answer.status;
     reply.contentType = "application/problem+json";
@@ -182,20 +182,20 @@
     reply.body = problem.dump();
     const bool refused = answer.status == 503 || answer.status == 429;
     logEvent(refused ? EventId::CallRefused : EventId::CallFailed,
-             {{"call", run.facts.attemptId},
+             {{"call", call.facts.attemptId},
               {"status", std::to_string(answer.status)},
               {"reason", answer.reason},
-              {"route", run.route != nullptr ? run.route->name : run.host + run.path},
-              {"afterMs", std::to_string(toSeconds(BootClock::now() - run.arrivedAt) * 1000)},
+              {"route", call.route != nullptr ? call.route->name : call.host + call.path},
+              {"afterMs", std::to_string(toSeconds(BootClock::now() - call.arrivedAt) * 1000)},
               {"forecastMs", millisText(answer.forecast)},
-              {"sends", std::to_string(run.attempts)},
-              {"workspace", run.workspace},
-              {"key", run.key ? shortText(*run.key) : std::string()},
-              {"configVersion", std::to_string(run.routes->config().version)}});
-    if (!run.forwarded)
-        run.node.metrics.add(refused ? Counter::RequestsRefused : Counter::RequestsFailed);
-    co_await writeAnswer(run, std::move(reply),
-                         run.mayHaveRun ? ForwardOutcome::MayHaveRun : ForwardOutcome::NotRun);
+              {"sends", std::to_string(call.attempts)},
+              {"workspace", call.workspace},
+              {"key", call.key ? shortText(*call.key) : std::string()},
+              {"configVersion", std::to_string(call.routes->config().version)}});
+    if (!call.forwarded)
+        call.node.metrics.add(refused ? Counter::RequestsRefused : Counter::RequestsFailed);
+    co_await writeAnswer(call, std::move(reply),
+                         call.mayHaveRun ? ForwardOutcome::MayHaveRun : ForwardOutcome::NotRun);
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/ActiveCall.h
+++ b/libs/gateway/src/ActiveCall.h
@@ -91,25 +91,25 @@
 using ActiveCallPtr = std::shared_ptr<ActiveCall>;
 
 /** Whether it is the same work as another call; see CallIdentity. */
-CallIdentity identityOf(const ActiveCall &run);
+CallIdentity identityOf(const ActiveCall &call);
 
 /** Where the call's own caller is; empty if it has gone. */
-std::string callerAddressOf(const ActiveCall &run);
+std::string callerAddressOf(const ActiveCall &call);
 
 /** True if the caller sent a body, if only an empty one. */
-bool hasBody(const ActiveCall &run);
+bool hasBody(const ActiveCall &call);
 
 /** A piece of the answer goes to the caller now. */
-void recordPiece(ActiveCall &run);
+void recordPiece(ActiveCall &call);
 
 /** Time until the deadline, never negative. */
-Duration timeLeft(const ActiveCall &run);
+Duration timeLeft(const ActiveCall &call);
 
 /** Ends what is under way for the call, whoever waits for it. */
-void cancelActiveCall(ActiveCall &run);
+void cancelActiveCall(ActiveCall &call);
 
 /** Notices a caller that closes its connection while its call is being served. */
-void watchCaller(const ActiveCallPtr &run);
+void watchCaller(const ActiveCallPtr &call);
 
 /** An answer of our own. `notRun` promises that the call has not run and never will. */
 struct LocalReply
@@ -123,13 +123,13 @@
 LocalReply makeLocalReply(int status, std::string reason, Duration retryAfter);
 
 /** Answers by ourselves and logs why. */
-asio::awaitable<void> sendLocalReply(ActiveCall &run, LocalReply answer);
+asio::awaitable<void> sendLocalReply(ActiveCall &call, LocalReply answer);
 
 /**
  * Writes a whole answer to the caller; false if the caller cannot be reached. A VM that forwarded
  * the call learns `outcome` and `end`; a caller whose answer has no end shown gets none shown.
  */
-asio::awaitable<bool> writeAnswer(ActiveCall &run, HttpReply reply,
+asio::awaitable<bool> writeAnswer(ActiveCall &call, HttpReply reply,
                                   ForwardOutcome outcome = ForwardOutcome::FromTarget,
                                   BodyDelimiter end = BodyDelimiter::SelfDelimited);
 
@@ -137,12 +137,12 @@
  * From now on the caller's connection is reset if it ends, whatever ends it. To be called before an
  * answer that ends with its connection: its caller would take a cut for the end.
  */
-void resetOnClose(ActiveCall &run);
+void resetOnClose(ActiveCall &call);
 
 /** All of that answer was written: the connection may end in order. */
-void closeOrderly(ActiveCall &run);
+void closeOrderly(ActiveCall &call);
 
 /** Cuts the answer that is being written, so that its caller sees that it was cut. */
-void abortAnswer(ActiveCall &run);
+void abortAnswer(ActiveCall &call);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/CallAnswer.h
+++ b/libs/gateway/src/CallAnswer.h
@@ -9,7 +9,7 @@
 namespace monsoonbay {
 
 /** An answer that was read whole, to be passed on unless a better one can be had. */
-struct StoredAnswer
+struct FallbackAnswer
 {
     bool present = false;
     HttpReply reply;
@@ -19,30 +19,30 @@
 /** The answer to one call, over all its sends. */
 struct CallAnswer
 {
-    explicit CallAnswer(ActiveCall &run)
-        : callerStream(run)
+    explicit CallAnswer(ActiveCall &call)
+        : callerStream(call)
     { }
 
     CallerStream callerStream;
-    StoredAnswer fallback;
+    FallbackAnswer fallback;
     LocalReply refusal;
 };
 
 /** The request as it goes to a target, or to another VM. */
-std::shared_ptr<HttpRequest> requestFor(const ActiveCall &run, const SendMetadata &facts);
+std::shared_ptr<HttpRequest> requestFor(const ActiveCall &call, const SendMetadata &facts);
 
 /** What a target is told beside the request, but for its id. */
-SendMetadata sendFactsOf(const ActiveCall &run, const CallAnswer &answer);
+SendMetadata sendFactsOf(const ActiveCall &call, const CallAnswer &answer);
 
 /** The call is sent now, to a target or another VM. */
-void recordAttempt(ActiveCall &run);
+void recordAttempt(ActiveCall &call);
 
 /** Reads a whole answer; false if it broke off. */
 asio::awaitable<bool> readFully(TargetExchange &exchange, std::string &body);
 
 /** Passes the answer on whose head has been read; `onPiece` is called for each piece of a stream.
  */
-asio::awaitable<AttemptResult> passAnswer(ActiveCall &run, CallAnswer &answer,
+asio::awaitable<AttemptResult> passAnswer(ActiveCall &call, CallAnswer &answer,
                                           TargetExchange &exchange,
                                           const std::function<void()> &onPiece);
 
@@ -51,6 +51,6 @@
  * look complete; a target's own error goes through unchanged; and "not run" is said only if no
  * target may have run the call.
  */
-asio::awaitable<void> answerFailure(ActiveCall &run, CallAnswer &answer, LocalReply last);
+asio::awaitable<void> answerFailure(ActiveCall &call, CallAnswer &answer, LocalReply last);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/CallListener.cpp
+++ b/libs/gateway/src/CallListener.cpp
@@ -30,7 +30,7 @@
 constexpr Duration bodyTimeout = std::chrono::seconds(10);
 
 /** For what a refused caller still sends; long enough for some megabytes on the users' links. */
-constexpr Duration drainPatience = std::chrono::milliseconds(1000);
+constexpr Duration drainTimeout = std::chrono::milliseconds(1000);
 
 /** What another VM adds to the header of a call that it forwards, with long names. */
 constexpr std::uint32_t forwardedHeaderBytes = 2048;
@@ -60,7 +60,7 @@
 }
 
 /** True if the caller can still be told what was wrong with its request. */
-bool canBeTold(beast::error_code error)
+bool canReceiveAnswer(beast::error_code error)
 {
     if (error == beast::error::timeout)
         return true;
@@ -75,7 +75,7 @@
 {
     boost::system::error_code ignored;
     connection.stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
-    connection.stream.expires_after(drainPatience);
+    connection.stream.expires_after(drainTimeout);
     std::array<char, 8192> space{};
     while (true) {
         auto [error, bytes] =
@@ -87,7 +87,7 @@
 
 asio::awaitable<void> refuseRequest(CallerConnection &connection, beast::error_code error)
 {
-    if (!canBeTold(error))
+    if (!canReceiveAnswer(error))
         co_return;
     http::response<http::string_body> response(static_cast<http::status>(statusOf(error)), 11);
     response.set(http::field::content_type, "application/problem+json");
@@ -166,8 +166,8 @@
             co_await refuseRequest(connection, headError);
             co_return false;
         }
-        const bool taken = co_await this->judge(connection, parser.get());
-        if (!taken)
+        const bool admitted = co_await this->admit(connection, parser.get());
+        if (!admitted)
             co_return false;
         if (parser.get()[http::field::expect] == expectContinue)
             co_await sendContinue(connection);
@@ -188,7 +188,7 @@
     }
 
     /** False: a forwarded call is not taken, and the other VM has been told why. */
-    asio::awaitable<bool> judge(CallerConnection &connection, const RequestHead &head)
+    asio::awaitable<bool> admit(CallerConnection &connection, const RequestHead &head)
     {
         if (this->origin == ListenerKind::Callers)
             co_return true;
@@ -211,14 +211,14 @@
         connection.stream.socket().set_option(tcp::no_delay(true), ignored);
         self->open.insert(&connection);
         ++self->node.connections;
-        bool goesOn = true;
-        while (goesOn && !self->closing) {
+        bool keepOpen = true;
+        while (keepOpen && !self->closing) {
             connection.busy = connection.buffer.size() > 0;
             http::request_parser<http::string_body> parser;
-            goesOn = co_await self->readRequest(connection, parser);
-            if (!goesOn)
+            keepOpen = co_await self->readRequest(connection, parser);
+            if (!keepOpen)
                 break;
-            goesOn = co_await self->serveOne(connection, parser.release());
+            keepOpen = co_await self->serveOne(connection, parser.release());
         }
         self->open.erase(&connection);
         --self->node.connections;
@@ -228,22 +228,22 @@
     /** True if the connection may carry another call. */
     asio::awaitable<bool> serveOne(CallerConnection &connection, HttpRequest request)
     {
-        const auto run =
+        const auto call =
             std::make_shared<ActiveCall>(this->node, connection.stream, std::move(request));
-        run->host = hostOf(*run->request);
-        run->path = std::string(run->request->target());
+        call->host = hostOf(*call->request);
+        call->path = std::string(call->request->target());
         const int forwarded = this->origin == ListenerKind::Peers ? 1 : 0;
         if (forwarded > 0) {
-            run->forwarded = readForwardedCall(*run->request);
-            eraseForwardedCall(*run->request);
+            call->forwarded = readForwardedCall(*call->request);
+            eraseForwardedCall(*call->request);
         }
         ++this->node.callsInFlight;
         this->node.forwardedInFlight += forwarded;
-        co_await serveCall(run);
+        co_await serveCall(call);
         --this->node.callsInFlight;
         this->node.forwardedInFlight -= forwarded;
-        co_return run->answerStarted && !run->closeConnection && !run->callerDisconnected
-            && run->request->keep_alive();
+        co_return call->answerStarted && !call->closeConnection && !call->callerDisconnected
+            && call->request->keep_alive();
     }
 
     GatewayNode &node;
@@ -257,10 +257,10 @@
 CallListener::CallListener(GatewayNode &node, const Endpoint &address, ListenerKind origin)
     : impl(std::make_shared<Impl>(node, origin))
 {
-    const tcp::endpoint listened(asio::ip::make_address(address.address), address.port);
-    this->impl->acceptor.open(listened.protocol());
+    const tcp::endpoint listenAddress(asio::ip::make_address(address.address), address.port);
+    this->impl->acceptor.open(listenAddress.protocol());
     this->impl->acceptor.set_option(tcp::acceptor::reuse_address(true));
-    this->impl->acceptor.bind(listened);
+    this->impl->acceptor.bind(listenAddress);
     this->impl->acceptor.listen(backlog);
     spawn(node, "accept", this->impl->acceptLoop(this->impl));
 }
--- a/libs/gateway/src/CallPlacement.cpp
+++ b/libs/gateway/src/CallPlacement.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 /** For a call whose patience is nearly over: an engine that is not busy still takes its load. */
-constexpr Duration leastBeginWait = std::chrono::milliseconds(20);
+constexpr Duration minBeginWait = std::chrono::milliseconds(20);
 /** Engines in a row that decline a load at once; then all are taken as busy for a moment. */
-constexpr std::size_t mostDeclines = 6;
+constexpr std::size_t maxDeclines = 6;
 
 /** Callers of refused calls come back after about a load's time. */
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
@@ -35,7 +35,7 @@
 }
 
 /** True if ejections leave too few targets: then they are set aside rather than the callers. */
-template <typename Views> void keepSomeUsable(Views &views)
+template <typename Views> void ignoreExcessiveEjections(Views &views)
 {
     const auto usable =
         std::count_if(views.begin(), views.end(), [](const auto &view) { return view.usable; });
@@ -46,65 +46,66 @@
 }
 
 /** How long the call has for a load to begin. */
-Duration beginPatience(const ActiveCall &run)
+Duration beginWaitLimit(const ActiveCall &call)
 {
-    return std::max(run.capacityWait.softDeadline - BootClock::now(), leastBeginWait);
+    return std::max(call.capacityWait.softDeadline - BootClock::now(), minBeginWait);
 }
 
-bool wasDeclined(const ActiveCall &run, const std::string &target)
+bool wasDeclined(const ActiveCall &call, const std::string &target)
 {
-    return std::find(run.loadDeclinedBy.begin(), run.loadDeclinedBy.end(), target)
-        != run.loadDeclinedBy.end();
+    return std::find(call.loadDeclinedBy.begin(), call.loadDeclinedBy.end(), target)
+        != call.loadDeclinedBy.end();
 }
 
 /** Shortest objective of the routes to the service; nothing: all are alike, or no forecasts. */
-std::optional<Duration> shortestObjective(const ActiveCall &run)
+std::optional<Duration> shortestObjective(const ActiveCall &call)
 {
-    if (!run.node.settings.placement.forecast)
+    if (!call.node.settings.placement.forecast)
         return std::nullopt;
-    return run.routes->shortestObjective(run.service);
+    return call.routes->shortestObjective(call.service);
 }
 
 /** True if a load for the call may be asked for there. */
-bool mayAskLoadFor(const ActiveCall &run, const std::string &target)
+bool mayAskLoadFor(const ActiveCall &call, const std::string &target)
 {
-    if (wasDeclined(run, target))
+    if (wasDeclined(call, target))
         return false;
     // Its holder has to hear that the adapter is not there, whatever it said before.
-    return run.adapterMissingAt == target ? canCommand(run.node, target)
-                                          : mayRequestLoad(run.node, target, beginPatience(run));
+    return call.adapterMissingAt == target
+        ? canCommand(call.node, target)
+        : mayRequestLoad(call.node, target, beginWaitLimit(call));
 }
 
 /** Time until the call's adapter is there by a load under way; below 0: none is waited for. */
-double incomingMs(const ActiveCall &run, const std::string &target, double loadMs)
+double incomingMs(const ActiveCall &call, const std::string &target, double loadMs)
 {
-    if (!run.node.settings.placement.awaitLoads)
+    if (!call.node.settings.placement.awaitLoads)
         return -1;
-    if (run.facts.adapter.empty() || wasDeclined(run, target))
+    if (call.facts.adapter.empty() || wasDeclined(call, target))
         return -1;
     const auto incoming =
-        loadUnderWay(run.node, target, run.facts.adapter, fromSeconds(loadMs / 1000));
+        loadUnderWay(call.node, target, call.facts.adapter, fromSeconds(loadMs / 1000));
     return incoming ? 1000 * toSeconds(*incoming) : -1;
 }
 
 /** Targets of the call's service that take calls of this VM now. */
-std::vector<const TargetRecord *> takingTargets(ActiveCall &run, Instant now)
+std::vector<const TargetRecord *> availableTargets(ActiveCall &call, Instant now)
 {
-    std::vector<const TargetRecord *> targets = targetsOf(run.node, run.service);
+    std::vector<const TargetRecord *> targets = targetsOf(call.node, call.service);
     std::erase_if(targets, [&](const TargetRecord *record) {
-        return !takesCalls(run.node, record->entry.id, now);
+        return !takesCalls(call.node, record->entry.id, now);
     });
-    keepCompatibleTargets(run, targets);
+    keepCompatibleTargets(call, targets);
     return targets;
 }
 
 /** For a call that no target can take: when the first will that named a time, if any did. */
-Duration comeBackWhenTaken(const ActiveCall &run)
+Duration retryAfterBackoff(const ActiveCall &call)
 {
     const Instant now = BootClock::now();
     Instant first{};
-    for (const TargetRecord *record : targetsOf(run.node, run.service)) {
-        const Instant until = pausedUntil(run.node, record->entry.id, now);
+    for (const TargetRecord *record : targetsOf(call.node, call.service)) {
+        const Instant until = pausedUntil(call.node, record->entry.id, now);
         if (until != Instant{} && (first == Instant{} || until < first))
             first = until;
     }
@@ -112,44 +113,44 @@
 }
 
 /** For a call that no engine takes at all. */
-LocalReply refuseWithoutEngine(const ActiveCall &run)
+LocalReply refuseWithoutEngine(const ActiveCall &call)
 {
-    if (!run.origin)
-        return makeLocalReply(503, "no engine can be reached", comeBackWhenTaken(run));
-    run.node.metrics.add(Counter::ResumesWithoutEngine);
+    if (!call.origin)
+        return makeLocalReply(503, "no engine can be reached", retryAfterBackoff(call));
+    call.node.metrics.add(Counter::ResumesWithoutEngine);
     return makeLocalReply(503, "no engine has the version that began the stream", longRetryAfter);
 }
 
 /** Age of what this VM knows of the load of engines, for the choice. */
-Duration loadAge(const ActiveCall &run, Instant now)
+Duration loadAge(const ActiveCall &call, Instant now)
 {
-    return shortestObjective(run) ? knownLoadAge(run.node, now) : loadReportAge(run.node);
+    return shortestObjective(call) ? knownLoadAge(call.node, now) : loadReportAge(call.node);
 }
 
 /** The weights of the choice, by the pace that own calls have shown. */
-EngineWeights weightsNow(const ActiveCall &run)
+EngineWeights currentWeights(const ActiveCall &call)
 {
-    EngineWeights weights = run.node.settings.weights;
-    const auto pace = run.node.prefillPaces.find(run.service);
-    if (pace != run.node.prefillPaces.end() && shortestObjective(run))
-        weights.promptTokensPerMs = prefillRate(pace->second, weights.promptTokensPerMs);
+    EngineWeights weights = call.node.settings.weights;
+    const auto rate = call.node.prefillPaces.find(call.service);
+    if (rate != call.node.prefillPaces.end() && shortestObjective(call))
+        weights.promptTokensPerMs = prefillRate(rate->second, weights.promptTokensPerMs);
     return weights;
 }
 
-std::vector<EngineView> engineViews(ActiveCall &run, const ServiceSpec &spec)
+std::vector<EngineView> engineViews(ActiveCall &call, const ServiceSpec &spec)
 {
-    GatewayNode &node = run.node;
+    GatewayNode &node = call.node;
     const Instant now = BootClock::now();
     const ModelSpec *model = baseModel(*spec.engine);
     const int capacity = model != nullptr ? adapterCapacity(*spec.engine, *model) : 0;
     // Up to the age of the news, chance keeps VMs from all choosing the same engine.
-    std::uniform_real_distribution<double> doubt(0, 1000 * toSeconds(loadAge(run, now)));
-    const bool asked = shouldAskLeaseHolders(node, *run.route);
+    std::uniform_real_distribution<double> jitter(0, 1000 * toSeconds(loadAge(call, now)));
+    const bool asked = shouldAskLeaseHolders(node, *call.route);
     std::vector<EngineView> views;
-    for (const TargetRecord *listed : takingTargets(run, now)) {
+    for (const TargetRecord *listed : availableTargets(call, now)) {
         const TargetEntry &entry = listed->entry;
         TargetRuntime &runtime = runtimeOf(node, entry.id);
-        const TargetUsage use = totalLoad(node, entry.id);
+        const TargetUsage usage = totalLoad(node, entry.id);
         EngineView view;
         view.id = entry.id;
         view.hash = runtime.hash;
@@ -158,25 +159,25 @@
         view.resident = &runtime.resident;
         const std::optional<double> counted =
             asked ? reservedPrefillTokens(node, entry.id, now) : std::nullopt;
-        view.waitingTokens = counted.value_or(use.waitingTokens);
-        view.heldTokens = use.heldTokens;
-        view.runs = use.runs;
-        view.shortObjectiveRuns = use.shortObjectiveRuns;
-        view.cachedTokens = cachedInEngine(run, entry, use, spec.engine->kvTokens);
-        view.usable = isUsable(node, entry.id, use, now);
-        view.hasModel = runtime.models.count(run.facts.model) > 0;
+        view.waitingTokens = counted.value_or(usage.waitingTokens);
+        view.heldTokens = usage.heldTokens;
+        view.runs = usage.runs;
+        view.shortObjectiveRuns = usage.shortObjectiveRuns;
+        view.cachedTokens = cachedInEngine(call, entry, usage, spec.engine->kvTokens);
+        view.usable = isUsable(node, entry.id, usage, now);
+        view.hasModel = runtime.models.count(call.facts.model) > 0;
         const EngineRecord *record = node.shared.engines.find(entry.id);
         view.warm = record != nullptr
-            && hasHostCopy(runtime.copies, run.facts.adapter, HostRetention{record->copiesKept});
+            && hasHostCopy(runtime.copies, call.facts.adapter, HostRetention{record->copiesKept});
         view.loadMs = record == nullptr ? 0 : view.warm ? record->copyMs : record->fetchMs;
         view.fetchMs = record == nullptr ? 0 : record->fetchMs;
-        view.incomingMs = incomingMs(run, entry.id, view.loadMs);
-        view.idleSlots = idleSlotsAt(node, entry, use, capacity);
-        view.hasHolder = mayAskLoadFor(run, entry.id);
-        view.jitterMs = counted ? 0 : doubt(node.random);
+        view.incomingMs = incomingMs(call, entry.id, view.loadMs);
+        view.idleSlots = idleSlotsAt(node, entry, usage, capacity);
+        view.hasHolder = mayAskLoadFor(call, entry.id);
+        view.jitterMs = counted ? 0 : jitter(node.random);
         views.push_back(std::move(view));
     }
-    keepSomeUsable(views);
+    ignoreExcessiveEjections(views);
     return views;
 }
 
@@ -185,98 +186,99 @@
  * have the adapter; anywhere else it would be loaded anew, and the holder would not learn of it. A
  * load that is under way serves all who want the adapter, if they can wait for it.
  */
-EngineChoice nextEngine(const ActiveCall &run, const std::vector<EngineView> &views,
+EngineChoice nextEngine(const ActiveCall &call, const std::vector<EngineView> &views,
                         const EngineNeed &need, const EngineWeights &weights)
 {
     for (std::size_t index = 0; index < views.size(); ++index) {
         const EngineView &view = views[index];
-        if (view.id == run.adapterMissingAt && view.usable && view.hasHolder
+        if (view.id == call.adapterMissingAt && view.usable && view.hasHolder
             && !hasAdapter(view, need))
             return {EngineStep::Load, index};
     }
-    const EngineChoice choice = chooseEngine(views, need, run.triedTargets, weights);
+    const EngineChoice choice = chooseEngine(views, need, call.triedTargets, weights);
     if (choice.step != EngineStep::Load && choice.step != EngineStep::Full)
         return choice;
-    const double patienceMs = 1000 * toSeconds(beginPatience(run));
-    const auto incoming = chooseLoadingEngine(views, need, run.triedTargets, weights, patienceMs);
+    const double maxWaitMs = 1000 * toSeconds(beginWaitLimit(call));
+    const auto incoming = chooseLoadingEngine(views, need, call.triedTargets, weights, maxWaitMs);
     return incoming ? EngineChoice{EngineStep::Load, *incoming} : choice;
 }
 
-asio::awaitable<Placement> placeOnEngine(ActiveCall &run, const ServiceSpec &spec)
+asio::awaitable<Placement> placeOnEngine(ActiveCall &call, const ServiceSpec &spec)
 {
-    GatewayNode &node = run.node;
-    if (run.prefixes.empty())
-        run.prefixes = promptPrefixes(run.facts.adapter, run.facts.prompt, run.facts.promptTokens);
+    GatewayNode &node = call.node;
+    if (call.prefixes.empty())
+        call.prefixes =
+            promptPrefixes(call.facts.adapter, call.facts.prompt, call.facts.promptTokens);
     EngineNeed need;
-    need.adapter = run.facts.adapter;
+    need.adapter = call.facts.adapter;
     need.version = versionInForce(node, need.adapter);
-    need.promptTokens = run.facts.promptTokens;
-    need.outputTokens = run.facts.maxOutputTokens;
-    need.objectives.firstEventMs = 1000 * toSeconds(run.route->latencyObjective);
-    need.objectives.pauseMs = 1000 * toSeconds(run.route->gapObjective);
-    if (const auto quickest = shortestObjective(run))
+    need.promptTokens = call.facts.promptTokens;
+    need.outputTokens = call.facts.maxOutputTokens;
+    need.objectives.firstEventMs = 1000 * toSeconds(call.route->latencyObjective);
+    need.objectives.pauseMs = 1000 * toSeconds(call.route->gapObjective);
+    if (const auto quickest = shortestObjective(call))
         need.shortestObjectiveMs = 1000 * toSeconds(*quickest);
-    startCapacityWait(run);
+    startCapacityWait(call);
     Placement placement;
-    while (!run.cancelled()) {
-        const std::vector<EngineView> views = engineViews(run, spec);
-        need.stateAgeMs = 1000 * toSeconds(loadAge(run, BootClock::now()));
-        need.mayCopyEarly = run.loadDeclinedBy.empty();
-        const EngineWeights weights = weightsNow(run);
-        const EngineChoice choice = nextEngine(run, views, need, weights);
+    while (!call.cancelled()) {
+        const std::vector<EngineView> views = engineViews(call, spec);
+        need.stateAgeMs = 1000 * toSeconds(loadAge(call, BootClock::now()));
+        need.mayCopyEarly = call.loadDeclinedBy.empty();
+        const EngineWeights weights = currentWeights(call);
+        const EngineChoice choice = nextEngine(call, views, need, weights);
         if (choice.step == EngineStep::None) {
-            placement.refusal = refuseWithoutEngine(run);
+            placement.refusal = refuseWithoutEngine(call);
             co_return placement;
         }
-        if (BootClock::now() >= run.capacityWait.deadline && choice.step != EngineStep::Send) {
+        if (BootClock::now() >= call.capacityWait.deadline && choice.step != EngineStep::Send) {
             const bool anyOrderable =
                 std::any_of(views.begin(), views.end(), [&node](const EngineView &view) {
                     return view.usable && canCommand(node, view.id);
                 });
             placement.refusal = anyOrderable
-                ? refuseForCapacity(run, "no engine has room")
+                ? refuseForCapacity(call, "no engine has room")
                 : makeLocalReply(503, "no engine may be ordered", longRetryAfter);
             co_return placement;
         }
-        const bool noneTakesIt = run.loadDeclinedBy.size() >= mostDeclines;
+        const bool allDeclined = call.loadDeclinedBy.size() >= maxDeclines;
         const bool wait =
-            choice.step == EngineStep::Full || (choice.step == EngineStep::Load && noneTakesIt);
+            choice.step == EngineStep::Full || (choice.step == EngineStep::Load && allDeclined);
         if (wait) {
-            run.loadDeclinedBy.clear();
-            std::optional<LocalReply> refusal = co_await waitForCapacity(run, spec);
+            call.loadDeclinedBy.clear();
+            std::optional<LocalReply> refusal = co_await waitForCapacity(call, spec);
             if (!refusal)
                 continue;
             placement.refusal = std::move(*refusal);
             co_return placement;
         }
         const std::string id = views[choice.engine].id;
-        run.forecastAt = BootClock::now();
-        run.forecast = fromSeconds(
+        call.forecastAt = BootClock::now();
+        call.forecast = fromSeconds(
             forecastMs(views[choice.engine], need, weights, choice.step == EngineStep::Send)
             / 1000);
         if (choice.step == EngineStep::Load) {
-            const bool missed = run.adapterMissingAt == id;
-            const bool bearable =
-                missed || co_await reservePrefill(run, views[choice.engine], PrefillStep::Load);
-            if (!bearable)
+            const bool missed = call.adapterMissingAt == id;
+            const bool acceptable =
+                missed || co_await reservePrefill(call, views[choice.engine], PrefillStep::Load);
+            if (!acceptable)
                 continue;
-            ++run.loads;
-            LoadLimits patience;
-            patience.whole = timeLeft(run);
-            patience.begin = beginPatience(run);
-            patience.rank = run.route->priority;
-            const bool loaded = co_await requestLoad(node, id, run.facts.model, need.adapter,
-                                                     need.version, missed, patience);
+            ++call.loads;
+            LoadLimits limits;
+            limits.whole = timeLeft(call);
+            limits.begin = beginWaitLimit(call);
+            limits.rank = call.route->priority;
+            const bool loaded = co_await requestLoad(node, id, call.facts.model, need.adapter,
+                                                     need.version, missed, limits);
             if (missed)
-                run.adapterMissingAt.clear();
+                call.adapterMissingAt.clear();
             if (!loaded) {
-                run.loadDeclinedBy.push_back(id);
+                call.loadDeclinedBy.push_back(id);
                 continue;
             }
         }
         const PrefillStep sendStep =
             choice.step == EngineStep::Send ? PrefillStep::Send : PrefillStep::SendLoaded;
-        const bool reserved = co_await reservePrefill(run, views[choice.engine], sendStep);
+        const bool reserved = co_await reservePrefill(call, views[choice.engine], sendStep);
         if (!reserved)
             continue;
         const auto record = node.targetTable.records.find(id);
@@ -286,11 +288,11 @@
             continue;
         // What was heard while it loaded may be that it came back as another version.
         std::vector<const TargetRecord *> chosen{&record->second};
-        keepCompatibleTargets(run, chosen);
+        keepCompatibleTargets(call, chosen);
         if (chosen.empty())
             continue;
         placement.target = record->second.entry;
-        recordPlacement(run);
+        recordPlacement(call);
         co_return placement;
     }
     placement.refusal =
@@ -298,12 +300,12 @@
     co_return placement;
 }
 
-Placement placeOnPlain(ActiveCall &run)
+Placement placeOnPlain(ActiveCall &call)
 {
-    GatewayNode &node = run.node;
+    GatewayNode &node = call.node;
     const Instant now = BootClock::now();
     std::vector<PlainTargetView> views;
-    for (const TargetRecord *record : takingTargets(run, now)) {
+    for (const TargetRecord *record : availableTargets(call, now)) {
         PlainTargetView view;
         view.id = record->entry.id;
         view.zone = record->entry.zone;
@@ -312,12 +314,13 @@
         view.usable = isUsable(node, view.id, totalLoad(node, view.id), now);
         views.push_back(std::move(view));
     }
-    keepSomeUsable(views);
+    ignoreExcessiveEjections(views);
     Placement placement;
     const auto chosen =
-        choosePlainTarget(views, node.settings.zone, run.triedTargets, node.random());
+        choosePlainTarget(views, node.settings.zone, call.triedTargets, node.random());
     if (!chosen) {
-        placement.refusal = makeLocalReply(503, "no target can be reached", comeBackWhenTaken(run));
+        placement.refusal =
+            makeLocalReply(503, "no target can be reached", retryAfterBackoff(call));
         return placement;
     }
     placement.target = node.targetTable.records.at(views[*chosen].id).entry;
@@ -326,31 +329,31 @@
 
 } // namespace
 
-asio::awaitable<Placement> placeCall(ActiveCall &run)
+asio::awaitable<Placement> placeCall(ActiveCall &call)
 {
-    const ServiceSpec *spec = run.routes->findService(run.service);
+    const ServiceSpec *spec = call.routes->findService(call.service);
     Placement placement;
     if (spec != nullptr && spec->engine)
-        placement = co_await placeOnEngine(run, *spec);
+        placement = co_await placeOnEngine(call, *spec);
     else
-        placement = placeOnPlain(run);
+        placement = placeOnPlain(call);
     // Counted before it is sent: other calls are placed while a connection is made.
     if (placement.target)
-        recordSent(runtimeOf(run.node, placement.target->id).limit, BootClock::now());
+        recordSent(runtimeOf(call.node, placement.target->id).limit, BootClock::now());
     co_return placement;
 }
 
-InFlightGuard::InFlightGuard(ActiveCall &run, const std::string &target)
-    : run(run)
+InFlightGuard::InFlightGuard(ActiveCall &call, const std::string &target)
+    : call(call)
     , target(target)
-    , runtime(runtimeOf(run.node, target))
-    , adapter(run.facts.adapter)
-    , prompt(run, target, BootClock::now())
-    , waiting(run.facts.promptTokens - run.cachedTokens)
-    , held(run.facts.promptTokens + run.facts.maxOutputTokens)
-    , quick(shortestObjective(run) == run.route->latencyObjective ? 1 : 0)
-    , waitingBefore(run.node.settings.placement.forecast ? totalLoad(run.node, target).waitingTokens
-                                                         : 0)
+    , runtime(runtimeOf(call.node, target))
+    , adapter(call.facts.adapter)
+    , prompt(call, target, BootClock::now())
+    , waiting(call.facts.promptTokens - call.cachedTokens)
+    , held(call.facts.promptTokens + call.facts.maxOutputTokens)
+    , quick(shortestObjective(call) == call.route->latencyObjective ? 1 : 0)
+    , waitingBefore(
+          call.node.settings.placement.forecast ? totalLoad(call.node, target).waitingTokens : 0)
     , sentAt(BootClock::now())
 {
     this->runtime.ownUsage.runs += 1;
@@ -360,7 +363,7 @@
     if (this->adapter.empty())
         return;
     if (++this->runtime.ownAdapterRuns[this->adapter] == 1)
-        markRunsChanged(run.node, this->target);
+        markRunsChanged(call.node, this->target);
 }
 
 InFlightGuard::~InFlightGuard()
@@ -375,7 +378,7 @@
     if (--runs->second > 0)
         return;
     this->runtime.ownAdapterRuns.erase(runs);
-    markRunsChanged(this->run.node, this->target);
+    markRunsChanged(this->call.node, this->target);
 }
 
 void InFlightGuard::noteFirstEvent()
@@ -383,12 +386,12 @@
     if (std::exchange(this->firstEventSeen, true))
         return;
     const Instant now = BootClock::now();
-    GatewayNode &node = this->run.node;
+    GatewayNode &node = this->call.node;
     if (node.settings.placement.forecast)
-        addPrefillSample(node.prefillPaces[this->run.service],
+        addPrefillSample(node.prefillPaces[this->call.service],
                          {this->waiting, this->waitingBefore, now - this->sentAt}, now);
-    if (this->run.forecast > Duration::zero()) {
-        const double missed = toSeconds(now - this->run.forecastAt - this->run.forecast);
+    if (this->call.forecast > Duration::zero()) {
+        const double missed = toSeconds(now - this->call.forecastAt - this->call.forecast);
         node.metrics.record(Timing::ForecastError, std::abs(missed));
     }
     this->runtime.ownUsage.waitingTokens -= this->waiting;
--- a/libs/gateway/src/CallPlacement.h
+++ b/libs/gateway/src/CallPlacement.h
@@ -15,13 +15,13 @@
 };
 
 /** Finds a target for the next send; for engines, has the adapter loaded if need be. */
-asio::awaitable<Placement> placeCall(ActiveCall &run);
+asio::awaitable<Placement> placeCall(ActiveCall &call);
 
 /** Notes a call's share of its target while it is under way there. */
 class InFlightGuard
 {
 public:
-    InFlightGuard(ActiveCall &run, const std::string &target);
+    InFlightGuard(ActiveCall &call, const std::string &target);
     ~InFlightGuard();
 
     InFlightGuard(const InFlightGuard &) = delete;
@@ -31,7 +31,7 @@
     void noteFirstEvent();
 
 private:
-    ActiveCall &run;
+    ActiveCall &call;
     std::string target;
     TargetRuntime &runtime;
     std::string adapter;
--- a/libs/gateway/src/CallerAuthentication.cpp
+++ b/libs/gateway/src/CallerAuthentication.cpp
@@ -7,17 +7,17 @@
 namespace {
 
 /** News of a configuration take one read of the store that is under way, and one after it. */
-constexpr Duration newKeyPatience = std::chrono::milliseconds(2000);
+constexpr Duration maxNewKeyWait = std::chrono::milliseconds(2000);
 constexpr double newKeyTimeShare = 0.35; ///< of what the caller will wait
 /** Callers without a valid key must not take the memory of others. */
-constexpr int mostKeysAwaited = 64;
-constexpr std::size_t mostUnknownKeys = 1024;
+constexpr int maxKeysAwaited = 64;
+constexpr std::size_t maxUnknownKeys = 1024;
 
 /** Another VM may be in touch. */
 constexpr Duration otherVmRetryAfter = std::chrono::milliseconds(300);
 constexpr Duration longRetryAfter = std::chrono::milliseconds(1000);
 
-LocalReply untrusted()
+LocalReply refuseUnconfirmedKeys()
 {
     return makeLocalReply(503, "this VM cannot tell whether the key was taken away",
                           otherVmRetryAfter);
@@ -36,21 +36,21 @@
 }
 
 // A caller goes on calling with a key that was taken; only its first call has to wait for news.
-Instant firstSeen(ActiveCall &run)
+Instant firstSeenAt(ActiveCall &call)
 {
-    GatewayNode &node = run.node;
-    if (node.unknownKeys.size() >= mostUnknownKeys)
+    GatewayNode &node = call.node;
+    if (node.unknownKeys.size() >= maxUnknownKeys)
         node.unknownKeys.clear();
-    return node.unknownKeys.try_emplace(*run.key, run.arrivedAt).first->second;
+    return node.unknownKeys.try_emplace(*call.key, call.arrivedAt).first->second;
 }
 
-asio::awaitable<void> awaitKey(const ActiveCall &run, Instant seen)
+asio::awaitable<void> awaitKey(const ActiveCall &call, Instant seenAt)
 {
-    GatewayNode &node = run.node;
-    const Duration left = fromSeconds(newKeyTimeShare * toSeconds(timeLeft(run)));
-    const Instant limit = run.arrivedAt + std::min(newKeyPatience, left);
+    GatewayNode &node = call.node;
+    const Duration left = fromSeconds(newKeyTimeShare * toSeconds(timeLeft(call)));
+    const Instant limit = call.arrivedAt + std::min(maxNewKeyWait, left);
     ++node.keysAwaited;
-    while (workspaceOf(node.keys, *run.key) == nullptr && !isConfirmedSince(node, seen)
+    while (workspaceOf(node.keys, *call.key) == nullptr && !isConfirmedSince(node, seenAt)
            && BootClock::now() < limit)
         co_await node.confirmed.wait(limit - BootClock::now());
     --node.keysAwaited;
@@ -58,53 +58,53 @@
 
 } // namespace
 
-asio::awaitable<std::optional<LocalReply>> authenticateCaller(ActiveCall &run)
+asio::awaitable<std::optional<LocalReply>> authenticateCaller(ActiveCall &call)
 {
-    GatewayNode &node = run.node;
-    if (run.route->unauthenticated || node.routes->config().workspaces.empty())
+    GatewayNode &node = call.node;
+    if (call.route->unauthenticated || node.routes->config().workspaces.empty())
         co_return std::nullopt;
-    if (run.facts.callerKey.empty())
+    if (call.facts.callerKey.empty())
         co_return makeLocalReply(401, "the call has no key, or more than one", Duration::zero());
-    run.key = digestOfKey(run.facts.callerKey);
-    run.facts.callerKey.clear();
-    Instant seen{};
-    if (workspaceOf(node.keys, *run.key) == nullptr) {
-        seen = firstSeen(run);
-        if (node.keysAwaited < mostKeysAwaited)
-            co_await awaitKey(run, seen);
+    call.key = digestOfKey(call.facts.callerKey);
+    call.facts.callerKey.clear();
+    Instant seenAt{};
+    if (workspaceOf(node.keys, *call.key) == nullptr) {
+        seenAt = firstSeenAt(call);
+        if (node.keysAwaited < maxKeysAwaited)
+            co_await awaitKey(call, seenAt);
     }
-    const std::string *workspace = workspaceOf(node.keys, *run.key);
-    if (workspace == nullptr && isConfirmedSince(node, seen))
+    const std::string *workspace = workspaceOf(node.keys, *call.key);
+    if (workspace == nullptr && isConfirmedSince(node, seenAt))
         co_return makeLocalReply(401, "no workspace has this key", Duration::zero());
     if (workspace == nullptr)
         co_return makeLocalReply(503, "this VM cannot tell whether the key is a new one",
                                  longRetryAfter);
     if (!mayTrustKeysNow(node))
-        co_return untrusted();
-    run.workspace = *workspace;
+        co_return refuseUnconfirmedKeys();
+    call.workspace = *workspace;
     co_return std::nullopt;
 }
 
-std::optional<LocalReply> recheckKey(const ActiveCall &run)
+std::optional<LocalReply> recheckKey(const ActiveCall &call)
 {
-    if (!run.key)
+    if (!call.key)
         return std::nullopt;
-    const std::string *workspace = workspaceOf(run.node.keys, *run.key);
+    const std::string *workspace = workspaceOf(call.node.keys, *call.key);
     if (workspace == nullptr)
         return makeLocalReply(401, "the key was taken away", Duration::zero());
-    if (*workspace != run.workspace)
+    if (*workspace != call.workspace)
         return makeLocalReply(503, "the key has gone to another workspace", otherVmRetryAfter);
-    if (!mayTrustKeysNow(run.node))
-        return untrusted();
+    if (!mayTrustKeysNow(call.node))
+        return refuseUnconfirmedKeys();
     return std::nullopt;
 }
 
-int priorityOf(const ActiveCall &run)
+int priorityOf(const ActiveCall &call)
 {
-    const Workspace *workspace = run.node.routes->findWorkspace(run.workspace);
+    const Workspace *workspace = call.node.routes->findWorkspace(call.workspace);
     if (workspace == nullptr)
-        return run.route->priority;
-    return workspace->priority.value_or(run.route->priority);
+        return call.route->priority;
+    return workspace->priority.value_or(call.route->priority);
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/CallerStream.cpp
+++ b/libs/gateway/src/CallerStream.cpp
@@ -21,11 +21,11 @@
 
 } // namespace
 
-CallerStream::CallerStream(ActiveCall &run)
-    : run(run)
+CallerStream::CallerStream(ActiveCall &call)
+    : call(call)
 {
-    if (run.facts.resumeAfter)
-        this->events.lastId = run.facts.resumeAfter;
+    if (call.facts.resumeAfter)
+        this->events.lastId = call.facts.resumeAfter;
 }
 
 bool CallerStream::started() const noexcept
@@ -46,7 +46,7 @@
 void CallerStream::restart()
 {
     restartEvents(this->events);
-    this->eventCame = false;
+    this->eventReceived = false;
 }
 
 asio::awaitable<bool> CallerStream::pass(const TargetExchange &exchange, std::string piece)
@@ -54,12 +54,12 @@
     std::string out = takeEvents(this->events, piece);
     if (out.empty())
         co_return true;
-    this->eventCame = true;
-    recordPiece(this->run);
-    if (!this->run.origin)
-        recordStreamStart(this->run, exchange.software());
-    const bool headed = co_await this->writeHead(exchange);
-    if (!headed)
+    this->eventReceived = true;
+    recordPiece(this->call);
+    if (!this->call.origin)
+        recordStreamStart(this->call, exchange.software());
+    const bool headWritten = co_await this->writeHead(exchange);
+    if (!headWritten)
         co_return false;
     co_return co_await this->writeEvents(std::move(out));
 }
@@ -67,46 +67,46 @@
 asio::awaitable<AttemptResult> CallerStream::finish(const TargetExchange &exchange)
 {
     const BodyDelimiter shownBy = exchange.bodyDelimiter();
-    if (this->showsTooLittle(shownBy))
+    if (this->isUnproved(shownBy))
         co_return AttemptResult::Broken;
-    const bool headed = co_await this->writeHead(exchange);
+    const bool headWritten = co_await this->writeHead(exchange);
     AttemptResult end = AttemptResult::CallerDisconnected;
-    if (headed)
+    if (headWritten)
         end = co_await this->writeEnd(shownBy);
     if (end == AttemptResult::CallerDisconnected)
-        this->run.closeConnection = true;
+        this->call.closeConnection = true;
     co_return end;
 }
 
 void CallerStream::cut()
 {
-    this->run.closeConnection = true;
+    this->call.closeConnection = true;
     if (!this->chunked)
-        abortAnswer(this->run);
+        abortAnswer(this->call);
 }
 
 // A connection that ends in order tells nothing: it ends so, too, when an engine ends with all its
 // connections. Inside an event, or before the first one, the run has certainly broken off; and an
 // answer in chunks cannot be ended by a run that shows no end.
-bool CallerStream::showsTooLittle(BodyDelimiter shownBy) const noexcept
+bool CallerStream::isUnproved(BodyDelimiter shownBy) const noexcept
 {
     if (isInsideEvent(this->events))
         return true;
     if (shownBy == BodyDelimiter::SelfDelimited)
         return false;
-    const bool promisedMore = this->headSent && this->promised == BodyDelimiter::SelfDelimited;
-    return promisedMore || !this->eventCame;
+    const bool announcedMore = this->headSent && this->announced == BodyDelimiter::SelfDelimited;
+    return announcedMore || !this->eventReceived;
 }
 
 asio::awaitable<AttemptResult> CallerStream::writeEnd(BodyDelimiter shownBy)
 {
     if (this->chunked) {
         const auto last = http::make_chunk_last();
-        auto [error, bytes] = co_await asio::async_write(this->run.caller, last, nothrowAwaitable);
+        auto [error, bytes] = co_await asio::async_write(this->call.caller, last, nothrowAwaitable);
         if (error)
             co_return AttemptResult::CallerDisconnected;
     } else {
-        closeOrderly(this->run);
+        closeOrderly(this->call);
     }
     co_return shownBy == BodyDelimiter::SelfDelimited ? AttemptResult::Done
                                                       : AttemptResult::Unverified;
@@ -122,38 +122,38 @@
     http::response<http::empty_body> head(static_cast<http::status>(exchange.status()), 11);
     for (const HttpHeader &header : endToEndHeaders(exchange.head()))
         head.insert(header.name, header.value);
-    this->promised = exchange.bodyDelimiter();
-    const bool canChunk = this->run.request->version() >= firstVersionWithChunks;
+    this->announced = exchange.bodyDelimiter();
+    const bool canChunk = this->call.request->version() >= firstVersionWithChunks;
     this->chunked =
-        this->run.forwarded || (canChunk && this->promised == BodyDelimiter::SelfDelimited);
-    if (this->run.forwarded)
+        this->call.forwarded || (canChunk && this->announced == BodyDelimiter::SelfDelimited);
+    if (this->call.forwarded)
         writeForwardReport(head,
-                           {ForwardOutcome::FromTarget, this->run.runsStarted, this->promised,
+                           {ForwardOutcome::FromTarget, this->call.runsStarted, this->announced,
                             exchange.software()});
-    this->run.closeConnection = this->run.closeConnection || this->run.node.shuttingDown;
+    this->call.closeConnection = this->call.closeConnection || this->call.node.shuttingDown;
     if (!this->chunked)
-        resetOnClose(this->run);
-    head.keep_alive(this->run.request->keep_alive() && !this->run.closeConnection);
+        resetOnClose(this->call);
+    head.keep_alive(this->call.request->keep_alive() && !this->call.closeConnection);
     head.chunked(this->chunked);
     this->headSent = true;
-    this->run.answerStarted = true;
-    this->run.caller.expires_after(callerWriteTimeout);
+    this->call.answerStarted = true;
+    this->call.caller.expires_after(callerWriteTimeout);
     http::response_serializer<http::empty_body> serializer(head);
     auto [error, bytes] =
-        co_await http::async_write_header(this->run.caller, serializer, nothrowAwaitable);
+        co_await http::async_write_header(this->call.caller, serializer, nothrowAwaitable);
     co_return !error;
 }
 
 asio::awaitable<bool> CallerStream::writeEvents(std::string text)
 {
-    this->run.caller.expires_after(callerWriteTimeout);
+    this->call.caller.expires_after(callerWriteTimeout);
     if (!this->chunked) {
         auto [error, bytes] =
-            co_await asio::async_write(this->run.caller, asio::buffer(text), nothrowAwaitable);
+            co_await asio::async_write(this->call.caller, asio::buffer(text), nothrowAwaitable);
         co_return !error;
     }
     const auto chunk = http::make_chunk(asio::buffer(text));
-    auto [error, bytes] = co_await asio::async_write(this->run.caller, chunk, nothrowAwaitable);
+    auto [error, bytes] = co_await asio::async_write(this->call.caller, chunk, nothrowAwaitable);
     co_return !error;
 }
 
--- a/libs/gateway/src/CallerStream.h
+++ b/libs/gateway/src/CallerStream.h
@@ -14,7 +14,7 @@
 class CallerStream
 {
 public:
-    explicit CallerStream(ActiveCall &run);
+    explicit CallerStream(ActiveCall &call);
 
     /** True once the caller has the head of its answer: only the stream itself can go on. */
     bool started() const noexcept;
@@ -44,15 +44,15 @@
     asio::awaitable<bool> writeHead(const TargetExchange &exchange);
     asio::awaitable<bool> writeEvents(std::string text);
     asio::awaitable<AttemptResult> writeEnd(BodyDelimiter shownBy);
-    bool showsTooLittle(BodyDelimiter shownBy) const noexcept;
+    bool isUnproved(BodyDelimiter shownBy) const noexcept;
 
-    ActiveCall &run;
+    ActiveCall &call;
     EventStream events;
     bool headSent = false;
     bool chunked = true; ///< the caller's answer; otherwise it ends with its connection
-    BodyDelimiter promised =
+    BodyDelimiter announced =
         BodyDelimiter::SelfDelimited; ///< by the head: what will show the answer's end
-    bool eventCame = false; ///< of the run under way
+    bool eventReceived = false; ///< of the run under way
 };
 
 } // namespace monsoonbay
--- a/libs/gateway/src/CapacityWaiters.h
+++ b/libs/gateway/src/CapacityWaiters.h
@@ -14,7 +14,7 @@
 /** A call that waits for a place, and what wakes it. */
 struct CapacityWaiter
 {
-    const ActiveCall *run;
+    const ActiveCall *call;
     asio::steady_timer *limit;
 };
 
--- a/libs/gateway/src/ClassDemandCodec.cpp
+++ b/libs/gateway/src/ClassDemandCodec.cpp
@@ -18,7 +18,7 @@
 }
 
 /** False if there is not one sound number for each class. */
-bool takeNumbers(const Numbers &numbers, CountsByClass &values)
+bool decodeNumbers(const Numbers &numbers, CountsByClass &values)
 {
     if (numbers.size() != static_cast<int>(callClassCount))
         return false;
@@ -38,29 +38,31 @@
 
 } // namespace
 
-void encodeClassDemand(const WorkspaceUse &use, v1::WorkspaceUse &told)
+void encodeClassDemand(const WorkspaceUse &use, v1::WorkspaceUse &message)
 {
     if (use.requestedByClass == CountsByClass() && use.callsInWindowByClass == CountsByClass())
         return;
-    addNumbers(use.requestedByClass, *told.mutable_asked_by_class());
-    addNumbers(use.callsInWindowByClass, *told.mutable_calls_by_class());
-    told.set_asked_in_window(
+    addNumbers(use.requestedByClass, *message.mutable_asked_by_class());
+    addNumbers(use.callsInWindowByClass, *message.mutable_calls_by_class());
+    message.set_asked_in_window(
         static_cast<std::uint64_t>(std::max<std::int64_t>(use.requestedInWindow, 0)));
 }
 
-bool decodeClassDemand(const v1::WorkspaceUse &told, WorkspaceUse &use)
+bool decodeClassDemand(const v1::WorkspaceUse &message, WorkspaceUse &use)
 {
-    const bool none = told.asked_by_class().empty() && told.calls_by_class().empty()
-        && told.asked_in_window() == 0;
+    const bool none = message.asked_by_class().empty() && message.calls_by_class().empty()
+        && message.asked_in_window() == 0;
     if (none)
         return true;
     CountsByClass asked{};
     CountsByClass calls{};
-    const bool sound = takeNumbers(told.asked_by_class(), asked)
-        && takeNumbers(told.calls_by_class(), calls) && told.asked_in_window() <= maxReportedNumber;
-    const auto inWindow = static_cast<std::int64_t>(told.asked_in_window());
+    const bool inRange = decodeNumbers(message.asked_by_class(), asked)
+        && decodeNumbers(message.calls_by_class(), calls)
+        && message.asked_in_window() <= maxReportedNumber;
+    const auto inWindow = static_cast<std::int64_t>(message.asked_in_window());
     // A call asks for one unit at least.
-    const bool valid = sound && sumOf(asked) <= use.requestedPerSecond && inWindow >= sumOf(calls);
+    const bool valid =
+        inRange && sumOf(asked) <= use.requestedPerSecond && inWindow >= sumOf(calls);
     if (!valid)
         return false;
     use.requestedByClass = asked;
--- a/libs/gateway/src/ClassDemandCodec.h
+++ b/libs/gateway/src/ClassDemandCodec.h
@@ -10,12 +10,12 @@
 /** A number beyond this is taken for damaged; sums of many such numbers stay exact. */
 constexpr std::uint64_t maxReportedNumber = 1'000'000'000'000'000;
 
-void encodeClassDemand(const WorkspaceUse &use, gateway::v1::WorkspaceUse &told);
+void encodeClassDemand(const WorkspaceUse &use, gateway::v1::WorkspaceUse &message);
 
 /**
  * Sets the demand by class of `use`. If it is invalid it stays empty and the result is false: all
  * that `told` asks for counts towards the last class. A former version tells none, which is valid.
  */
-bool decodeClassDemand(const gateway::v1::WorkspaceUse &told, WorkspaceUse &use);
+bool decodeClassDemand(const gateway::v1::WorkspaceUse &message, WorkspaceUse &use);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/EndToEndHeaders.cpp
+++ b/libs/gateway/src/EndToEndHeaders.cpp
@@ -33,13 +33,13 @@
 }
 
 /** Headers between two VMs begin so; they go no further. */
-constexpr std::string_view ownPrefix = "Monsoonbay-";
+constexpr std::string_view internalPrefix = "Monsoonbay-";
 
-bool isOwn(std::string_view name)
+bool isInternal(std::string_view name)
 {
-    return name.size() > ownPrefix.size()
-        && beast::iequals(beast::string_view(name.data(), ownPrefix.size()),
-                          beast::string_view(ownPrefix.data(), ownPrefix.size()));
+    return name.size() > internalPrefix.size()
+        && beast::iequals(beast::string_view(name.data(), internalPrefix.size()),
+                          beast::string_view(internalPrefix.data(), internalPrefix.size()));
 }
 
 /** The names that a Connection header lists besides the fixed ones. */
@@ -60,7 +60,7 @@
         if (!isPassedOn(header))
             continue;
         const std::string name(header.name_string());
-        if (isOwn(name))
+        if (isInternal(name))
             continue;
         if (!connection.empty() && isNamedByConnection(connection, name))
             continue;
--- a/libs/gateway/src/ForwardedCall.cpp
+++ b/libs/gateway/src/ForwardedCall.cpp
@@ -22,9 +22,9 @@
 constexpr const char *softwareHeader = "Monsoonbay-Software";
 constexpr std::string_view notRun = "not-run";
 constexpr std::string_view mayHaveRun = "may-have-run";
-constexpr std::string_view byConnection = "connection";
+constexpr std::string_view closeDelimited = "connection";
 
-ForwardedCall callOf(const Json &json)
+ForwardedCall parseCall(const Json &json)
 {
     ForwardedCall call;
     call.configVersion = json.at("configVersion").get<std::int64_t>();
@@ -101,7 +101,7 @@
     const auto value = head[callHeader];
     const Json json = Json::parse(value.begin(), value.end(), nullptr, false);
     try {
-        return callOf(json);
+        return parseCall(json);
     } catch (const Json::exception &) {
         return std::nullopt;
     }
@@ -120,7 +120,7 @@
     head.set(runsHeader, std::to_string(report.runs));
     head.erase(endHeader);
     if (report.end == BodyDelimiter::CloseDelimited)
-        head.set(endHeader, byConnection);
+        head.set(endHeader, closeDelimited);
     head.erase(softwareHeader);
     if (!report.software.empty())
         head.set(softwareHeader, report.software);
@@ -134,7 +134,7 @@
         report.outcome = outcome == notRun ? ForwardOutcome::NotRun : ForwardOutcome::MayHaveRun;
     const auto runs = head[runsHeader];
     std::from_chars(runs.data(), runs.data() + runs.size(), report.runs);
-    if (head[endHeader] == byConnection)
+    if (head[endHeader] == closeDelimited)
         report.end = BodyDelimiter::CloseDelimited;
     report.software = std::string(head[softwareHeader]);
     return report;
--- a/libs/gateway/src/HarmfulCallTracking.cpp
+++ b/libs/gateway/src/HarmfulCallTracking.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 /** Calls in one piece of evidence; 0.6 KB, so that an answer with many changes stays short. */
-constexpr std::size_t mostCallsTogether = 32;
+constexpr std::size_t maxCallsPerRecord = 32;
 
 /** Evidence that is kept, by pieces and by calls in them: 1 MB in all. */
-constexpr std::size_t mostEvidence = 2048;
-constexpr std::size_t mostCallsKept = 16384;
+constexpr std::size_t maxEvidence = 2048;
+constexpr std::size_t maxCallsKept = 16384;
 
 void addEvidence(GatewayNode &node, std::uint64_t id, KnownEvidence known)
 {
@@ -28,12 +28,12 @@
 /** Own evidence, which this VM tells the others. */
 void addOwnEvidence(GatewayNode &node, const CallEvidence &evidence)
 {
-    for (std::size_t from = 0; from < evidence.calls.size(); from += mostCallsTogether) {
-        const std::size_t to = std::min(from + mostCallsTogether, evidence.calls.size());
-        KnownEvidence piece{evidence, true};
-        piece.evidence.calls.assign(evidence.calls.begin() + static_cast<std::ptrdiff_t>(from),
-                                    evidence.calls.begin() + static_cast<std::ptrdiff_t>(to));
-        addEvidence(node, node.random(), std::move(piece));
+    for (std::size_t from = 0; from < evidence.calls.size(); from += maxCallsPerRecord) {
+        const std::size_t to = std::min(from + maxCallsPerRecord, evidence.calls.size());
+        KnownEvidence record{evidence, true};
+        record.evidence.calls.assign(evidence.calls.begin() + static_cast<std::ptrdiff_t>(from),
+                                     evidence.calls.begin() + static_cast<std::ptrdiff_t>(to));
+        addEvidence(node, node.random(), std::move(record));
     }
     evaluateEvidence(node);
     node.reportDue.notifyAll();
@@ -50,7 +50,7 @@
 }
 
 /** True if a harmful call is named in it: without it that call would be let through again. */
-bool isHeldAgainst(const HarmfulCalls &harmful, const CallEvidence &evidence)
+bool blocksHarmfulCall(const HarmfulCalls &harmful, const CallEvidence &evidence)
 {
     return !evidence.target.empty()
         && std::any_of(evidence.calls.begin(), evidence.calls.end(),
@@ -58,16 +58,16 @@
 }
 
 /** Ids of all evidence, what is least worth keeping first: of no harmful call, and the oldest. */
-std::vector<std::uint64_t> byWorth(const GatewayNode &node)
+std::vector<std::uint64_t> inEvictionOrder(const GatewayNode &node)
 {
     std::vector<std::tuple<bool, Instant, std::uint64_t>> ordered;
     for (const auto &[id, entry] : node.shared.evidence.all()) {
         const CallEvidence &evidence = entry.value.evidence;
-        ordered.emplace_back(isHeldAgainst(node.harmful, evidence), evidence.at, id);
+        ordered.emplace_back(blocksHarmfulCall(node.harmful, evidence), evidence.at, id);
     }
     std::sort(ordered.begin(), ordered.end());
     std::vector<std::uint64_t> ids;
-    for (const auto &[held, at, id] : ordered)
+    for (const auto &[blocks, at, id] : ordered)
         ids.push_back(id);
     return ids;
 }
@@ -90,12 +90,12 @@
 }
 
 // Costs a call nothing but a look while no target has ended under any call.
-void recordCompletedCall(ActiveCall &run)
+void recordCompletedCall(ActiveCall &activeCall)
 {
-    GatewayNode &node = run.node;
+    GatewayNode &node = activeCall.node;
     if (node.harmful.suspectCalls.empty())
         return;
-    const CallIdentity identity = identityOf(run);
+    const CallIdentity identity = identityOf(activeCall);
     if (isSuspect(node.harmful, identity))
         addOwnEvidence(node, {std::string(), 0, {identity}, BootClock::now()});
 }
@@ -122,20 +122,19 @@
 
 void pruneEvidence(GatewayNode &node, Instant now)
 {
-    std::vector<std::uint64_t> old;
+    std::vector<std::uint64_t> expired;
     for (const auto &[id, entry] : node.shared.evidence.all()) {
         if (now - entry.value.evidence.at > evidenceTtl)
-            old.push_back(id);
+            expired.push_back(id);
     }
-    for (const std::uint64_t id : old)
+    for (const std::uint64_t id : expired)
         dropEvidence(node, id);
-    const auto tooMuch = [&node] {
-        return node.evidenceCalls > mostCallsKept
-            || node.shared.evidence.all().size() > mostEvidence;
+    const auto exceedsBounds = [&node] {
+        return node.evidenceCalls > maxCallsKept || node.shared.evidence.all().size() > maxEvidence;
     };
-    if (tooMuch()) {
-        for (const std::uint64_t id : byWorth(node)) {
-            if (!tooMuch())
+    if (exceedsBounds()) {
+        for (const std::uint64_t id : inEvictionOrder(node)) {
+            if (!exceedsBounds())
                 break;
             dropEvidence(node, id);
         }
@@ -143,11 +142,11 @@
     evaluateEvidence(node);
 }
 
-const HarmfulCall *findHarmfulCall(const ActiveCall &run)
+const HarmfulCall *findHarmfulCall(const ActiveCall &activeCall)
 {
-    if (run.node.harmful.calls.empty())
+    if (activeCall.node.harmful.calls.empty())
         return nullptr;
-    return findHarmful(run.node.harmful, identityOf(run));
+    return findHarmful(activeCall.node.harmful, identityOf(activeCall));
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/HarmfulCallTracking.h
+++ b/libs/gateway/src/HarmfulCallTracking.h
@@ -13,7 +13,7 @@
 void recordTargetEnd(GatewayNode &node, const CallEvidence &evidence);
 
 /** A target answered a call whole. */
-void recordCompletedCall(ActiveCall &run);
+void recordCompletedCall(ActiveCall &activeCall);
 
 /** Evidence of another VM; call evaluateEvidence() after the last of a batch. */
 void addReceivedEvidence(GatewayNode &node, std::uint64_t id, CallEvidence evidence);
@@ -25,6 +25,6 @@
 void pruneEvidence(GatewayNode &node, Instant now);
 
 /** Null: the call may be sent to a target. */
-const HarmfulCall *findHarmfulCall(const ActiveCall &run);
+const HarmfulCall *findHarmfulCall(const ActiveCall &activeCall);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/PeerForwarding.cpp
+++ b/libs/gateway/src/PeerForwarding.cpp
@@ -16,39 +16,39 @@
 namespace {
 
 /** One hop between two VMs and back takes a few ms; a frozen one does not answer. */
-constexpr Duration offerPatience = std::chrono::milliseconds(150);
+constexpr Duration offerTimeout = std::chrono::milliseconds(150);
 
 /** With half of all VMs cut off, one call in sixteen meets no other one. */
-constexpr int mostOffers = 4;
+constexpr int maxOffers = 4;
 
 /** A VM that is cut off, stopping or silent stays so for a while. */
-constexpr Duration afterRefusal = std::chrono::milliseconds(1000);
+constexpr Duration refusalBackoff = std::chrono::milliseconds(1000);
 /** One that has many calls, or reads its configuration, soon has room again. */
-constexpr Duration afterBusy = std::chrono::milliseconds(100);
+constexpr Duration busyBackoff = std::chrono::milliseconds(100);
 
 /** A call takes another way after this many targets that only this VM does not reach. */
-constexpr int leastUnreached = 2;
+constexpr int minUnreachable = 2;
 
 /** Forwarded calls that a VM takes beside a few, for each of its own. */
-constexpr int forwardedForEachOwn = 8;
-constexpr int forwardedAtLeast = 16;
+constexpr int forwardedPerOwnCall = 8;
+constexpr int minForwarded = 16;
 
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
 
 /** Where another VM takes forwarded calls: at the same port as this one. */
-Endpoint forwardsOf(const GatewayNode &node, const Endpoint &peer)
+Endpoint forwardAddressOf(const GatewayNode &node, const Endpoint &peer)
 {
     return {peer.address, node.settings.forwards->port};
 }
 
-Duration restAfter(ForwardRefusal refusal)
+Duration offerBackoff(ForwardRefusal refusal)
 {
     const bool brief = refusal == ForwardRefusal::Busy || refusal == ForwardRefusal::ConfigMismatch;
-    return brief ? afterBusy : afterRefusal;
+    return brief ? busyBackoff : refusalBackoff;
 }
 
 // A VM may have lost its links to one service and serve another.
-bool isLeftOut(const GatewayNode &node, const Endpoint &peer, const std::string &service)
+bool isBackedOff(const GatewayNode &node, const Endpoint &peer, const std::string &service)
 {
     const auto known = node.forwardPeers.find(peer);
     if (known == node.forwardPeers.end())
@@ -58,50 +58,50 @@
 }
 
 /** Some VM that may take a call, drawn evenly; nothing: there is none. */
-std::optional<Endpoint> drawPeer(GatewayNode &node, const std::string &service,
-                                 const std::vector<Endpoint> &tried, bool leftOutToo)
+std::optional<Endpoint> pickPeer(GatewayNode &node, const std::string &service,
+                                 const std::vector<Endpoint> &tried, bool includeBackedOff)
 {
-    std::optional<Endpoint> drawn;
-    std::size_t seen = 0;
+    std::optional<Endpoint> picked;
+    std::size_t candidates = 0;
     for (const auto &[endpoint, peer] : node.peers) {
         if (peer.name.empty() || peer.stopping)
             continue;
-        const Endpoint forwards = forwardsOf(node, endpoint);
+        const Endpoint forwards = forwardAddressOf(node, endpoint);
         if (std::find(tried.begin(), tried.end(), forwards) != tried.end())
             continue;
-        if (!leftOutToo && isLeftOut(node, forwards, service))
+        if (!includeBackedOff && isBackedOff(node, forwards, service))
             continue;
-        ++seen;
-        if (std::uniform_int_distribution<std::size_t>(1, seen)(node.random) == 1)
-            drawn = forwards;
+        ++candidates;
+        if (std::uniform_int_distribution<std::size_t>(1, candidates)(node.random) == 1)
+            picked = forwards;
     }
-    return drawn;
+    return picked;
 }
 
-ForwardedCall forwardedCallOf(const ActiveCall &run)
+ForwardedCall forwardedCallOf(const ActiveCall &call)
 {
-    ForwardedCall call;
-    call.configVersion = run.routes->config().version;
-    call.service = run.service;
-    call.workspace = run.workspace;
-    call.key = run.key;
-    call.units = run.units;
-    call.callerAddress = callerAddressOf(run);
-    call.waited = BootClock::now() - run.arrivedAt;
-    call.runs = run.runsStarted;
-    call.hasBody = hasBody(run);
-    call.origin = run.origin;
-    return call;
+    ForwardedCall forwardedCall;
+    forwardedCall.configVersion = call.routes->config().version;
+    forwardedCall.service = call.service;
+    forwardedCall.workspace = call.workspace;
+    forwardedCall.key = call.key;
+    forwardedCall.units = call.units;
+    forwardedCall.callerAddress = callerAddressOf(call);
+    forwardedCall.waited = BootClock::now() - call.arrivedAt;
+    forwardedCall.runs = call.runsStarted;
+    forwardedCall.hasBody = hasBody(call);
+    forwardedCall.origin = call.origin;
+    return forwardedCall;
 }
 
 /** The request, so that the receiver cannot run it before all of it was sent. */
-std::shared_ptr<HttpRequest> offerFor(const ActiveCall &run, const CallAnswer &answer)
+std::shared_ptr<HttpRequest> buildOffer(const ActiveCall &call, const CallAnswer &answer)
 {
-    std::shared_ptr<HttpRequest> request = requestFor(run, sendFactsOf(run, answer));
+    std::shared_ptr<HttpRequest> request = requestFor(call, sendFactsOf(call, answer));
     request->erase(http::field::content_length);
     request->chunked(true);
     request->set(http::field::expect, "100-continue");
-    writeForwardedCall(*request, forwardedCallOf(run));
+    writeForwardedCall(*request, forwardedCallOf(call));
     return request;
 }
 
@@ -119,124 +119,126 @@
     return own;
 }
 
-void noteOffer(GatewayNode &node, const ActiveCall &run, const Endpoint &peer, OfferResult end,
-               ForwardRefusal refusal)
+void recordOffer(GatewayNode &node, const ActiveCall &call, const Endpoint &peer, OfferResult end,
+                 ForwardRefusal refusal)
 {
     ForwardPeer &known = node.forwardPeers[peer];
     if (end == OfferResult::Accepted) {
-        known.notBefore.erase(run.service);
+        known.notBefore.erase(call.service);
         node.metrics.add(Counter::CallsForwarded);
     } else {
-        known.notBefore[run.service] = BootClock::now() + restAfter(refusal);
+        known.notBefore[call.service] = BootClock::now() + offerBackoff(refusal);
         node.metrics.add(Counter::ForwardsRefused);
     }
     const bool silent = end == OfferResult::NoReply;
     logEvent(EventId::CallForwarded,
-             {{"call", run.facts.attemptId},
-              {"service", run.service},
-              {"why", areLinksLost(node, run.service) ? "links lost" : "targets not reached"},
+             {{"call", call.facts.attemptId},
+              {"service", call.service},
+              {"why", areLinksLost(node, call.service) ? "links lost" : "targets not reached"},
               {"peer", peer.text()},
               {"taken", end == OfferResult::Accepted ? "yes" : "no"},
               {"refusal", std::string(silent ? "silent" : refusalName(refusal))}});
 }
 
 /** Passes on the answer of a VM that has taken the call. */
-asio::awaitable<AttemptResult> passForwarded(ActiveCall &run, CallAnswer &answer,
+asio::awaitable<AttemptResult> passForwarded(ActiveCall &call, CallAnswer &answer,
                                              TargetExchange &exchange)
 {
-    const bool mayHaveRunBefore = run.mayHaveRun;
-    recordAttempt(run);
-    ++run.runsStarted;
-    run.mayHaveRun = true;
-    const bool headed = co_await exchange.sendOfferedBody();
-    if (!headed)
+    const bool mayHaveRunBefore = call.mayHaveRun;
+    recordAttempt(call);
+    ++call.runsStarted;
+    call.mayHaveRun = true;
+    const bool headReceived = co_await exchange.sendOfferedBody();
+    if (!headReceived)
         co_return AttemptResult::Broken;
     const ForwardReport report = readForwardReport(exchange.head());
-    run.runsStarted = std::max(run.runsStarted, report.runs);
+    call.runsStarted = std::max(call.runsStarted, report.runs);
     if (report.outcome == ForwardOutcome::FromTarget) {
-        const bool spoiled = exchange.status() < 300 && !exchange.facts().authentic;
-        if (spoiled) {
+        const bool inauthentic = exchange.status() < 300 && !exchange.facts().authentic;
+        if (inauthentic) {
             exchange.abandon();
             co_return AttemptResult::Broken;
         }
         const std::function<void()> onPiece = [] {
         };
-        co_return co_await passAnswer(run, answer, exchange, onPiece);
+        co_return co_await passAnswer(call, answer, exchange, onPiece);
     }
     std::string body;
-    const bool whole = co_await readFully(exchange, body);
-    if (!whole || report.outcome == ForwardOutcome::MayHaveRun)
+    const bool complete = co_await readFully(exchange, body);
+    if (!complete || report.outcome == ForwardOutcome::MayHaveRun)
         co_return AttemptResult::Broken;
-    run.mayHaveRun = mayHaveRunBefore;
-    run.runsStarted = report.runs;
+    call.mayHaveRun = mayHaveRunBefore;
+    call.runsStarted = report.runs;
     answer.refusal = localReplyFrom(exchange, body);
     co_return AttemptResult::Refused;
 }
 
 } // namespace
 
-bool shouldForwardToPeer(const ActiveCall &run)
+bool shouldForwardToPeer(const ActiveCall &call)
 {
-    if (run.forwarded || !run.node.settings.forwards)
+    if (call.forwarded || !call.node.settings.forwards)
         return false;
-    if (areLinksLost(run.node, run.service))
+    if (areLinksLost(call.node, call.service))
         return true;
-    return run.unreachableHere >= leastUnreached && !run.noPeerAccepts;
+    return call.unreachableHere >= minUnreachable && !call.noPeerAccepts;
 }
 
-asio::awaitable<AttemptResult> forwardCall(ActiveCall &run, CallAnswer &answer)
+asio::awaitable<AttemptResult> forwardCall(ActiveCall &call, CallAnswer &answer)
 {
-    GatewayNode &node = run.node;
+    GatewayNode &node = call.node;
     answer.refusal = makeLocalReply(
         503, "this VM does not reach the targets, and no other VM takes calls", shortRetryAfter);
     std::vector<Endpoint> tried;
-    for (int offer = 0; offer < mostOffers && !run.cancelled(); ++offer) {
-        std::optional<Endpoint> peer = drawPeer(node, run.service, tried, false);
+    for (int offer = 0; offer < maxOffers && !call.cancelled(); ++offer) {
+        std::optional<Endpoint> peer = pickPeer(node, call.service, tried, false);
         // With few VMs all may be left out for a moment; a refusal is an answer of a few ms.
         if (!peer)
-            peer = drawPeer(node, run.service, tried, true);
+            peer = pickPeer(node, call.service, tried, true);
         if (!peer)
             break;
         tried.push_back(*peer);
-        TargetExchange exchange(node, *peer, run.facts.attemptId);
+        TargetExchange exchange(node, *peer, call.facts.attemptId);
         OfferResult end = OfferResult::NoReply;
         const bool connected = co_await exchange.connect();
-        if (connected && !run.cancelled()) {
-            run.connection = exchange.connection();
-            end = co_await exchange.offer(offerFor(run, answer), offerPatience);
+        if (connected && !call.cancelled()) {
+            call.connection = exchange.connection();
+            end = co_await exchange.offer(buildOffer(call, answer), offerTimeout);
         }
-        if (run.cancelled())
+        if (call.cancelled())
             co_return AttemptResult::Refused;
         const ForwardRefusal refusal = end == OfferResult::Declined
             ? parseForwardRefusal(exchange.head())
             : ForwardRefusal::None;
-        noteOffer(node, run, *peer, end, refusal);
+        recordOffer(node, call, *peer, end, refusal);
         if (end != OfferResult::Accepted)
             continue;
-        std::optional<LocalReply> keyRefusal = recheckKey(run);
+        std::optional<LocalReply> keyRefusal = recheckKey(call);
         if (keyRefusal) {
             exchange.abandon();
             answer.refusal = std::move(*keyRefusal);
             co_return AttemptResult::Refused;
         }
-        co_return co_await passForwarded(run, answer, exchange);
+        co_return co_await passForwarded(call, answer, exchange);
     }
-    run.noPeerAccepts = true;
-    co_return areLinksLost(node, run.service) ? AttemptResult::Refused : AttemptResult::Unreachable;
+    call.noPeerAccepts = true;
+    co_return areLinksLost(node, call.service) ? AttemptResult::Refused
+                                               : AttemptResult::Unreachable;
 }
 
-ForwardRefusal admitForwarded(const GatewayNode &node, const std::optional<ForwardedCall> &call)
+ForwardRefusal admitForwarded(const GatewayNode &node,
+                              const std::optional<ForwardedCall> &forwardedCall)
 {
-    if (!call)
+    if (!forwardedCall)
         return ForwardRefusal::Malformed;
     if (node.shuttingDown)
         return ForwardRefusal::Stopping;
-    if (areLinksLost(node, call->service))
+    if (areLinksLost(node, forwardedCall->service))
         return ForwardRefusal::LinksLost;
-    if (call->configVersion != node.routes->config().version)
+    if (forwardedCall->configVersion != node.routes->config().version)
         return ForwardRefusal::ConfigMismatch;
     const int own = node.callsInFlight - node.forwardedInFlight;
-    if (node.forwardedInFlight >= forwardedAtLeast + forwardedForEachOwn * own)
+    if (node.forwardedInFlight >= minForwarded + forwardedPerOwnCall * own)
         return ForwardRefusal::Busy;
     return ForwardRefusal::None;
 }
--- a/libs/gateway/src/PeerForwarding.h
+++ b/libs/gateway/src/PeerForwarding.h
@@ -11,12 +11,13 @@
  */
 
 /** True if the call is to go by another VM rather than to a target. */
-bool shouldForwardToPeer(const ActiveCall &run);
+bool shouldForwardToPeer(const ActiveCall &call);
 
 /** Has another VM serve the call; Unreachable if none takes it and own targets may be tried. */
-asio::awaitable<AttemptResult> forwardCall(ActiveCall &run, CallAnswer &answer);
+asio::awaitable<AttemptResult> forwardCall(ActiveCall &call, CallAnswer &answer);
 
 /** Whether this VM takes a call that another one forwards. */
-ForwardRefusal admitForwarded(const GatewayNode &node, const std::optional<ForwardedCall> &call);
+ForwardRefusal admitForwarded(const GatewayNode &node,
+                              const std::optional<ForwardedCall> &forwardedCall);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/PrefillReservation.cpp
+++ b/libs/gateway/src/PrefillReservation.cpp
@@ -14,52 +14,53 @@
 namespace v1 = gateway::v1;
 
 /** News older than this share of an objective are too old to place a call by. */
-constexpr double newsShare = 0.125;
+constexpr double updateAgeShare = 0.125;
 
 /** An answer takes a few ms; a call does not wait for more than this share of its objective. */
-constexpr double askShare = 0.05;
+constexpr double askTimeShare = 0.05;
 
 /** A holder that did not answer is not asked for this long. */
-constexpr Duration afterSilence = std::chrono::seconds(1);
+constexpr Duration unansweredBackoff = std::chrono::seconds(1);
 
 /** Engines that one call asks about; then it takes the best that it knows. */
-constexpr std::size_t mostAsked = 3;
+constexpr std::size_t maxAsked = 3;
 
 /** A call leaves half of the wait that it could bear to calls that bear less. */
-constexpr double boundShare = 0.5;
+constexpr double waitShare = 0.5;
 
-double tokensToRead(const ActiveCall &run, const EngineView &engine)
+double tokensToPrefill(const ActiveCall &call, const EngineView &engine)
 {
-    return std::max(run.facts.promptTokens - engine.cachedTokens, 0.0);
+    return std::max(call.facts.promptTokens - engine.cachedTokens, 0.0);
 }
 
 /** Tokens that may wait before the call at this engine while there are others to ask. */
-double maxAhead(const ActiveCall &run, const EngineView &engine, PrefillStep step)
+double maxAhead(const ActiveCall &call, const EngineView &engine, PrefillStep step)
 {
-    const EngineWeights &weights = run.node.settings.weights;
-    const Duration elapsed = BootClock::now() - run.arrivedAt;
+    const EngineWeights &weights = call.node.settings.weights;
+    const Duration elapsed = BootClock::now() - call.arrivedAt;
     const double loadMs = step == PrefillStep::Load ? engine.loadMs : 0;
     PrefillBudget bound;
     bound.objectiveLeftMs =
-        1000 * (weights.onTimeShare * toSeconds(run.route->latencyObjective) - toSeconds(elapsed));
-    bound.ownTokens = tokensToRead(run, engine);
+        1000 * (weights.onTimeShare * toSeconds(call.route->latencyObjective) - toSeconds(elapsed));
+    bound.ownTokens = tokensToPrefill(call, engine);
     bound.otherMs = weights.runPenaltyMs * engine.runs + loadMs;
     bound.tokensPerMs = weights.promptTokensPerMs;
     // The engine reads on while the adapter is loaded. Where all engines are late, one that is no
     // worse than it was believed to be is the best.
-    return std::max(boundShare * maxTokensAhead(bound) + loadMs * bound.tokensPerMs,
+    return std::max(waitShare * maxTokensAhead(bound) + loadMs * bound.tokensPerMs,
                     engine.waitingTokens);
 }
 
-PrefillRequest requestOf(const ActiveCall &run, const EngineView &engine, PrefillStep step)
+PrefillRequest requestOf(const ActiveCall &call, const EngineView &engine, PrefillStep step)
 {
     // An engine that is chosen again after its holder was asked is the best there is.
-    const auto &asked = run.prefillAsked;
+    const auto &asked = call.prefillAsked;
     const bool askedBefore = std::find(asked.begin(), asked.end(), engine.id) != asked.end();
-    const bool stays = step == PrefillStep::SendLoaded || askedBefore || asked.size() >= mostAsked;
+    const bool stays = step == PrefillStep::SendLoaded || askedBefore || asked.size() >= maxAsked;
     PrefillRequest wanted;
-    wanted.tokens = step == PrefillStep::Load ? 0 : tokensToRead(run, engine);
-    wanted.maxAhead = stays ? std::numeric_limits<double>::infinity() : maxAhead(run, engine, step);
+    wanted.tokens = step == PrefillStep::Load ? 0 : tokensToPrefill(call, engine);
+    wanted.maxAhead =
+        stays ? std::numeric_limits<double>::infinity() : maxAhead(call, engine, step);
     return wanted;
 }
 
@@ -71,22 +72,22 @@
         return nullptr;
     const auto silent = node.prefill.unansweredAt.find(holder->endpoint);
     const bool isSilent =
-        silent != node.prefill.unansweredAt.end() && now - silent->second < afterSilence;
+        silent != node.prefill.unansweredAt.end() && now - silent->second < unansweredBackoff;
     return isSilent ? nullptr : holder;
 }
 
 std::uint32_t wireTokens(double tokens)
 {
-    constexpr double most = std::numeric_limits<std::uint32_t>::max();
-    return static_cast<std::uint32_t>(std::clamp(tokens, 0.0, most));
+    constexpr double maxTokens = std::numeric_limits<std::uint32_t>::max();
+    return static_cast<std::uint32_t>(std::clamp(tokens, 0.0, maxTokens));
 }
 
-void noteCounted(GatewayNode &node, const std::string &target, const PrefillReply &reply,
+void recordCount(GatewayNode &node, const std::string &target, const PrefillReply &reply,
                  double tokens)
 {
-    PrefillQueue &told = node.prefill.reported[target];
-    told.tokens = reply.ahead + (reply.reserved ? tokens : 0);
-    told.at = BootClock::now();
+    PrefillQueue &count = node.prefill.reported[target];
+    count.tokens = reply.ahead + (reply.reserved ? tokens : 0);
+    count.at = BootClock::now();
 }
 
 asio::awaitable<std::optional<PrefillReply>> askHolder(GatewayNode &node, Endpoint holder,
@@ -107,7 +108,7 @@
     PrefillReply reply;
     reply.reserved = answer->reserved();
     reply.ahead = answer->ahead();
-    noteCounted(node, target, reply, wanted.tokens);
+    recordCount(node, target, reply, wanted.tokens);
     co_return reply;
 }
 
@@ -123,39 +124,39 @@
 bool shouldAskLeaseHolders(const GatewayNode &node, const Route &route)
 {
     return node.settings.placement.reservePrefill
-        && toSeconds(loadReportAge(node)) > newsShare * toSeconds(route.latencyObjective);
+        && toSeconds(loadReportAge(node)) > updateAgeShare * toSeconds(route.latencyObjective);
 }
 
 std::optional<double> reservedPrefillTokens(GatewayNode &node, const std::string &target,
                                             Instant now)
 {
-    const double pace = node.settings.weights.promptTokensPerMs;
+    const double rate = node.settings.weights.promptTokensPerMs;
     if (mayCommandNow(node, target)) {
         const auto own = node.prefill.held.find(target);
         if (own != node.prefill.held.end())
-            return waitingTokens(own->second, pace, now);
+            return waitingTokens(own->second, rate, now);
     }
-    const auto told = node.prefill.reported.find(target);
-    if (told == node.prefill.reported.end() || now - told->second.at > loadReportAge(node))
+    const auto count = node.prefill.reported.find(target);
+    if (count == node.prefill.reported.end() || now - count->second.at > loadReportAge(node))
         return std::nullopt;
-    return waitingTokens(told->second, pace, now);
+    return waitingTokens(count->second, rate, now);
 }
 
-asio::awaitable<bool> reservePrefill(ActiveCall &run, const EngineView &engine, PrefillStep step)
+asio::awaitable<bool> reservePrefill(ActiveCall &call, const EngineView &engine, PrefillStep step)
 {
-    GatewayNode &node = run.node;
-    if (!shouldAskLeaseHolders(node, *run.route))
+    GatewayNode &node = call.node;
+    if (!shouldAskLeaseHolders(node, *call.route))
         co_return true;
-    const PrefillRequest wanted = requestOf(run, engine, step);
+    const PrefillRequest wanted = requestOf(call, engine, step);
     if (step != PrefillStep::SendLoaded)
-        run.prefillAsked.push_back(engine.id);
+        call.prefillAsked.push_back(engine.id);
     if (mayCommandNow(node, engine.id))
         co_return reserveHere(node, engine.id, wanted).reserved;
     const PeerState *holder = askableHolder(node, engine.id, BootClock::now());
     if (holder == nullptr)
         co_return true;
     const Endpoint endpoint = holder->endpoint;
-    const Duration timeout = fromSeconds(askShare * toSeconds(run.route->latencyObjective));
+    const Duration timeout = fromSeconds(askTimeShare * toSeconds(call.route->latencyObjective));
     const auto reply = co_await askHolder(node, endpoint, engine.id, wanted, timeout);
     co_return !reply || reply->reserved;
 }
--- a/libs/gateway/src/PrefillReservation.h
+++ b/libs/gateway/src/PrefillReservation.h
@@ -33,7 +33,7 @@
  * another engine may be better; what was learnt shows in reservedPrefillTokens(). Where nobody can
  * be asked it is always true. The view has to stay until the result is there.
  */
-asio::awaitable<bool> reservePrefill(ActiveCall &run, const EngineView &engine, PrefillStep step);
+asio::awaitable<bool> reservePrefill(ActiveCall &call, const EngineView &engine, PrefillStep step);
 
 /** Answers another VM that asks for an engine. */
 gateway::v1::PrefillReply handlePrefillRequest(GatewayNode &node,
--- a/libs/gateway/src/StreamResuming.cpp
+++ b/libs/gateway/src/StreamResuming.cpp
@@ -15,25 +15,25 @@
 namespace v1 = gateway::v1;
 
 /** Between two looks at the versions that all targets have. */
-constexpr Duration versionLook = std::chrono::milliseconds(500);
+constexpr Duration versionCheckInterval = std::chrono::milliseconds(500);
 /** Streams that begin within this long are told together. */
-constexpr Duration tellGather = std::chrono::milliseconds(10);
-constexpr Duration tellTimeout = std::chrono::milliseconds(400);
+constexpr Duration reportDelay = std::chrono::milliseconds(10);
+constexpr Duration reportTimeout = std::chrono::milliseconds(400);
 /** VMs answer in a few ms; one that is gone or cut off does not. */
-constexpr Duration askPatience = std::chrono::milliseconds(150);
+constexpr Duration askTimeout = std::chrono::milliseconds(150);
 
 /** VMs that keep what began a stream: of the zone, for one may end, and one of all zones. */
-constexpr std::size_t keepersInZone = 2;
-constexpr std::size_t keepersOfAll = 1;
+constexpr std::size_t replicasInZone = 2;
+constexpr std::size_t replicasOfAll = 1;
 
 /** No caller is taken to wait longer, whatever it names. */
-constexpr Duration mostPatience = std::chrono::seconds(60);
+constexpr Duration maxResumeTime = std::chrono::seconds(60);
 
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
 
 /** How a VM knows what began a stream. */
 enum class OriginSource : std::uint8_t {
-    Noted, ///< this VM began it, or was told
+    Recorded, ///< this VM began it, or was told
     OnlyVersion, ///< there has been no other version
     Asked, ///< another VM knew
 };
@@ -41,7 +41,7 @@
 std::string_view sourceName(OriginSource source) noexcept
 {
     switch (source) {
-    case OriginSource::Noted:
+    case OriginSource::Recorded:
         return "noted";
     case OriginSource::OnlyVersion:
         return "only version";
@@ -54,17 +54,17 @@
 struct FoundOrigin
 {
     std::string software;
-    OriginSource source = OriginSource::Noted;
+    OriginSource source = OriginSource::Recorded;
 };
 
 /** How long a stream of the service may be taken up again after it began. */
-Duration patienceFor(const GatewayNode &node, const std::string &service)
+Duration resumeTimeFor(const GatewayNode &node, const std::string &service)
 {
     const Duration configured = node.routes->maxResumableTimeout(service);
-    return std::min(std::max(configured, node.resuming.longestTimeout), mostPatience);
+    return std::min(std::max(configured, node.resuming.longestTimeout), maxResumeTime);
 }
 
-void lookAtVersions(GatewayNode &node, Instant now)
+void checkVersions(GatewayNode &node, Instant now)
 {
     ResumeState &state = node.resuming;
     state.versionsCheckedAt = now;
@@ -73,17 +73,17 @@
             recordSoftware(state.versions[record.entry.service], record.entry.software, now);
     }
     for (auto &[service, versions] : state.versions)
-        forgetSoftware(versions, now - mostPatience);
+        forgetSoftware(versions, now - maxResumeTime);
 }
 
 /** The one version that can have begun a stream of the service; nothing: that is not proved. */
 std::optional<std::string> onlyVersionOf(const GatewayNode &node, const std::string &service,
                                          Instant now)
 {
-    const Instant since = now - patienceFor(node, service);
+    const Instant since = now - resumeTimeFor(node, service);
     // Before the system's first start there were no streams.
-    const bool knowsNotEnough = node.bootedAt > since && !node.settings.firstStart;
-    if (isListStale(node.targetTable, now) || knowsNotEnough)
+    const bool bootedTooLate = node.bootedAt > since && !node.settings.firstStart;
+    if (isListStale(node.targetTable, now) || bootedTooLate)
         return std::nullopt;
     const auto versions = node.resuming.versions.find(service);
     return versions == node.resuming.versions.end() ? std::nullopt
@@ -91,7 +91,7 @@
 }
 
 // While this VM is in no doubt, others can tell as much without hearing of each stream.
-void lookForDoubt(GatewayNode &node, Instant now)
+void findAmbiguousServices(GatewayNode &node, Instant now)
 {
     ResumeState &state = node.resuming;
     state.ambiguousServices.clear();
@@ -102,47 +102,47 @@
 }
 
 /** Where what began a stream is kept, this VM left out. */
-struct KeeperChoice
+struct ReplicaCandidates
 {
     std::vector<std::string> names;
     std::vector<Endpoint> endpoints;
 };
 
-void addKeeper(KeeperChoice &choice, std::string name, Endpoint endpoint)
+void addCandidate(ReplicaCandidates &choice, std::string name, Endpoint endpoint)
 {
     choice.names.push_back(std::move(name));
     choice.endpoints.push_back(std::move(endpoint));
 }
 
 /** All VMs, whether they are heard or not: each VM has to choose among the same. */
-KeeperChoice vmsOf(const GatewayNode &node, const std::optional<std::string> &zone)
+ReplicaCandidates candidatesOf(const GatewayNode &node, const std::optional<std::string> &zone)
 {
-    KeeperChoice choice;
-    addKeeper(choice, node.settings.vm, node.settings.peers);
+    ReplicaCandidates choice;
+    addCandidate(choice, node.settings.vm, node.settings.peers);
     for (const auto &[endpoint, peer] : node.peers) {
         const bool counts = !peer.name.empty() && (!zone || peer.zone == *zone);
         if (counts)
-            addKeeper(choice, peer.name, endpoint);
+            addCandidate(choice, peer.name, endpoint);
     }
     return choice;
 }
 
 /** The VMs to tell of streams, or to ask. */
-class Keepers
+class OriginReplicas
 {
 public:
-    explicit Keepers(const GatewayNode &node)
+    explicit OriginReplicas(const GatewayNode &node)
         : own(node.settings.peers)
-        , zone(vmsOf(node, node.settings.zone))
-        , all(vmsOf(node, std::nullopt))
+        , zone(candidatesOf(node, node.settings.zone))
+        , all(candidatesOf(node, std::nullopt))
     { }
 
     std::set<Endpoint> of(StreamId id) const
     {
         std::set<Endpoint> chosen;
-        for (const std::size_t index : chooseReplicas(id, this->zone.names, keepersInZone))
+        for (const std::size_t index : chooseReplicas(id, this->zone.names, replicasInZone))
             chosen.insert(this->zone.endpoints[index]);
-        for (const std::size_t index : chooseReplicas(id, this->all.names, keepersOfAll))
+        for (const std::size_t index : chooseReplicas(id, this->all.names, replicasOfAll))
             chosen.insert(this->all.endpoints[index]);
         chosen.erase(this->own);
         return chosen;
@@ -150,18 +150,19 @@
 
 private:
     Endpoint own;
-    KeeperChoice zone;
-    KeeperChoice all;
+    ReplicaCandidates zone;
+    ReplicaCandidates all;
 };
 
-asio::awaitable<void> tellKeeper(GatewayNode &node, Endpoint keeper, v1::OriginNote note)
+asio::awaitable<void> reportToReplica(GatewayNode &node, Endpoint replica, v1::OriginNote note)
 {
-    const auto noted = co_await node.peerLinks.noteOrigins(keeper, std::move(note), tellTimeout);
-    static_cast<void>(noted); // two others keep it
+    const auto recorded =
+        co_await node.peerLinks.noteOrigins(replica, std::move(note), reportTimeout);
+    static_cast<void>(recorded); // two others keep it
 }
 
 /** The streams that are to be told now; others stay for when there is doubt. */
-std::vector<StreamId> takeDue(GatewayNode &node, Instant now)
+std::vector<StreamId> takeDueStreams(GatewayNode &node, Instant now)
 {
     ResumeState &state = node.resuming;
     std::vector<StreamId> due;
@@ -178,31 +179,31 @@
     return due;
 }
 
-void tellKeepers(GatewayNode &node, Instant now)
+void reportToReplicas(GatewayNode &node, Instant now)
 {
-    const std::vector<StreamId> due = takeDue(node, now);
+    const std::vector<StreamId> due = takeDueStreams(node, now);
     if (due.empty())
         return;
-    const Keepers keepers(node);
+    const OriginReplicas replicas(node);
     std::map<Endpoint, v1::OriginNote> notes;
     for (const StreamId id : due) {
         const StreamOrigin &origin = node.resuming.origins.byId.at(id);
-        for (const Endpoint &keeper : keepers.of(id)) {
-            v1::StreamOrigin *told = notes[keeper].add_origins();
-            told->set_stream(id);
-            told->set_software(origin.software);
-            told->set_left_ms(static_cast<std::uint32_t>(toMillis(origin.until - now)));
+        for (const Endpoint &replica : replicas.of(id)) {
+            v1::StreamOrigin *reportedOrigin = notes[replica].add_origins();
+            reportedOrigin->set_stream(id);
+            reportedOrigin->set_software(origin.software);
+            reportedOrigin->set_left_ms(static_cast<std::uint32_t>(toMillis(origin.until - now)));
         }
     }
     node.metrics.add(Counter::StreamOriginsTold, due.size());
-    for (auto &[keeper, note] : notes)
-        spawn(node, "tell keeper", tellKeeper(node, keeper, std::move(note)));
+    for (auto &[replica, note] : notes)
+        spawn(node, "tell keeper", reportToReplica(node, replica, std::move(note)));
 }
 
 /** What the VMs that were asked have answered so far. */
-struct OriginAsk
+struct OriginQuery
 {
-    explicit OriginAsk(asio::io_context &context)
+    explicit OriginQuery(asio::io_context &context)
         : answered(context)
     { }
 
@@ -211,106 +212,108 @@
     std::optional<std::string> software;
 };
 
-asio::awaitable<void> askKeeper(GatewayNode &node, Endpoint keeper, v1::OriginRequest request,
-                                std::shared_ptr<OriginAsk> ask)
+asio::awaitable<void> askReplica(GatewayNode &node, Endpoint replica, v1::OriginRequest request,
+                                 std::shared_ptr<OriginQuery> ask)
 {
-    const auto reply = co_await node.peerLinks.askOrigin(keeper, std::move(request), askPatience);
+    const auto reply = co_await node.peerLinks.askOrigin(replica, std::move(request), askTimeout);
     --ask->open;
     if (reply && reply->known())
         ask->software = reply->software();
     ask->answered.notifyAll();
 }
 
-asio::awaitable<std::optional<std::string>> askKeepers(GatewayNode &node, StreamId id,
-                                                       std::string service)
+asio::awaitable<std::optional<std::string>> askReplicas(GatewayNode &node, StreamId id,
+                                                        std::string service)
 {
-    const auto ask = std::make_shared<OriginAsk>(node.context);
-    for (const Endpoint &keeper : Keepers(node).of(id)) {
+    const auto ask = std::make_shared<OriginQuery>(node.context);
+    for (const Endpoint &replica : OriginReplicas(node).of(id)) {
         v1::OriginRequest request;
         request.set_stream(id);
         request.set_service(service);
         ++ask->open;
-        spawn(node, "ask keeper", askKeeper(node, keeper, std::move(request), ask));
+        spawn(node, "ask keeper", askReplica(node, replica, std::move(request), ask));
     }
-    const Instant limit = BootClock::now() + askPatience;
+    const Instant limit = BootClock::now() + askTimeout;
     while (!ask->software && ask->open > 0 && BootClock::now() < limit)
         co_await ask->answered.wait(limit - BootClock::now());
     co_return ask->software;
 }
 
-asio::awaitable<std::optional<FoundOrigin>> originFor(ActiveCall &run)
+asio::awaitable<std::optional<FoundOrigin>> lookUpOrigin(ActiveCall &call)
 {
-    GatewayNode &node = run.node;
+    GatewayNode &node = call.node;
     const Instant now = BootClock::now();
-    const StreamId id = streamIdOf(run.facts.resumes);
-    if (const auto noted = originOf(node.resuming.origins, id, now))
-        co_return FoundOrigin{*noted, OriginSource::Noted};
-    lookAtVersions(node, now);
-    if (const auto only = onlyVersionOf(node, run.service, now))
+    const StreamId id = streamIdOf(call.facts.resumes);
+    if (const auto recorded = originOf(node.resuming.origins, id, now))
+        co_return FoundOrigin{*recorded, OriginSource::Recorded};
+    checkVersions(node, now);
+    if (const auto only = onlyVersionOf(node, call.service, now))
         co_return FoundOrigin{*only, OriginSource::OnlyVersion};
     // Also where the caller names nothing: others may know that there was one version alone.
-    const auto told = co_await askKeepers(node, id, run.service);
-    if (!told)
+    const auto reportedOrigin = co_await askReplicas(node, id, call.service);
+    if (!reportedOrigin)
         co_return std::nullopt;
-    co_return FoundOrigin{*told, OriginSource::Asked};
+    co_return FoundOrigin{*reportedOrigin, OriginSource::Asked};
 }
 
 } // namespace
 
-void recordStreamStart(ActiveCall &run, const std::string &software)
+void recordStreamStart(ActiveCall &call, const std::string &software)
 {
-    run.origin = software;
-    if (!run.route->resumable || run.facts.attemptId.empty())
+    call.origin = software;
+    if (!call.route->resumable || call.facts.attemptId.empty())
         return;
-    GatewayNode &node = run.node;
+    GatewayNode &node = call.node;
     ResumeState &state = node.resuming;
-    const Duration patience = std::max(run.route->timeout, run.facts.timeLeft.value_or(Duration()));
-    const StreamId id = streamIdOf(run.facts.attemptId);
-    recordOrigin(state.origins, id, {software, run.arrivedAt + std::min(patience, mostPatience)},
+    const Duration resumeTime =
+        std::max(call.route->timeout, call.facts.timeLeft.value_or(Duration()));
+    const StreamId id = streamIdOf(call.facts.attemptId);
+    recordOrigin(state.origins, id,
+                 {software, call.arrivedAt + std::min(resumeTime, maxResumeTime)},
                  BootClock::now());
-    state.longestTimeout = std::max(state.longestTimeout, std::min(patience, mostPatience));
-    state.unreported.push_back({id, run.service});
+    state.longestTimeout = std::max(state.longestTimeout, std::min(resumeTime, maxResumeTime));
+    state.unreported.push_back({id, call.service});
     if (state.unreported.size() > maxStreamOrigins)
         state.unreported.pop_front();
-    if (state.ambiguousServices.count(run.service) > 0)
+    if (state.ambiguousServices.count(call.service) > 0)
         state.due.notifyAll();
 }
 
-asio::awaitable<std::optional<LocalReply>> resolveStreamOrigin(ActiveCall &run)
+asio::awaitable<std::optional<LocalReply>> resolveStreamOrigin(ActiveCall &call)
 {
-    const bool takesUp = run.facts.resumeAfter && run.route->resumable && !run.origin;
-    if (!takesUp)
+    const bool resumesStream = call.facts.resumeAfter && call.route->resumable && !call.origin;
+    if (!resumesStream)
         co_return std::nullopt;
-    const std::optional<FoundOrigin> found = co_await originFor(run);
+    const std::optional<FoundOrigin> found = co_await lookUpOrigin(call);
     logEvent(EventId::StreamTakenUp,
-             {{"call", run.facts.attemptId},
-              {"resumes", run.facts.resumes},
-              {"after", std::to_string(*run.facts.resumeAfter)},
-              {"service", run.service},
+             {{"call", call.facts.attemptId},
+              {"resumes", call.facts.resumes},
+              {"after", std::to_string(*call.facts.resumeAfter)},
+              {"service", call.service},
               {"began", found ? found->software : ""},
               {"knownBy", found ? std::string(sourceName(found->source)) : "not known"}});
     if (!found) {
-        run.node.metrics.add(Counter::ResumesUnknown);
+        call.node.metrics.add(Counter::ResumesUnknown);
         co_return makeLocalReply(503, "what began the stream is not known", shortRetryAfter);
     }
-    run.node.metrics.add(Counter::StreamsTakenUp);
-    run.origin = found->software;
+    call.node.metrics.add(Counter::StreamsTakenUp);
+    call.origin = found->software;
     co_return std::nullopt;
 }
 
-void keepCompatibleTargets(ActiveCall &run, std::vector<const TargetRecord *> &targets)
+void keepCompatibleTargets(ActiveCall &call, std::vector<const TargetRecord *> &targets)
 {
-    if (!run.route->resumable)
+    if (!call.route->resumable)
         return;
-    GatewayNode &node = run.node;
+    GatewayNode &node = call.node;
     const Instant now = BootClock::now();
-    const SoftwareVersions &versions = node.resuming.versions[run.service];
+    const SoftwareVersions &versions = node.resuming.versions[call.service];
     if (namesVersions(versions))
         std::erase_if(targets,
                       [](const TargetRecord *record) { return record->entry.software.empty(); });
-    if (run.origin) {
-        std::erase_if(targets, [&run](const TargetRecord *record) {
-            return record->entry.software != *run.origin;
+    if (call.origin) {
+        std::erase_if(targets, [&call](const TargetRecord *record) {
+            return record->entry.software != *call.origin;
         });
         return;
     }
@@ -321,18 +324,18 @@
         std::erase_if(targets, [&](const TargetRecord *record) { return !settled(record); });
 }
 
-asio::awaitable<bool> confirmTargetStart(ActiveCall &run, const TargetEntry &target)
+asio::awaitable<bool> confirmTargetStart(ActiveCall &call, const TargetEntry &target)
 {
-    GatewayNode &node = run.node;
-    const ServiceSpec *service = run.routes->findService(run.service);
-    const bool mayGoOn = run.route->resumable && service != nullptr && service->engine;
+    GatewayNode &node = call.node;
+    const ServiceSpec *service = call.routes->findService(call.service);
+    const bool mayBeResumed = call.route->resumable && service != nullptr && service->engine;
     const TargetRuntime &runtime = runtimeOf(node, target.id);
-    const bool mayHaveEnded = run.origin || runtime.pool.lostAt > runtime.startConfirmedAt;
-    if (!mayGoOn || target.startTime == 0 || !mayHaveEnded)
+    const bool mayHaveRestarted = call.origin || runtime.pool.lostAt > runtime.startConfirmedAt;
+    if (!mayBeResumed || target.startTime == 0 || !mayHaveRestarted)
         co_return true;
     const Instant asked = BootClock::now();
     const EngineAddress address{target.id, target.endpoint};
-    const auto report = co_await node.platform->report(node.http, address, askPatience);
+    const auto report = co_await node.platform->report(node.http, address, askTimeout);
     if (!report || recordStartTime(node, target.id, report->startTime) == StartOrder::Newer)
         co_return false;
     runtimeOf(node, target.id).startConfirmedAt = asked;
@@ -343,23 +346,23 @@
 {
     while (!node.stopped) {
         const Instant now = BootClock::now();
-        if (now - node.resuming.versionsCheckedAt >= versionLook)
-            lookAtVersions(node, now);
-        lookForDoubt(node, now);
+        if (now - node.resuming.versionsCheckedAt >= versionCheckInterval)
+            checkVersions(node, now);
+        findAmbiguousServices(node, now);
         forgetOrigins(node.resuming.origins, now);
-        tellKeepers(node, now);
-        co_await node.resuming.due.wait(versionLook);
-        co_await pauseFor(node, tellGather);
+        reportToReplicas(node, now);
+        co_await node.resuming.due.wait(versionCheckInterval);
+        co_await pauseFor(node, reportDelay);
     }
 }
 
 v1::OriginsNoted handleOriginNote(GatewayNode &node, const v1::OriginNote &note)
 {
     const Instant now = BootClock::now();
-    for (const v1::StreamOrigin &told : note.origins()) {
-        const Duration left = std::chrono::milliseconds(told.left_ms());
-        recordOrigin(node.resuming.origins, told.stream(),
-                     {told.software(), now + std::min(left, mostPatience)}, now);
+    for (const v1::StreamOrigin &reportedOrigin : note.origins()) {
+        const Duration left = std::chrono::milliseconds(reportedOrigin.left_ms());
+        recordOrigin(node.resuming.origins, reportedOrigin.stream(),
+                     {reportedOrigin.software(), now + std::min(left, maxResumeTime)}, now);
     }
     return {};
 }
@@ -369,7 +372,7 @@
     const Instant now = BootClock::now();
     std::optional<std::string> software = originOf(node.resuming.origins, request.stream(), now);
     if (!software) {
-        lookAtVersions(node, now);
+        checkVersions(node, now);
         software = onlyVersionOf(node, request.service(), now);
     }
     v1::OriginReply reply;
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -22,13 +22,13 @@
 constexpr auto nothrowAwaitable = asio::as_tuple(asio::use_awaitable);
 
 /** Links within a deployment take a few ms; a target that does not accept by then is passed by. */
-constexpr Duration connectPatience = std::chrono::milliseconds(250);
+constexpr Duration connectTimeout = std::chrono::milliseconds(250);
 
 /** Requests above this are written while the answer is read already. */
-constexpr std::size_t longRequest = 4096;
+constexpr std::size_t longRequestBytes = 4096;
 
 /** Answers to other calls that may stand before the one that is waited for. */
-constexpr int mostForeignAnswers = 3;
+constexpr int maxForeignAnswers = 3;
 
 constexpr std::uint32_t headerLimit = 64 * 1024;
 
@@ -143,7 +143,7 @@
     this->link = takeIdle(this->pool(), BootClock::now());
     if (!this->link) {
         ConnectResult result =
-            co_await connectTo(this->node.context, this->endpoint, connectPatience);
+            co_await connectTo(this->node.context, this->endpoint, connectTimeout);
         this->link = std::move(result.connection);
         this->lastError = result.error;
         if (this->link && !this->targetId.empty())
@@ -154,7 +154,7 @@
 
 asio::awaitable<bool> TargetExchange::send(std::shared_ptr<HttpRequest> request)
 {
-    if (request->body().size() > longRequest)
+    if (request->body().size() > longRequestBytes)
         spawn(this->node, "write request", writeRequest(this->link, request, this->written));
     else
         co_await writeRequest(this->link, request, this->written);
@@ -162,11 +162,11 @@
 }
 
 asio::awaitable<OfferResult> TargetExchange::offer(std::shared_ptr<HttpRequest> request,
-                                                   Duration patience)
+                                                   Duration replyTimeout)
 {
     this->offered = std::move(request);
     this->rest.emplace(*this->offered);
-    asio::steady_timer limit(this->node.context, patience);
+    asio::steady_timer limit(this->node.context, replyTimeout);
     limit.async_wait(
         [weak = std::weak_ptr<TargetConnection>(this->link)](boost::system::error_code cancelled) {
             const TargetConnectionPtr late = weak.lock();
@@ -175,11 +175,11 @@
         });
     auto [error, bytes] =
         co_await http::async_write_header(this->link->socket, *this->rest, nothrowAwaitable);
-    bool headed = false;
+    bool headReceived = false;
     if (!error)
-        headed = co_await this->readHead();
+        headReceived = co_await this->readHead();
     limit.cancel();
-    if (!headed || !this->link->socket.is_open()) {
+    if (!headReceived || !this->link->socket.is_open()) {
         this->unusable = true;
         co_return OfferResult::NoReply;
     }
@@ -199,13 +199,13 @@
 
 asio::awaitable<bool> TargetExchange::readMatchingHead()
 {
-    for (int foreign = 0; foreign <= mostForeignAnswers; ++foreign) {
+    for (int foreign = 0; foreign <= maxForeignAnswers; ++foreign) {
         const bool read = co_await this->readHead();
         if (!read)
             co_return false;
-        const bool mine =
+        const bool isOwn =
             this->answerFacts.attemptId.empty() || this->answerFacts.attemptId == this->attemptId;
-        if (mine)
+        if (isOwn)
             co_return true;
         // A second answer to an earlier call of this connection; it belongs to nobody.
         std::string dropped;
@@ -241,12 +241,12 @@
     piece.clear();
     while (!this->parser->is_done()) {
         auto &body = this->parser->get().body();
-        body.data = this->space.data();
-        body.size = this->space.size();
+        body.data = this->readBuffer.data();
+        body.size = this->readBuffer.size();
         auto [error, bytes] = co_await http::async_read_some(this->link->socket, this->link->buffer,
                                                              *this->parser, nothrowAwaitable);
-        const std::size_t filled = this->space.size() - body.size;
-        piece.append(this->space.data(), filled);
+        const std::size_t filled = this->readBuffer.size() - body.size;
+        piece.append(this->readBuffer.data(), filled);
         if (error && error != http::error::need_buffer) {
             this->unusable = true;
             this->lastError = error;
--- a/libs/gateway/src/TargetExchange.h
+++ b/libs/gateway/src/TargetExchange.h
@@ -56,7 +56,7 @@
      * Sends the head of the request alone and waits for the word to go on. Until sendOfferedBody()
      * is called the receiver lacks the end of the request, and cannot run it.
      */
-    asio::awaitable<OfferResult> offer(std::shared_ptr<HttpRequest> request, Duration patience);
+    asio::awaitable<OfferResult> offer(std::shared_ptr<HttpRequest> request, Duration replyTimeout);
 
     /** Sends the rest of a request that was taken; then as send(). */
     asio::awaitable<bool> sendOfferedBody();
@@ -98,7 +98,7 @@
     std::optional<Serializer> rest; ///< of the request that is offered
     std::optional<Parser> parser;
     AnswerMetadata answerFacts;
-    std::array<char, 8192> space{};
+    std::array<char, 8192> readBuffer{};
     bool complete = false;
     bool unusable = false;
     boost::system::error_code lastError;
--- a/libs/gateway/src/TargetPool.cpp
+++ b/libs/gateway/src/TargetPool.cpp
@@ -18,10 +18,10 @@
 
 constexpr auto nothrowAwaitable = asio::as_tuple(asio::use_awaitable);
 
-constexpr std::size_t mostIdle = 64;
+constexpr std::size_t maxIdle = 64;
 
 /** Kept this long where the target does not say how long it keeps idle connections itself. */
-constexpr Duration idleWithoutWord = std::chrono::milliseconds(3000);
+constexpr Duration defaultIdleTime = std::chrono::milliseconds(3000);
 
 /** A call sent this shortly before the target closes the connection may be lost with it. */
 constexpr Duration idleMargin = std::chrono::milliseconds(400);
@@ -38,7 +38,7 @@
 
 // A connection that the target closed, or on which it sent something nobody asked for, looks fine
 // until the next answer is wrong or fails to come, and by then the call may have run.
-bool isSound(tcp::socket &socket)
+bool isUsable(tcp::socket &socket)
 {
     char byte = 0;
     const auto peeked = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -59,7 +59,7 @@
         pool.idle.pop_back();
         if (now >= connection->idleUntil)
             continue;
-        if (isSound(connection->socket))
+        if (isUsable(connection->socket))
             return connection;
         pool.lostAt = now;
     }
@@ -68,10 +68,10 @@
 
 void giveBack(TargetPool &pool, TargetConnectionPtr connection, Duration keepAlive, Instant now)
 {
-    const Duration kept = keepAlive > Duration::zero() ? keepAlive : idleWithoutWord;
+    const Duration kept = keepAlive > Duration::zero() ? keepAlive : defaultIdleTime;
     connection->idleUntil = now + kept - std::min(idleMargin, kept / 2);
     pool.idle.push_back(std::move(connection));
-    if (pool.idle.size() > mostIdle)
+    if (pool.idle.size() > maxIdle)
         pool.idle.pop_front();
 }
 
--- a/libs/gateway/src/WorkspaceQuota.cpp
+++ b/libs/gateway/src/WorkspaceQuota.cpp
@@ -14,7 +14,7 @@
 
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
 
-UsageWindow &recordOf(GatewayNode &node, const std::string &workspace)
+UsageWindow &usageWindowOf(GatewayNode &node, const std::string &workspace)
 {
     const auto [found, added] = node.spending.try_emplace(workspace);
     if (added) {
@@ -24,42 +24,42 @@
     return found->second;
 }
 
-WorkspaceUse ownUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
+WorkspaceUse ownUsageOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
     const QuotaPolicy &policy = node.settings.quota;
-    WorkspaceUse use;
+    WorkspaceUse workspaceUsage;
     const auto found = node.spending.find(workspace.name);
     if (found != node.spending.end())
-        use = usageOf(found->second, policy, now);
+        workspaceUsage = usageOf(found->second, policy, now);
     const Duration up = now - node.bootedAt;
     if (node.settings.firstStart || up >= 2 * policy.window || !knowsFleetSize(node, now))
-        return use;
+        return workspaceUsage;
     const int known = knownVms(node, now);
     if (keepsUsageSnapshots(node))
-        addUsage(use,
+        addUsage(workspaceUsage,
                  assumedUsageAtStart(workspace.name, workspace.limit, policy, node.spend.atStart,
                                      known, node.bootedAt, now));
     else
-        addUsage(use, assumedUsageBeforeStart(workspace.limit, policy, known, up));
-    return use;
+        addUsage(workspaceUsage, assumedUsageBeforeStart(workspace.limit, policy, known, up));
+    return workspaceUsage;
 }
 
-void addUseOf(WorkspaceUse &sum, const WorkspaceUses &uses, const std::string &workspace)
+void addUsageOf(WorkspaceUse &sum, const WorkspaceUses &usages, const std::string &workspace)
 {
-    const auto found = uses.find(workspace);
-    if (found != uses.end())
+    const auto found = usages.find(workspace);
+    if (found != usages.end())
         addUsage(sum, found->second);
 }
 
 /** What is known of all VMs, but without the use of this one. */
-FleetUsage othersUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
+FleetUsage othersUsageOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
     // A VM that was suspended must not take what it heard before for what there is now.
     dropSilent(node.reported, reporterTimeout, now);
     FleetUsage fleet;
-    addUseOf(fleet.usage, node.reported.workspaceTotal, workspace.name);
+    addUsageOf(fleet.usage, node.reported.workspaceTotal, workspace.name);
     if (isRelayLive(node, now))
-        addUseOf(fleet.usage, node.relayState.otherWorkspaces, workspace.name);
+        addUsageOf(fleet.usage, node.relayState.otherWorkspaces, workspace.name);
     fleet.reachableVms = reachableVms(node, now);
     fleet.knownVms = knownVms(node, now);
     fleet.updateAge = loadReportAge(node);
@@ -71,30 +71,30 @@
 
 FleetUsage fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
-    FleetUsage fleet = othersUseOf(node, workspace, now);
-    addUsage(fleet.usage, ownUseOf(node, workspace, now));
+    FleetUsage fleet = othersUsageOf(node, workspace, now);
+    addUsage(fleet.usage, ownUsageOf(node, workspace, now));
     return fleet;
 }
 
 namespace {
 
 /** The workspace's own priority is the same for all of its calls. */
-int rankOf(const ActiveCall &run)
+int rankOf(const ActiveCall &call)
 {
-    return run.route == nullptr ? 0 : run.route->priority;
+    return call.route == nullptr ? 0 : call.route->priority;
 }
 
-Counter refusedOf(CallClass callClass)
+Counter overLimitCounter(CallClass callClass)
 {
     const auto first = static_cast<std::size_t>(Counter::OverLimitSmall);
     return static_cast<Counter>(first + indexOf(callClass));
 }
 
-void logOverLimit(const ActiveCall &run, const Workspace &workspace, const FleetUsage &fleet,
+void logOverLimit(const ActiveCall &call, const Workspace &workspace, const FleetUsage &fleet,
                   std::int64_t units, CallClass callClass, const QuotaDecision &verdict)
 {
     logEvent(EventId::CallOverLimit,
-             {{"call", run.facts.attemptId},
+             {{"call", call.facts.attemptId},
               {"workspace", workspace.name},
               {"units", std::to_string(units)},
               {"class", std::string(textOf(callClass))},
@@ -112,80 +112,80 @@
 
 } // namespace
 
-std::optional<LocalReply> chargeQuota(ActiveCall &run)
+std::optional<LocalReply> chargeQuota(ActiveCall &call)
 {
-    GatewayNode &node = run.node;
-    const Workspace *workspace = node.routes->findWorkspace(run.workspace);
+    GatewayNode &node = call.node;
+    const Workspace *workspace = node.routes->findWorkspace(call.workspace);
     if (workspace == nullptr || !isLimited(workspace->limit))
         return std::nullopt;
-    if (workspace->limit.unit == QuotaUnit::Tokens && run.facts.tokensMalformed)
+    if (workspace->limit.unit == QuotaUnit::Tokens && call.facts.tokensMalformed)
         return makeLocalReply(400, "the call's count of tokens is no count", Duration::zero());
     const Instant now = BootClock::now();
     if (!knowsFleetSize(node, now))
         return makeLocalReply(503, "this VM does not know of the others yet", shortRetryAfter);
     const QuotaPolicy &policy = node.settings.quota;
-    const std::int64_t units = costOf(workspace->limit, run.facts.tokens);
-    UsageWindow &record = recordOf(node, workspace->name);
-    FleetUsage fleet = othersUseOf(node, *workspace, now);
-    WorkspaceUse before = ownUseOf(node, *workspace, now);
+    const std::int64_t units = costOf(workspace->limit, call.facts.tokens);
+    UsageWindow &record = usageWindowOf(node, workspace->name);
+    FleetUsage fleet = othersUsageOf(node, *workspace, now);
+    WorkspaceUse before = ownUsageOf(node, *workspace, now);
     addUsage(before, fleet.usage);
-    const CallClass callClass = classOf(before, units, rankOf(run));
+    const CallClass callClass = classOf(before, units, rankOf(call));
     recordRequested(record, policy, units, now, callClass);
-    addUsage(fleet.usage, ownUseOf(node, *workspace, now));
+    addUsage(fleet.usage, ownUsageOf(node, *workspace, now));
     const QuotaDecision verdict =
         admitCall(record, workspace->limit, policy, fleet, units, now, callClass);
     if (!verdict.admitted) {
-        logOverLimit(run, *workspace, fleet, units, callClass, verdict);
+        logOverLimit(call, *workspace, fleet, units, callClass, verdict);
         node.metrics.add(Counter::OverLimit);
-        node.metrics.add(refusedOf(callClass));
+        node.metrics.add(overLimitCounter(callClass));
         const double draw = std::uniform_real_distribution<double>(0, 1)(node.random);
         return makeLocalReply(429, "the workspace has used up its limit",
                               withJitter(verdict.retryAfter, draw));
     }
     recordUsage(record, policy, units, now);
-    run.units = units;
-    run.unitsChargedAt = now;
+    call.units = units;
+    call.unitsChargedAt = now;
     return std::nullopt;
 }
 
-void chargeQuotaAgain(ActiveCall &run)
+void chargeQuotaAgain(ActiveCall &call)
 {
-    if (run.units == 0)
+    if (call.units == 0)
         return;
-    run.unitsChargedAt = BootClock::now();
-    recordUsage(recordOf(run.node, run.workspace), run.node.settings.quota, run.units,
-                run.unitsChargedAt);
+    call.unitsChargedAt = BootClock::now();
+    recordUsage(usageWindowOf(call.node, call.workspace), call.node.settings.quota, call.units,
+                call.unitsChargedAt);
 }
 
-void refundQuota(ActiveCall &run)
+void refundQuota(ActiveCall &call)
 {
-    if (run.units == 0)
+    if (call.units == 0)
         return;
-    giveBack(recordOf(run.node, run.workspace), run.node.settings.quota, run.units,
-             run.unitsChargedAt, BootClock::now());
+    giveBack(usageWindowOf(call.node, call.workspace), call.node.settings.quota, call.units,
+             call.unitsChargedAt, BootClock::now());
 }
 
 WorkspaceUses ownWorkspaceUses(GatewayNode &node, Instant now)
 {
-    WorkspaceUses uses;
+    WorkspaceUses usages;
     for (const Workspace &workspace : node.routes->config().workspaces) {
         if (!isLimited(workspace.limit))
             continue;
-        const WorkspaceUse use = ownUseOf(node, workspace, now);
-        if (!isUnused(use))
-            uses[workspace.name] = use;
+        const WorkspaceUse workspaceUsage = ownUsageOf(node, workspace, now);
+        if (!isUnused(workspaceUsage))
+            usages[workspace.name] = workspaceUsage;
     }
-    return uses;
+    return usages;
 }
 
 WorkspaceUses zoneWorkspaceUses(GatewayNode &node, Instant now)
 {
-    WorkspaceUses uses = ownWorkspaceUses(node, now);
+    WorkspaceUses usages = ownWorkspaceUses(node, now);
     for (const auto &[reporter, report] : node.reported.reports) {
         if (!reporter.starts_with(zoneReporter))
-            addUsages(uses, report.workspaces);
+            addUsages(usages, report.workspaces);
     }
-    return uses;
+    return usages;
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/WorkspaceQuota.h
+++ b/libs/gateway/src/WorkspaceQuota.h
@@ -10,13 +10,13 @@
 /** Limits of workspaces over all VMs; see quota/Admission.h. */
 
 /** Takes what the call counts off its workspace's limit; the refusal if it does not fit. */
-std::optional<LocalReply> chargeQuota(ActiveCall &run);
+std::optional<LocalReply> chargeQuota(ActiveCall &call);
 
 /** The call is sent once more although it may have run: it counts once more. */
-void chargeQuotaAgain(ActiveCall &run);
+void chargeQuotaAgain(ActiveCall &call);
 
 /** What was taken last has not run. */
-void refundQuota(ActiveCall &run);
+void refundQuota(ActiveCall &call);
 
 /** What all VMs in touch use of a workspace. */
 FleetUsage fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now);
--- a/libs/gateway/tests/Exchanges.cpp
+++ b/libs/gateway/tests/Exchanges.cpp
@@ -9,7 +9,7 @@
 
 namespace v1 = gateway::v1;
 
-const Endpoint mateAddress{"127.0.0.2", 7000};
+const Endpoint peerAddress{"127.0.0.2", 7000};
 
 GatewaySettings ownSettings()
 {
@@ -20,19 +20,19 @@
     return settings;
 }
 
-void describeMate(std::uint64_t boot, v1::Vm &vm)
+void describePeer(std::uint64_t boot, v1::Vm &vm)
 {
     vm.set_name("vm-2");
     vm.set_zone("zone-a");
-    vm.set_address(mateAddress.address);
-    vm.set_port(mateAddress.port);
+    vm.set_address(peerAddress.address);
+    vm.set_port(peerAddress.port);
     vm.set_boot(boot);
 }
 
 v1::Report reportOf(std::uint64_t boot, std::uint64_t sequence)
 {
     v1::Report report;
-    describeMate(boot, *report.mutable_from());
+    describePeer(boot, *report.mutable_from());
     report.set_sequence(sequence);
     return report;
 }
@@ -48,8 +48,8 @@
     GatewayNode node(ownSettings());
     cr_assert(answerReport(node, reportOf(1, 500)).complete());
     v1::Digest answer;
-    describeMate(2, *answer.mutable_from());
-    applyDigest(node, mateAddress, answer, false);
+    describePeer(2, *answer.mutable_from());
+    applyDigest(node, peerAddress, answer, false);
     cr_assert(answerReport(node, reportOf(2, 1)).complete(), "taken, and answered in full");
     cr_assert(!answerReport(node, reportOf(2, 1)).complete(), "an older report tells nothing");
     cr_assert(answerReport(node, reportOf(2, 2)).complete());
--- a/libs/gateway/tests/ForwardedCalls.cpp
+++ b/libs/gateway/tests/ForwardedCalls.cpp
@@ -53,7 +53,7 @@
 }
 
 // Guards against a target that says in a VM's name that a call has not run.
-Test(forwarded_calls, a_target_cannot_set_what_a_vm_says)
+Test(forwarded_calls, a_target_cannot_set_the_headers_of_a_vm)
 {
     ResponseHead head;
     head.set("Monsoonbay-Outcome", "not-run");
@@ -69,7 +69,7 @@
 }
 
 // Guards against calls that go in a circle, or by a configuration that the other VM does not have.
-Test(forwarded_calls, a_vm_that_cannot_serve_a_call_does_not_take_it)
+Test(forwarded_calls, a_vm_that_cannot_serve_a_call_refuses_it)
 {
     GatewayNode node((GatewaySettings()));
     ForwardedCall call = someCall();
--- a/libs/gateway/tests/HarmfulWatches.cpp
+++ b/libs/gateway/tests/HarmfulWatches.cpp
@@ -37,12 +37,12 @@
     return report;
 }
 
-void endUnder(GatewayNode &node, const std::string &target, const CallIdentity &call)
+void crashUnder(GatewayNode &node, const std::string &target, const CallIdentity &call)
 {
     recordTargetEnd(node, {target, 0, {call}, BootClock::now()});
 }
 
-bool refuses(const GatewayNode &node, const CallIdentity &call)
+bool blocks(const GatewayNode &node, const CallIdentity &call)
 {
     return findHarmful(node.harmful, call) != nullptr;
 }
@@ -70,34 +70,34 @@
 // Symptom: each VM let a call end targets until it had seen three ends itself. Sequence: the caller
 // comes to another VM each time. What VMs see goes to the relay of their zone, from there to the
 // relays of other zones and to all VMs.
-Test(harmful_watch, ends_seen_by_different_vms_are_put_together_at_all)
+Test(harmful_watch, crashes_seen_by_different_vms_are_combined_at_all)
 {
     std::uint64_t sequence = 0;
     GatewayNode first(settingsOf("vm-1", "zone-a"));
     GatewayNode second(settingsOf("vm-2", "zone-a"));
     GatewayNode relay(settingsOf("vm-3", "zone-a"));
     GatewayNode farRelay(settingsOf("vm-4", "zone-b"));
-    GatewayNode farMate(settingsOf("vm-5", "zone-b"));
-    endUnder(first, "a", harmful);
-    endUnder(second, "b", harmful);
-    endUnder(farRelay, "c", harmful);
+    GatewayNode farVm(settingsOf("vm-5", "zone-b"));
+    crashUnder(first, "a", harmful);
+    crashUnder(second, "b", harmful);
+    crashUnder(farRelay, "c", harmful);
     exchange(first, relay, sequence);
     exchange(second, relay, sequence);
-    cr_assert_not(refuses(relay, harmful));
+    cr_assert_not(blocks(relay, harmful));
     exchange(farRelay, relay, sequence);
-    exchange(farMate, farRelay, sequence);
-    cr_assert(refuses(farRelay, harmful));
-    cr_assert(refuses(farMate, harmful));
+    exchange(farVm, farRelay, sequence);
+    cr_assert(blocks(farRelay, harmful));
+    cr_assert(blocks(farVm, harmful));
     exchange(relay, farRelay, sequence);
     exchange(first, relay, sequence);
     exchange(second, relay, sequence);
     for (const GatewayNode *node : {&first, &second, &relay})
-        cr_assert(refuses(*node, harmful));
+        cr_assert(blocks(*node, harmful));
 }
 
 // At size: ends seen by three VMs of different zones are known to all 300 after each VM has spoken
 // to its relay, the relays to one another, and each VM to its relay again.
-Test(harmful_watch, three_rounds_tell_three_hundred_vms)
+Test(harmful_watch, three_rounds_reach_three_hundred_vms)
 {
     constexpr int zones = 4;
     constexpr int vmsOfZone = 75;
@@ -108,29 +108,29 @@
                 "vm-" + std::to_string(zone * vmsOfZone + vm), "zone-" + std::to_string(zone))));
     }
     for (int zone = 0; zone < crashesToBlock; ++zone)
-        endUnder(*vms[zone].back(), "t" + std::to_string(zone), harmful);
+        crashUnder(*vms[zone].back(), "t" + std::to_string(zone), harmful);
     std::uint64_t sequence = 0;
-    const auto tellRelays = [&] {
+    const auto reportToRelays = [&] {
         for (const auto &zone : vms) {
             for (std::size_t vm = 1; vm < zone.size(); ++vm)
                 exchange(*zone[vm], *zone[0], sequence);
         }
     };
-    tellRelays();
+    reportToRelays();
     for (const auto &zone : vms) {
         for (const auto &other : vms) {
             if (&zone != &other)
                 exchange(*zone[0], *other[0], sequence);
         }
     }
-    tellRelays();
+    reportToRelays();
     for (const auto &zone : vms) {
         for (const auto &vm : zone)
-            cr_assert(refuses(*vm, harmful), "%s", vm->settings.vm.c_str());
+            cr_assert(blocks(*vm, harmful), "%s", vm->settings.vm.c_str());
     }
 }
 
-Test(harmful_watch, the_same_word_heard_twice_counts_once)
+Test(harmful_watch, the_same_evidence_received_twice_counts_once)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
     CallEvidence evidence{"a", 0, {harmful}, BootClock::now()};
@@ -139,33 +139,33 @@
         evidence.at += 1s;
     }
     evaluateEvidence(node);
-    cr_assert_not(refuses(node, harmful));
+    cr_assert_not(blocks(node, harmful));
     cr_assert_eq(node.shared.evidence.all().size(), 1);
 }
 
-Test(harmful_watch, evidence_is_forgotten_after_its_time)
+Test(harmful_watch, evidence_expires)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
     for (const char *target : {"a", "b", "c"})
-        endUnder(node, target, harmful);
-    cr_assert(refuses(node, harmful));
+        crashUnder(node, target, harmful);
+    cr_assert(blocks(node, harmful));
     const Instant now = BootClock::now();
     pruneEvidence(node, now + evidenceTtl - 1s);
-    cr_assert(refuses(node, harmful));
+    cr_assert(blocks(node, harmful));
     pruneEvidence(node, now + evidenceTtl + 1s);
-    cr_assert_not(refuses(node, harmful));
+    cr_assert_not(blocks(node, harmful));
     cr_assert(node.shared.evidence.all().empty());
     cr_assert_eq(node.evidenceCalls, 0);
 }
 
 namespace {
 
-TargetEntry startOf(const std::string &id, std::int64_t born, bool leaving)
+TargetEntry entryStartedAt(const std::string &id, std::int64_t startedAt, bool leaving)
 {
     TargetEntry entry;
     entry.id = id;
     entry.service = "engines";
-    entry.startTime = born;
+    entry.startTime = startedAt;
     entry.leaving = leaving;
     return entry;
 }
@@ -178,23 +178,23 @@
 } // namespace
 
 // Targets that end without a word leave connections silent; the list tells that they ended.
-Test(harmful_watch, a_new_start_in_the_list_is_an_end_of_the_former_one)
+Test(harmful_watch, a_new_start_in_the_list_is_a_crash_of_the_former_one)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
-    for (std::int64_t born = 1; born <= crashesToBlock; ++born) {
-        applyPeerTargets(node, {startOf("a", born, false)});
+    for (std::int64_t startedAt = 1; startedAt <= crashesToBlock; ++startedAt) {
+        applyPeerTargets(node, {entryStartedAt("a", startedAt, false)});
         loseCall(node, "a");
     }
-    cr_assert_not(refuses(node, harmful));
-    applyPeerTargets(node, {startOf("a", crashesToBlock + 1, false)});
-    cr_assert(refuses(node, harmful));
+    cr_assert_not(blocks(node, harmful));
+    applyPeerTargets(node, {entryStartedAt("a", crashesToBlock + 1, false)});
+    cr_assert(blocks(node, harmful));
 }
 
-Test(harmful_watch, a_target_that_left_did_not_end_under_its_calls)
+Test(harmful_watch, a_target_that_left_did_not_crash_under_its_calls)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
-    for (std::int64_t born = 1; born <= 2 * crashesToBlock; ++born) {
-        applyPeerTargets(node, {startOf("a", born, true)});
+    for (std::int64_t startedAt = 1; startedAt <= 2 * crashesToBlock; ++startedAt) {
+        applyPeerTargets(node, {entryStartedAt("a", startedAt, true)});
         loseCall(node, "a");
         dropTargetByPeer(node, "a", true);
     }
@@ -205,16 +205,16 @@
 // targets end for other reasons.
 Test(harmful_watch, memory_is_bounded_and_a_harmful_call_is_kept_longest)
 {
-    constexpr std::size_t mostKept = 2048;
+    constexpr std::size_t maxKept = 2048;
     GatewayNode node(settingsOf("vm-1", "zone-a"));
     for (const char *target : {"a", "b", "c"})
-        endUnder(node, target, harmful);
+        crashUnder(node, target, harmful);
     const Instant now = BootClock::now();
-    for (std::uint64_t end = 0; end < 3 * mostKept; ++end)
+    for (std::uint64_t end = 0; end < 3 * maxKept; ++end)
         addReceivedEvidence(node, 1000 + end,
                             {"t" + std::to_string(end), 0, {{10000 + end, 3}}, now});
     evaluateEvidence(node);
     pruneEvidence(node, now);
-    cr_assert_leq(node.shared.evidence.all().size(), mostKept);
-    cr_assert(refuses(node, harmful));
+    cr_assert_leq(node.shared.evidence.all().size(), maxKept);
+    cr_assert(blocks(node, harmful));
 }
--- a/libs/gateway/tests/PrefillReservations.cpp
+++ b/libs/gateway/tests/PrefillReservations.cpp
@@ -26,7 +26,7 @@
     recordListed(node.targetTable, entry);
 }
 
-void orderAll(GatewayNode &node)
+void holdAllLeases(GatewayNode &node)
 {
     const Instant now = BootClock::now();
     node.heldBefore = true;
@@ -50,13 +50,13 @@
 } // namespace
 
 // Guards against a count by a VM that no longer orders the engine: two VMs would each count a part.
-Test(prefill_reservations, only_the_vm_that_orders_an_engine_counts)
+Test(prefill_reservations, only_the_lease_holder_of_an_engine_counts)
 {
     GatewayNode node(settingsOfVm());
     listEngine(node, "e1");
     cr_assert_not(handlePrefillRequest(node, requestFor("e1", 9000, 0)).holder());
     cr_assert(node.prefill.held.empty());
-    orderAll(node);
+    holdAllLeases(node);
     cr_assert_not(handlePrefillRequest(node, requestFor("unknown", 9000, 0)).holder());
     cr_assert(node.prefill.held.empty());
 }
@@ -66,7 +66,7 @@
 {
     GatewayNode node(settingsOfVm());
     listEngine(node, "e1");
-    orderAll(node);
+    holdAllLeases(node);
     const auto first = handlePrefillRequest(node, requestFor("e1", 900000, 0));
     cr_assert(first.holder());
     cr_assert(first.reserved());
@@ -80,7 +80,7 @@
 }
 
 // Guards against calls that ask where news are fresh: a hop on their way that tells them nothing.
-Test(prefill_reservations, nobody_is_asked_where_news_are_new_enough)
+Test(prefill_reservations, nobody_is_asked_where_updates_are_recent_enough)
 {
     GatewayNode node(settingsOfVm());
     Route route;
--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -35,9 +35,9 @@
 }
 
 /** A VM that knows one engine, of another VM, and calls that wait for it. */
-struct Crowd
+struct WaitingCalls
 {
-    Crowd()
+    WaitingCalls()
         : node(settingsOfVm())
     {
         this->node.routes = routesOfEngines();
@@ -57,27 +57,28 @@
     {
         this->routes.emplace_back().priority = rank;
         this->callers.emplace_back(this->node.context);
-        ActiveCall &run = this->runs.emplace_back(this->node, this->callers.back(), HttpRequest());
-        run.routes = this->node.routes;
-        run.route = &this->routes.back();
-        run.service = "engines";
-        run.facts.adapter = "m/" + std::to_string(this->runs.size());
-        run.deadline = BootClock::now() + 60s;
-        startCapacityWait(run);
+        ActiveCall &call =
+            this->calls.emplace_back(this->node, this->callers.back(), HttpRequest());
+        call.routes = this->node.routes;
+        call.route = &this->routes.back();
+        call.service = "engines";
+        call.facts.adapter = "m/" + std::to_string(this->calls.size());
+        call.deadline = BootClock::now() + 60s;
+        startCapacityWait(call);
         // Long enough for a busy machine.
-        run.capacityWait.softDeadline = run.capacityWait.deadline = BootClock::now() + 50s;
-        asio::co_spawn(this->node.context, this->waitOne(run), asio::detached);
+        call.capacityWait.softDeadline = call.capacityWait.deadline = BootClock::now() + 50s;
+        asio::co_spawn(this->node.context, this->waitOne(call), asio::detached);
         this->node.context.poll();
     }
 
-    asio::awaitable<void> waitOne(ActiveCall &run)
+    asio::awaitable<void> waitOne(ActiveCall &call)
     {
-        const ServiceSpec &spec = run.routes->config().services.front();
-        const std::optional<LocalReply> refusal = co_await waitForCapacity(run, spec);
+        const ServiceSpec &spec = call.routes->config().services.front();
+        const std::optional<LocalReply> refusal = co_await waitForCapacity(call, spec);
         if (refusal)
             this->refused.push_back(*refusal);
         else
-            this->woken.push_back(run.route->priority);
+            this->woken.push_back(call.route->priority);
     }
 
     void wake()
@@ -94,7 +95,7 @@
     std::deque<Route> routes;
     GatewayNode node;
     std::deque<boost::beast::tcp_stream> callers;
-    std::deque<ActiveCall> runs;
+    std::deque<ActiveCall> calls;
     std::vector<int> woken;
     std::vector<LocalReply> refused;
 };
@@ -104,53 +105,54 @@
 // Symptom: each news of an engine woke all calls that waited, and all but one found its slot taken.
 Test(waiting, one_free_slot_wakes_the_most_urgent_call_alone)
 {
-    Crowd crowd;
-    crowd.useSlots(2);
-    crowd.wait(1);
-    crowd.wait(0);
-    crowd.wait(2);
-    cr_assert_eq(callsWaiting(crowd.node), 3);
-    crowd.wake();
-    cr_assert(crowd.woken.empty(), "no slot is idle");
-    crowd.useSlots(1);
-    crowd.wake();
-    cr_assert_eq(crowd.woken, std::vector<int>{0});
-    crowd.node.loadsInFlight[{"e", "m/2"}] = std::make_shared<LoadInFlight>(crowd.node.context);
-    crowd.wake();
-    cr_assert_eq(crowd.woken.size(), 1, "its load takes the slot");
-    crowd.useSlots(0);
-    crowd.wake();
-    cr_assert_eq(callsWaiting(crowd.node), 1);
-    cr_assert_eq(crowd.woken.back(), 1);
+    WaitingCalls waitingCalls;
+    waitingCalls.useSlots(2);
+    waitingCalls.wait(1);
+    waitingCalls.wait(0);
+    waitingCalls.wait(2);
+    cr_assert_eq(callsWaiting(waitingCalls.node), 3);
+    waitingCalls.wake();
+    cr_assert(waitingCalls.woken.empty(), "no slot is idle");
+    waitingCalls.useSlots(1);
+    waitingCalls.wake();
+    cr_assert_eq(waitingCalls.woken, std::vector<int>{0});
+    waitingCalls.node.loadsInFlight[{"e", "m/2"}] =
+        std::make_shared<LoadInFlight>(waitingCalls.node.context);
+    waitingCalls.wake();
+    cr_assert_eq(waitingCalls.woken.size(), 1, "its load takes the slot");
+    waitingCalls.useSlots(0);
+    waitingCalls.wake();
+    cr_assert_eq(callsWaiting(waitingCalls.node), 1);
+    cr_assert_eq(waitingCalls.woken.back(), 1);
 }
 
 // Guards against a call that waits for a slot though its adapter has come by another's load.
 Test(waiting, a_call_whose_adapter_is_there_is_woken_without_a_slot)
 {
-    Crowd crowd;
-    crowd.useSlots(2);
-    crowd.wait(0);
-    crowd.wait(1);
-    runtimeOf(crowd.node, "e").resident["m/2"] = 1;
-    crowd.wake();
-    cr_assert_eq(crowd.woken, std::vector<int>{1});
+    WaitingCalls waitingCalls;
+    waitingCalls.useSlots(2);
+    waitingCalls.wait(0);
+    waitingCalls.wait(1);
+    runtimeOf(waitingCalls.node, "e").resident["m/2"] = 1;
+    waitingCalls.wake();
+    cr_assert_eq(waitingCalls.woken, std::vector<int>{1});
 }
 
 // Guards against calls that wait for an engine whose holder has told all to come later, and against
 // callers that all come back at the same moment.
-Test(waiting, no_place_in_time_is_refused_at_once_with_the_time)
+Test(waiting, no_capacity_in_time_is_refused_at_once_with_the_time)
 {
-    Crowd crowd;
-    runtimeOf(crowd.node, "e").loadMark =
+    WaitingCalls waitingCalls;
+    runtimeOf(waitingCalls.node, "e").loadMark =
         backoffAfter({DeclineReason::EngineSilent, 900ms}, BootClock::now());
-    crowd.wait(0);
-    cr_assert(crowd.refused.empty(), "it has 50 s");
-    ActiveCall &run = crowd.runs.front();
-    run.capacityWait.deadline = BootClock::now() + 20ms;
-    asio::co_spawn(crowd.node.context, crowd.waitOne(run), asio::detached);
-    crowd.node.context.poll();
-    cr_assert_eq(crowd.refused.size(), 1);
-    const LocalReply &answer = crowd.refused.front();
+    waitingCalls.wait(0);
+    cr_assert(waitingCalls.refused.empty(), "it has 50 s");
+    ActiveCall &call = waitingCalls.calls.front();
+    call.capacityWait.deadline = BootClock::now() + 20ms;
+    asio::co_spawn(waitingCalls.node.context, waitingCalls.waitOne(call), asio::detached);
+    waitingCalls.node.context.poll();
+    cr_assert_eq(waitingCalls.refused.size(), 1);
+    const LocalReply &answer = waitingCalls.refused.front();
     cr_assert_eq(answer.status, 503);
     cr_assert(answer.forecast > 20ms && answer.forecast <= 900ms);
     const Duration spread = answer.retryAfter - std::max<Duration>(answer.forecast, 300ms);
@@ -161,14 +163,14 @@
 // which would wait for its whole patience.
 Test(waiting, calls_that_can_no_longer_be_served_are_woken)
 {
-    Crowd crowd;
-    crowd.useSlots(2);
-    crowd.wait(0);
-    crowd.wait(1);
-    crowd.runs.front().callerDisconnected = true;
-    crowd.wake();
-    cr_assert_eq(callsWaiting(crowd.node), 1);
-    crowd.node.routes = std::make_shared<RouteTable>(ServingConfig());
-    crowd.wake();
-    cr_assert_eq(callsWaiting(crowd.node), 0);
+    WaitingCalls waitingCalls;
+    waitingCalls.useSlots(2);
+    waitingCalls.wait(0);
+    waitingCalls.wait(1);
+    waitingCalls.calls.front().callerDisconnected = true;
+    waitingCalls.wake();
+    cr_assert_eq(callsWaiting(waitingCalls.node), 1);
+    waitingCalls.node.routes = std::make_shared<RouteTable>(ServingConfig());
+    waitingCalls.wake();
+    cr_assert_eq(callsWaiting(waitingCalls.node), 0);
 }
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -40,18 +40,18 @@
 }
 
 /** A VM that knows of no others, and a call of "ferry" at it. */
-struct Served
+struct ServedCall
 {
-    explicit Served(std::int64_t tokens)
+    explicit ServedCall(std::int64_t tokens)
         : node(settingsOf("vm-1", "10.0.0.1"))
         , caller(this->node.context)
-        , run(this->node, this->caller, HttpRequest())
+        , call(this->node, this->caller, HttpRequest())
     {
         this->node.routes = routesOf(7);
         this->node.vmListRead = true;
-        this->run.workspace = "ferry";
-        this->run.key = digestOfKey("key-1");
-        this->run.facts.tokens = tokens;
+        this->call.workspace = "ferry";
+        this->call.key = digestOfKey("key-1");
+        this->call.facts.tokens = tokens;
         updateKeys(this->node.keys, {}, this->node.routes->config().workspaces);
     }
 
@@ -62,7 +62,7 @@
 
     GatewayNode node;
     boost::beast::tcp_stream caller;
-    ActiveCall run;
+    ActiveCall call;
 };
 
 gateway::v1::Report reportOf(GatewayNode &node, std::uint64_t sequence)
@@ -84,53 +84,54 @@
 // Guards against units that are lost with calls that have not run.
 Test(workspaces, calls_that_have_not_run_use_nothing_up)
 {
-    Served served(600);
-    cr_assert(!chargeQuota(served.run));
+    ServedCall served(600);
+    cr_assert(!chargeQuota(served.call));
     cr_assert_eq(served.used(), 600);
-    refundQuota(served.run);
+    refundQuota(served.call);
     cr_assert_eq(served.used(), 0);
 }
 
 // Guards against calls that run twice and count once.
-Test(workspaces, a_repeat_that_may_run_again_counts_again)
+Test(workspaces, a_retry_that_may_run_again_counts_again)
 {
-    Served served(600);
-    cr_assert(!chargeQuota(served.run));
-    chargeQuotaAgain(served.run);
+    ServedCall served(600);
+    cr_assert(!chargeQuota(served.call));
+    chargeQuotaAgain(served.call);
     cr_assert_eq(served.used(), 1200);
-    refundQuota(served.run);
+    refundQuota(served.call);
     cr_assert_eq(served.used(), 600, "the repeat has not run; the first send may have");
 }
 
 // Guards against a VM that has just started and takes itself for the only one.
-Test(workspaces, a_vm_that_knows_of_no_others_yet_lets_nothing_run)
+Test(workspaces, a_vm_that_knows_of_no_others_yet_admits_nothing)
 {
-    Served served(600);
+    ServedCall served(600);
     served.node.vmListRead = false;
-    const std::optional<LocalReply> refused = chargeQuota(served.run);
+    const std::optional<LocalReply> refused = chargeQuota(served.call);
     cr_assert(refused && refused->status == 503);
     cr_assert_eq(served.used(), 0);
 }
 
 // Guards against the limit many times over after a common restart: VMs that had found only each
 // other so far, in twos and threes, each took themselves for all there are.
-Test(workspaces, a_relay_that_has_just_started_does_not_tell_how_many_vms_there_are)
+Test(workspaces, a_relay_that_has_just_started_does_not_know_how_many_vms_there_are)
 {
-    Served served(600);
+    ServedCall served(600);
     served.node.vmListRead = false;
     served.node.relayState.at = BootClock::now();
     served.node.relayState.reachableVms = 2;
-    const std::optional<LocalReply> refused = chargeQuota(served.run);
+    const std::optional<LocalReply> refused = chargeQuota(served.call);
     cr_assert(refused && refused->status == 503);
     served.node.bootedAt = BootClock::now() - 10s;
-    cr_assert(!chargeQuota(served.run), "without the store, those that are heard count in the end");
+    cr_assert(!chargeQuota(served.call),
+              "without the store, those that are heard count in the end");
 }
 
 // Guards against refusing calls of all workspaces for seconds after a single VM was started anew:
 // it took itself for the only one and told the whole limit as used before its start.
-Test(workspaces, a_restarted_vm_tells_its_own_part_of_the_window_before_as_used)
+Test(workspaces, a_restarted_vm_reports_its_own_part_of_the_window_before_as_used)
 {
-    Served served(600);
+    ServedCall served(600);
     served.node.settings.firstStart = false;
     served.node.vmListRead = false;
     cr_assert_eq(served.used(), 0, "it cannot say before it knows how many there are");
@@ -146,7 +147,7 @@
 // yet were counted as ones that had used nothing, and the others let their parts run.
 Test(workspaces, a_vm_that_cannot_tell_its_use_yet_is_not_counted)
 {
-    Served served(600);
+    ServedCall served(600);
     served.node.settings.firstStart = false;
     GatewayNode asker(settingsOf("vm-2", "10.0.0.2"));
     served.node.vmListRead = false;
@@ -174,32 +175,32 @@
     cr_assert_eq(reachableVms(two, now), 2);
 }
 
-Test(workspaces, use_of_other_vms_leaves_less)
+Test(workspaces, usage_of_other_vms_leaves_less)
 {
-    Served served(600);
+    ServedCall served(600);
     GatewayNode other(settingsOf("vm-2", "10.0.0.2"));
     gateway::v1::Report report = reportOf(other, 1);
-    gateway::v1::WorkspaceUse &use = *report.add_workspaces();
-    use.set_workspace("ferry");
-    use.set_units(9800);
-    use.set_asked_per_second(1000);
+    gateway::v1::WorkspaceUse &usage = *report.add_workspaces();
+    usage.set_workspace("ferry");
+    usage.set_units(9800);
+    usage.set_asked_per_second(1000);
     const gateway::v1::Digest digest = answerReport(served.node, report);
     cr_assert_eq(digest.vms_in_touch(), 2);
-    const std::optional<LocalReply> refused = chargeQuota(served.run);
+    const std::optional<LocalReply> refused = chargeQuota(served.call);
     cr_assert(refused && refused->status == 429);
     cr_assert(refused->retryAfter > 0s);
 }
 
 // Guards against a VM that is told of its own use again and counts it twice.
-Test(workspaces, a_vm_is_told_of_what_all_others_use)
+Test(workspaces, a_vm_receives_the_usage_of_all_others)
 {
-    Served served(600);
-    cr_assert(!chargeQuota(served.run));
+    ServedCall served(600);
+    cr_assert(!chargeQuota(served.call));
     GatewayNode other(settingsOf("vm-2", "10.0.0.2"));
     gateway::v1::Report report = reportOf(other, 1);
-    gateway::v1::WorkspaceUse &use = *report.add_workspaces();
-    use.set_workspace("ferry");
-    use.set_units(50);
+    gateway::v1::WorkspaceUse &usage = *report.add_workspaces();
+    usage.set_workspace("ferry");
+    usage.set_units(50);
     const gateway::v1::Digest digest = answerReport(served.node, report);
     cr_assert_eq(digest.other_workspaces_size(), 1);
     cr_assert_eq(digest.other_workspaces(0).units(), 600);
@@ -207,63 +208,65 @@
 
 namespace {
 
-WorkspaceUse useWithClasses()
+WorkspaceUse usageWithClasses()
 {
-    WorkspaceUse use;
-    use.unitsInWindow = 7000;
-    use.requestedPerSecond = 1000;
-    use.requestedByClass = {10, 200, 0, 790};
-    use.callsInWindowByClass = {4, 3, 0, 1};
-    use.requestedInWindow = 8000;
-    return use;
+    WorkspaceUse usage;
+    usage.unitsInWindow = 7000;
+    usage.requestedPerSecond = 1000;
+    usage.requestedByClass = {10, 200, 0, 790};
+    usage.callsInWindowByClass = {4, 3, 0, 1};
+    usage.requestedInWindow = 8000;
+    return usage;
 }
 
-gateway::v1::WorkspaceUse toldOf(const WorkspaceUse &use)
+gateway::v1::WorkspaceUse sentAndReceived(const WorkspaceUse &usage)
 {
-    gateway::v1::WorkspaceUse told;
-    encodeWorkspaceUse("ferry", use, told);
+    gateway::v1::WorkspaceUse message;
+    encodeWorkspaceUse("ferry", usage, message);
     gateway::v1::WorkspaceUse arrived;
-    arrived.ParseFromString(told.SerializeAsString());
+    arrived.ParseFromString(message.SerializeAsString());
     return arrived;
 }
 
 /** `told` with one more number in a field. */
-WorkspaceUse decodedWith(gateway::v1::WorkspaceUse told, int field, std::uint64_t number)
+WorkspaceUse decodedWith(gateway::v1::WorkspaceUse message, int field, std::uint64_t number)
 {
     google::protobuf::UnknownFieldSet added;
     added.AddVarint(field, number);
     std::string wire;
     added.SerializeToString(&wire);
-    told.MergeFromString(wire);
-    return decodeWorkspaceUse(told);
+    message.MergeFromString(wire);
+    return decodeWorkspaceUse(message);
 }
 
 } // namespace
 
 // Guards against numbers that are lost under way, and against the demand of VMs of a former
 // version, which tell none by class, that is not counted at all.
-Test(workspaces, demand_arrives_as_it_was_told)
+Test(workspaces, demand_arrives_as_it_was_sent)
 {
-    cr_assert(decodeWorkspaceUse(toldOf(useWithClasses())) == useWithClasses());
-    gateway::v1::WorkspaceUse former;
-    former.set_units(7000);
-    former.set_asked_per_second(1000);
-    cr_assert(decodeWorkspaceUse(former) == WorkspaceUse({7000, 1000}));
-    cr_assert_eq(toldOf({7000, 1000}).ByteSizeLong(), former.ByteSizeLong() + 7);
+    cr_assert(decodeWorkspaceUse(sentAndReceived(usageWithClasses())) == usageWithClasses());
+    gateway::v1::WorkspaceUse older;
+    older.set_units(7000);
+    older.set_asked_per_second(1000);
+    cr_assert(decodeWorkspaceUse(older) == WorkspaceUse({7000, 1000}));
+    cr_assert_eq(sentAndReceived({7000, 1000}).ByteSizeLong(), older.ByteSizeLong() + 7);
 }
 
 // Guards against invalid numbers that reach the sums: all of the entry is then of the last class.
-Test(workspaces, invalid_demand_by_class_is_not_taken)
+Test(workspaces, invalid_demand_by_class_is_rejected)
 {
     const WorkspaceUse plain{7000, 1000};
-    const gateway::v1::WorkspaceUse told = toldOf(useWithClasses());
+    const gateway::v1::WorkspaceUse message = sentAndReceived(usageWithClasses());
     for (const int field : {4, 5, 6})
-        cr_expect(decodedWith(told, field, 1) == plain, "one number of field %d too many", field);
-    cr_expect(decodedWith(toldOf(plain), 4, 1) == plain, "one number only");
-    cr_expect(decodedWith(toldOf(plain), 6, ~0ULL) == plain, "no sensible number");
-    WorkspaceUse more = useWithClasses();
+        cr_expect(decodedWith(message, field, 1) == plain, "one number of field %d too many",
+                  field);
+    cr_expect(decodedWith(sentAndReceived(plain), 4, 1) == plain, "one number only");
+    cr_expect(decodedWith(sentAndReceived(plain), 6, ~0ULL) == plain, "no sensible number");
+    WorkspaceUse more = usageWithClasses();
     more.requestedByClass[3] = 791;
-    cr_expect(decodeWorkspaceUse(toldOf(more)) == plain, "classes are more than the whole");
+    cr_expect(decodeWorkspaceUse(sentAndReceived(more)) == plain,
+              "classes are more than the whole");
     gateway::v1::WorkspaceUse huge;
     huge.set_units(~0ULL);
     cr_expect_gt(decodeWorkspaceUse(huge).unitsInWindow, 0, "use does not turn into room");
@@ -272,7 +275,7 @@
 // Guards against a booking that is refused beside long prompts, which use the limit up.
 Test(workspaces, small_calls_run_beside_long_prompts_that_are_refused)
 {
-    Served served(900);
+    ServedCall served(900);
     served.node.random.seed(1);
     served.node.bootedAt = BootClock::now() - 10s;
     GatewayNode other(settingsOf("vm-2", "10.0.0.2"));
@@ -287,10 +290,10 @@
     answerReport(served.node, report);
     int refusedLong = 0;
     for (int round = 0; round < 6; ++round) {
-        served.run.facts.tokens = 400;
-        refusedLong += chargeQuota(served.run) ? 1 : 0;
-        served.run.facts.tokens = 5;
-        cr_assert(!chargeQuota(served.run));
+        served.call.facts.tokens = 400;
+        refusedLong += chargeQuota(served.call) ? 1 : 0;
+        served.call.facts.tokens = 5;
+        cr_assert(!chargeQuota(served.call));
     }
     cr_assert_geq(refusedLong, 4);
     cr_assert_eq(served.node.metrics.value(Counter::OverLimitRank0), refusedLong);
@@ -298,32 +301,32 @@
 }
 
 // Guards against a key that is still honoured by a send that waited while it was taken.
-Test(workspaces, a_key_is_looked_at_again_before_each_send)
+Test(workspaces, a_key_is_checked_again_before_each_attempt)
 {
-    Served served(600);
-    cr_assert(!recheckKey(served.run));
-    cr_assert_eq(priorityOf(served.run), 3);
+    ServedCall served(600);
+    cr_assert(!recheckKey(served.call));
+    cr_assert_eq(priorityOf(served.call), 3);
     updateKeys(served.node.keys, served.node.routes->config().workspaces, {});
-    const std::optional<LocalReply> taken = recheckKey(served.run);
+    const std::optional<LocalReply> taken = recheckKey(served.call);
     cr_assert(taken && taken->status == 401);
 }
 
 // Guards against a VM that was suspended, or cut off, while a key was taken.
-Test(workspaces, an_old_confirmation_stops_a_send_where_keys_are_taken_strictly)
+Test(workspaces, an_old_confirmation_stops_an_attempt_where_key_checks_are_strict)
 {
-    Served served(600);
+    ServedCall served(600);
     served.node.settings.access = {true, 5s};
     recordConfirmation(served.node.confirmations, {7, BootClock::now()});
-    cr_assert(!recheckKey(served.run));
+    cr_assert(!recheckKey(served.call));
     served.node.confirmations = Confirmations();
     recordConfirmation(served.node.confirmations, {7, BootClock::now() - 5s});
-    const std::optional<LocalReply> refused = recheckKey(served.run);
+    const std::optional<LocalReply> refused = recheckKey(served.call);
     cr_assert(refused && refused->status == 503);
 }
 
-Test(workspaces, an_answer_tells_how_old_the_knowledge_of_the_configuration_is)
+Test(workspaces, an_answer_reports_when_the_configuration_was_confirmed)
 {
-    Served served(600);
+    ServedCall served(600);
     GatewayNode other(settingsOf("vm-2", "10.0.0.2"));
     cr_assert_eq(answerReport(served.node, reportOf(other, 1)).config_confirmed_ago_ms(), 0);
     recordConfirmation(served.node.confirmations, {7, BootClock::now() - 400ms});
