--- a/libs/daemon/src/CallerRequest.cpp
+++ b/libs/daemon/src/CallerRequest.cpp
@@ -13,8 +13,8 @@
 
 using Json = nlohmann::json;
 
-constexpr std::string_view bearer = "Bearer ";
-constexpr std::int64_t longestDeadlineMs = 3'600'000;
+constexpr std::string_view bearerPrefix = "Bearer ";
+constexpr std::int64_t maxDeadlineMs = 3'600'000;
 
 CheckedRequest refuse(ErrorKind kind, const std::string &detail)
 {
@@ -27,9 +27,10 @@
 // common prefix can be learnt from how long the refusal takes.
 const Service *serviceOfToken(const Manifest &manifest, const std::string &authorization)
 {
-    if (!authorization.starts_with(bearer))
+    if (!authorization.starts_with(bearerPrefix))
         return nullptr;
-    const std::string digest = sha256Hex(std::string_view(authorization).substr(bearer.size()));
+    const std::string digest =
+        sha256Hex(std::string_view(authorization).substr(bearerPrefix.size()));
     const Service *found = nullptr;
     for (const Service &service : manifest.head.services) {
         if (equalInConstantTime(service.tokenSha256, digest))
@@ -47,7 +48,7 @@
         return value;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     valid = error == std::errc() && end == text.data() + text.size() && value > 0
-        && value <= longestDeadlineMs;
+        && value <= maxDeadlineMs;
     return value;
 }
 
--- a/libs/daemon/src/Coordinator.cpp
+++ b/libs/daemon/src/Coordinator.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr std::uint64_t permitKey = 0x70657266;
-constexpr Duration tickEvery = std::chrono::milliseconds(50);
-constexpr Duration repeatWantsEvery = std::chrono::milliseconds(500);
-constexpr Duration reportDemandEvery = std::chrono::milliseconds(250);
+constexpr Duration tickInterval = std::chrono::milliseconds(50);
+constexpr Duration wantRepeatInterval = std::chrono::milliseconds(500);
+constexpr Duration demandReportInterval = std::chrono::milliseconds(250);
 
-v1::Want toNews(const WaitSummary &summary, Instant now)
+v1::Want toMessage(const WaitSummary &summary, Instant now)
 {
     v1::Want want;
     want.set_adapter(summary.adapter.value);
@@ -29,7 +29,7 @@
     return want;
 }
 
-Want fromNews(const v1::Want &news, VmId from, Instant now)
+Want fromMessage(const v1::Want &news, VmId from, Instant now)
 {
     Want want;
     want.adapter = AdapterId{news.adapter()};
@@ -49,25 +49,26 @@
 void sendWant(Node &node, VmId coordinator, const WaitSummary &summary)
 {
     const Instant now = BootClock::now();
-    const v1::Want news = toNews(summary, now);
+    const v1::Want news = toMessage(summary, now);
     if (coordinator == node.self) {
-        node.placement.with(
-            [&](PlacementState &state) { updateWant(state, fromNews(news, node.self, now), now); });
+        node.placement.with([&](PlacementState &state) {
+            updateWant(state, fromMessage(news, node.self, now), now);
+        });
         return;
     }
     postUpdates(node, coordinator, [&news](v1::PeerNews &message) { *message.add_wants() = news; });
 }
 
-void takeDemand(Node &node, const v1::Demand &demand, Instant now)
+void applyDemand(Node &node, const v1::Demand &demand, Instant now)
 {
-    constexpr int mostAtOnce = 100000;
-    const int requests = std::clamp(demand.requests(), 0, mostAtOnce);
+    constexpr int maxRequests = 100000;
+    const int requests = std::clamp(demand.requests(), 0, maxRequests);
     node.placement.with([&](PlacementState &state) {
         recordDemand(state, AdapterId{demand.adapter()}, requests, demand.hits(), now);
     });
 }
 
-void takeVerdict(Node &node, const v1::Verdict &verdict)
+void applyVerdict(Node &node, const v1::Verdict &verdict)
 {
     WaitResult end;
     end.refusal = static_cast<ErrorKind>(verdict.kind());
@@ -91,7 +92,7 @@
     return static_cast<int>(failed ? ErrorKind::LoadFailed : ErrorKind::Overloaded);
 }
 
-void takeResult(Node &node, const v1::LoadResult &result)
+void applyResult(Node &node, const v1::LoadResult &result)
 {
     node.placement.with([&](PlacementState &state) {
         recordLoadResult(state, result.permit(), outcomeOf(result.kind()), BootClock::now());
@@ -120,7 +121,7 @@
             continue;
         if (vm == node.self) {
             for (const v1::Demand &demand : report.demands())
-                takeDemand(node, demand, BootClock::now());
+                applyDemand(node, demand, BootClock::now());
             continue;
         }
         postUpdates(node, vm, [&report](v1::PeerNews &message) {
@@ -129,7 +130,7 @@
     }
 }
 
-void sendOrder(Node &node, const LoadOrder &order)
+void sendCommand(Node &node, const LoadOrder &order)
 {
     v1::LoadOrder news;
     news.set_permit(order.permit);
@@ -156,7 +157,7 @@
     news.set_kind(static_cast<int>(verdict.refusal));
     news.set_expected_wait_ms(verdict.expectedWait / std::chrono::milliseconds(1));
     if (verdict.origin == node.self) {
-        takeVerdict(node, news);
+        applyVerdict(node, news);
         return;
     }
     postUpdates(node, verdict.origin,
@@ -165,7 +166,7 @@
 
 // The owner of a target died with an order in its hands. Its successor finds out what became of the
 // load by the engine's report; the permit is free at once.
-void takeBackOrders(Node &node, const std::vector<Member> &alive)
+void releaseLostPermits(Node &node, const std::vector<Member> &alive)
 {
     const std::vector<LoadOrder> pending = node.placement.with([](const PlacementState &state) {
         std::vector<LoadOrder> orders;
@@ -225,7 +226,7 @@
     view.deputy = rendezvousOwner(permitKey, vms);
     const CoordinatorView before = coordinatorView(node);
     node.coordinator.with([&](CoordinatorView &held) { held = view; });
-    takeBackOrders(node, alive);
+    releaseLostPermits(node, alive);
     if (before.coordinator == view.coordinator)
         return;
     const auto coordinator = std::find_if(alive.begin(), alive.end(), [&](const Member &member) {
@@ -263,7 +264,7 @@
     result.set_kind(kindOf(outcome));
     const VmId coordinator = coordinatorView(node).coordinator;
     if (coordinator == node.self) {
-        takeResult(node, result);
+        applyResult(node, result);
         return;
     }
     postUpdates(node, coordinator,
@@ -274,16 +275,16 @@
 {
     const Instant now = BootClock::now();
     for (const v1::Demand &demand : news.demands())
-        takeDemand(node, demand, now);
+        applyDemand(node, demand, now);
     for (const v1::Want &want : news.wants())
         node.placement.with(
-            [&](PlacementState &state) { updateWant(state, fromNews(want, from, now), now); });
+            [&](PlacementState &state) { updateWant(state, fromMessage(want, from, now), now); });
     for (const v1::Verdict &verdict : news.verdicts())
-        takeVerdict(node, verdict);
+        applyVerdict(node, verdict);
     for (const v1::LoadOrder &order : news.orders())
         executeLoad(node, order);
     for (const v1::LoadResult &result : news.results())
-        takeResult(node, result);
+        applyResult(node, result);
     if (news.wants_size() > 0 || news.results_size() > 0)
         coordinate(node);
 }
@@ -330,7 +331,7 @@
     const PlacementActions actions =
         node.placement.with([](PlacementState &state) { return decide(state, BootClock::now()); });
     for (const LoadOrder &order : actions.orders)
-        sendOrder(node, order);
+        sendCommand(node, order);
     for (const WantVerdict &verdict : actions.verdicts)
         sendVerdict(node, verdict);
 }
@@ -344,16 +345,16 @@
         refreshConfig(node);
         if (now >= demandAt) {
             sendDemand(node);
-            demandAt = now + reportDemandEvery;
+            demandAt = now + demandReportInterval;
         }
         if (now >= wantsAt) {
             const VmId coordinator = coordinatorView(node).coordinator;
             for (const WaitSummary &summary : node.waiters.summaries())
                 sendWant(node, coordinator, summary);
-            wantsAt = now + repeatWantsEvery;
+            wantsAt = now + wantRepeatInterval;
         }
         coordinate(node);
-        co_await pause(tickEvery);
+        co_await pause(tickInterval);
     }
 }
 
--- a/libs/daemon/src/Daemon.cpp
+++ b/libs/daemon/src/Daemon.cpp
@@ -22,10 +22,10 @@
 
 namespace {
 
-constexpr auto pollEvery = std::chrono::milliseconds(20);
+constexpr auto pollInterval = std::chrono::milliseconds(20);
 /** Time for the goodbyes to reach the peers after the last request has ended. */
-constexpr auto farewell = std::chrono::milliseconds(300);
-constexpr auto threadsEnd = std::chrono::milliseconds(100);
+constexpr auto leaveDelay = std::chrono::milliseconds(300);
+constexpr auto drainDelay = std::chrono::milliseconds(100);
 
 PeerHandlers peerHandlers(Node &node)
 {
@@ -88,7 +88,7 @@
         this->node.stopped = true;
         this->callers->stopAccepting();
         this->operators->stopAccepting();
-        std::this_thread::sleep_for(threadsEnd);
+        std::this_thread::sleep_for(drainDelay);
         this->node.context.stop();
         for (std::thread &thread : this->threads)
             thread.join();
@@ -107,7 +107,7 @@
     std::unique_ptr<HttpServer> callers;
     std::unique_ptr<HttpServer> operators;
     std::vector<std::thread> threads;
-    std::atomic<int> shutdownsAsked{0};
+    std::atomic<int> shutdownRequests{0};
 };
 
 Daemon::Daemon(const Settings &settings)
@@ -138,7 +138,7 @@
 
 void Daemon::requestShutdown()
 {
-    if (++this->impl->shutdownsAsked > 1)
+    if (++this->impl->shutdownRequests > 1)
         return;
     Node &node = this->impl->node;
     node.shuttingDown = true;
@@ -153,23 +153,23 @@
 ShutdownReport Daemon::wait()
 {
     Node &node = this->impl->node;
-    while (this->impl->shutdownsAsked == 0)
-        std::this_thread::sleep_for(pollEvery);
-    const auto bound =
+    while (this->impl->shutdownRequests == 0)
+        std::this_thread::sleep_for(pollInterval);
+    const auto limit =
         std::chrono::steady_clock::now() + std::chrono::seconds(node.settings.shutdownSeconds);
     const auto mayWait = [&] {
-        return this->impl->shutdownsAsked == 1 && std::chrono::steady_clock::now() < bound;
+        return this->impl->shutdownRequests == 1 && std::chrono::steady_clock::now() < limit;
     };
-    std::this_thread::sleep_for(farewell);
+    std::this_thread::sleep_for(leaveDelay);
     while (this->impl->inFlight() > 0 && mayWait())
-        std::this_thread::sleep_for(pollEvery);
+        std::this_thread::sleep_for(pollInterval);
     ShutdownReport report;
     report.abortedRequests = this->impl->inFlight();
     if (report.abortedRequests > 0)
         logEvent(EventId::ShutdownCut, {{"requests", std::to_string(report.abortedRequests)}});
     else
         logEvent(EventId::ShutdownDone, {});
-    std::this_thread::sleep_for(farewell);
+    std::this_thread::sleep_for(leaveDelay);
     this->impl->stopThreads();
     return report;
 }
--- a/libs/daemon/src/Ingress.cpp
+++ b/libs/daemon/src/Ingress.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr std::size_t keptBodyBytes = 64 * 1024;
-constexpr Duration askAgainEvery = std::chrono::milliseconds(200);
+constexpr Duration recheckInterval = std::chrono::milliseconds(200);
 
 /** One request on its way; lives on the connection's strand. */
 struct RequestRun
@@ -77,7 +77,7 @@
 }
 
 /** Takes one event of an attempt; false if the caller is gone. */
-asio::awaitable<bool> takeEvent(RequestRun &run, std::uint32_t attempt, const v1::RunEvent &event)
+asio::awaitable<bool> handleEvent(RequestRun &run, std::uint32_t attempt, const v1::RunEvent &event)
 {
     if (event.has_end()) {
         run.lastEnd.attempt = attempt;
@@ -109,7 +109,7 @@
 
     asio::awaitable<bool> write(const v1::RunEvent &event) override
     {
-        return takeEvent(this->run, this->attempt, event);
+        return handleEvent(this->run, this->attempt, event);
     }
 
     bool gone() const override
@@ -172,7 +172,7 @@
         open = co_await remote->read(event);
         if (!open)
             break;
-        const bool more = co_await takeEvent(run, attempt, event);
+        const bool more = co_await handleEvent(run, attempt, event);
         if (!more || event.has_end())
             break;
     }
@@ -211,7 +211,7 @@
     WaitResult end;
     end.refusal = ErrorKind::DeadlinePassed;
     while (!run.callerGone) {
-        const Instant until = std::min(run.request.deadline, BootClock::now() + askAgainEvery);
+        const Instant until = std::min(run.request.deadline, BootClock::now() + recheckInterval);
         const bool woken = co_await waitFor(waiter, until);
         if (woken) {
             end = waiter->end;
@@ -274,7 +274,7 @@
     return TargetRoute{before.target, owner.value == 0 ? before.owner : owner};
 }
 
-RequestStep judgeEnd(RequestRun &run)
+RequestStep nextStep(RequestRun &run)
 {
     const Instant now = BootClock::now();
     return run.node.retries.with(
@@ -322,7 +322,7 @@
             route = *found.route;
         }
         co_await attemptAt(run, route, resume);
-        step = judgeEnd(run);
+        step = nextStep(run);
         countStep(node, step, route, adapter);
     }
     co_return step;
@@ -331,20 +331,20 @@
 std::optional<TargetInfo> plainTarget(Node &node, const std::string &service)
 {
     const std::shared_ptr<const TargetMap> map = targetsOf(node);
-    std::vector<const TargetInfo *> fits;
+    std::vector<const TargetInfo *> candidates;
     for (const auto &[id, info] : map->targets) {
         if (info.declaration.plainService == service && !info.leaving)
-            fits.push_back(&info);
+            candidates.push_back(&info);
     }
-    if (fits.empty())
+    if (candidates.empty())
         return std::nullopt;
-    const bool inZone = std::any_of(fits.begin(), fits.end(), [&](const TargetInfo *info) {
-        return info->zone == node.settings.zone;
-    });
+    const bool inZone =
+        std::any_of(candidates.begin(), candidates.end(),
+                    [&](const TargetInfo *info) { return info->zone == node.settings.zone; });
     if (inZone)
-        std::erase_if(fits,
+        std::erase_if(candidates,
                       [&](const TargetInfo *info) { return info->zone != node.settings.zone; });
-    return *fits[node.nextRequest.load() % fits.size()];
+    return *candidates[node.nextRequest.load() % candidates.size()];
 }
 
 asio::awaitable<void> attemptPlain(RequestRun &run, const TargetInfo &info, HttpResult &result)
@@ -385,7 +385,7 @@
             break;
         }
         co_await attemptPlain(run, *info, result);
-        step = judgeEnd(run);
+        step = nextStep(run);
     }
     co_return step;
 }
@@ -418,7 +418,7 @@
     run.node.spans.add(std::move(span));
 }
 
-void countEnding(RequestRun &run, const RequestStep &step)
+void recordEnd(RequestRun &run, const RequestStep &step)
 {
     Metrics &metrics = run.node.metrics;
     if (run.request.isModel()) {
@@ -493,7 +493,7 @@
         whole.contentType = plain.contentType;
         whole.body = plain.body;
     }
-    countEnding(run, step);
+    recordEnd(run, step);
     endSpan(run, std::move(span), step);
     if (!run.request.idempotencyKey.empty()) {
         StoredAnswer kept{step.kind, whole.status, whole.contentType, whole.body, true};
--- a/libs/daemon/src/KeyClient.cpp
+++ b/libs/daemon/src/KeyClient.cpp
@@ -41,13 +41,13 @@
     co_return result;
 }
 
-KeyReply fromNews(const v1::RecordReply &news)
+KeyReply fromMessage(const v1::RecordReply &message)
 {
     KeyReply reply;
-    reply.state = static_cast<KeyState>(news.state());
-    reply.knows = news.knows();
-    reply.answer = StoredAnswer{static_cast<ErrorKind>(news.kind()), news.status(),
-                                news.content_type(), news.answer(), news.body_kept()};
+    reply.state = static_cast<KeyState>(message.state());
+    reply.knows = message.knows();
+    reply.answer = StoredAnswer{static_cast<ErrorKind>(message.kind()), message.status(),
+                                message.content_type(), message.answer(), message.body_kept()};
     return reply;
 }
 
@@ -66,7 +66,7 @@
             co_await askHolder(node, holder, std::move(record));
         if (!result.ok)
             continue;
-        replies.push_back(fromNews(result.reply));
+        replies.push_back(fromMessage(result.reply));
         if (replies.back().state == KeyState::Done)
             outcome.answer = replies.back().answer;
         if (replies.back().state != KeyState::Reserved)
--- a/libs/daemon/src/ManifestReader.cpp
+++ b/libs/daemon/src/ManifestReader.cpp
@@ -17,10 +17,10 @@
 constexpr int longPollMs = 300;
 constexpr Duration readTimeout = std::chrono::seconds(10);
 constexpr Duration retryPause = std::chrono::milliseconds(200);
-constexpr Duration vmListEvery = std::chrono::milliseconds(500);
+constexpr Duration vmListInterval = std::chrono::milliseconds(500);
 constexpr Duration fetchTimeout = std::chrono::seconds(5);
-constexpr std::size_t keptRecords = 2000;
-constexpr std::size_t keptVerdicts = 200;
+constexpr std::size_t maxRecords = 2000;
+constexpr std::size_t maxVerdicts = 200;
 constexpr std::uint64_t recordsPerSnapshot = 500;
 
 std::string problemsText(const JudgedRecord &judged)
@@ -35,7 +35,7 @@
     return text;
 }
 
-void putInForce(Node &node, const AcceptedManifest &state)
+void activate(Node &node, const AcceptedManifest &state)
 {
     auto manifest = std::make_shared<const Manifest>(state.manifest);
     const bool firstOne = node.manifestOffset == 0 && state.mark.offset != 0;
@@ -46,7 +46,7 @@
         logEvent(EventId::Ready, {{"offset", std::to_string(state.mark.offset)}});
 }
 
-void report(const JudgedRecord &judged)
+void logVerdict(const JudgedRecord &judged)
 {
     if (judged.verdict == RecordVerdict::Accepted) {
         logEvent(EventId::ManifestAccepted,
@@ -62,16 +62,16 @@
                   {"problems", problemsText(judged)}});
 }
 
-void keep(Node &node, const ManifestRecord &record, const JudgedRecord &judged)
+void addToHistory(Node &node, const ManifestRecord &record, const JudgedRecord &judged)
 {
     node.history.with([&](ManifestHistory &history) {
         history.records.push_back(record);
-        if (history.records.size() > keptRecords) {
+        if (history.records.size() > maxRecords) {
             history.completeAfter = history.records.front().offset;
             history.records.pop_front();
         }
         history.judged.push_back(judged);
-        if (history.judged.size() > keptVerdicts)
+        if (history.judged.size() > maxVerdicts)
             history.judged.pop_front();
         if (judged.verdict == RecordVerdict::Snapshot)
             history.lastSnapshotAt = record.offset;
@@ -80,7 +80,7 @@
 
 // Judging and putting in force happen under the lock of the accepted state's order: records come
 // from the log loop and from peers' fetches, and an older state must not be put over a newer one.
-void takeRecord(Node &node, const ManifestRecord &record)
+void applyManifestRecord(Node &node, const ManifestRecord &record)
 {
     JudgedRecord judged;
     AcceptedManifest state;
@@ -90,15 +90,15 @@
     });
     if (judged.verdict == RecordVerdict::Old)
         return;
-    keep(node, record, judged);
-    report(judged);
+    addToHistory(node, record, judged);
+    logVerdict(judged);
     const bool changed = judged.verdict == RecordVerdict::Accepted
         || (judged.verdict == RecordVerdict::Snapshot && state.mark.offset > node.manifestOffset);
     if (changed && state.mark.offset > node.manifestOffset)
-        putInForce(node, state);
+        activate(node, state);
 }
 
-void takeClaimRecord(Node &node, std::uint64_t offset, const std::string &body)
+void applyClaimRecord(Node &node, std::uint64_t offset, const std::string &body)
 {
     const Json claim = Json::parse(body, nullptr, false);
     const bool valid = claim.is_object() && claim.contains("vm") && claim["vm"].is_number_unsigned()
@@ -117,7 +117,7 @@
     });
 }
 
-void takeOperationRecord(Node &node, const std::string &body)
+void applyOperationRecord(Node &node, const std::string &body)
 {
     const Json operation = Json::parse(body, nullptr, false);
     const bool valid =
@@ -135,7 +135,7 @@
     refreshTargets(node);
 }
 
-void takeLogRecord(Node &node, const Json &record)
+void applyLogRecord(Node &node, const Json &record)
 {
     const bool valid = record.is_object() && record.contains("offset") && record.contains("stream")
         && record.contains("body") && record["body"].is_string();
@@ -145,11 +145,11 @@
     const std::string stream = record["stream"];
     const std::string body = record["body"];
     if (stream == "manifest")
-        takeRecord(node, ManifestRecord{offset, body});
+        applyManifestRecord(node, ManifestRecord{offset, body});
     else if (stream == "claims")
-        takeClaimRecord(node, offset, body);
+        applyClaimRecord(node, offset, body);
     else if (stream == "operations")
-        takeOperationRecord(node, body);
+        applyOperationRecord(node, body);
 }
 
 void setLogUp(Node &node, bool up)
@@ -162,7 +162,7 @@
 
 // Records between what we read and what is retained are lost to us: among them may be accepted
 // manifests. What is in force stays so, but later deltas cannot be judged before a snapshot.
-void noteGap(Node &node, std::uint64_t position, std::uint64_t first)
+void handleGap(Node &node, std::uint64_t position, std::uint64_t first)
 {
     node.manifest.with([&](AcceptedManifest &state) {
         noteLogStart(state, first);
@@ -185,10 +185,10 @@
     const std::uint64_t last =
         node.history.with([](const ManifestHistory &history) { return history.lastSnapshotAt; });
     const std::uint64_t middle = first + (next - first) / 2;
-    const std::uint64_t base = std::max(last, state.mark.offset == 0 ? 0 : first);
-    const bool many = next > base + recordsPerSnapshot;
-    const bool endangered = first > 1 && last < middle;
-    if (state.mark.offset == 0 || !state.based || !(many || endangered))
+    const std::uint64_t countedFrom = std::max(last, state.mark.offset == 0 ? 0 : first);
+    const bool manyRecords = next > countedFrom + recordsPerSnapshot;
+    const bool nearRetention = first > 1 && last < middle;
+    if (state.mark.offset == 0 || !state.based || !(manyRecords || nearRetention))
         co_return;
     const std::uint64_t offset = co_await appendToLog(node, "manifest", writeSnapshot(state));
     if (offset != 0)
@@ -209,7 +209,7 @@
     if (!result.ok)
         co_return;
     for (const v1::ManifestRecord &record : result.reply.records())
-        takeRecord(node, ManifestRecord{record.offset(), record.body()});
+        applyManifestRecord(node, ManifestRecord{record.offset(), record.body()});
     if (result.reply.snapshot().empty())
         co_return;
     AcceptedManifest state;
@@ -226,7 +226,7 @@
     });
     logEvent(EventId::ManifestFromPeer, {{"offset", std::to_string(state.mark.offset)}});
     if (state.mark.offset > node.manifestOffset)
-        putInForce(node, state);
+        activate(node, state);
 }
 
 std::vector<ListedVm> readVmList(const Json &list)
@@ -247,7 +247,7 @@
     return vms;
 }
 
-void takeVmList(Node &node, const std::vector<ListedVm> &vms)
+void applyVmList(Node &node, const std::vector<ListedVm> &vms)
 {
     const Instant now = BootClock::now();
     for (const ListedVm &vm : vms) {
@@ -318,11 +318,11 @@
         const std::uint64_t first = reply["first"];
         const std::uint64_t next = reply["next"];
         position = std::max(position, std::uint64_t{1});
-        noteGap(node, position, first);
+        handleGap(node, position, first);
         const bool wasBased =
             node.manifest.with([](const AcceptedManifest &state) { return state.based; });
         for (const Json &record : reply["records"]) {
-            takeLogRecord(node, record);
+            applyLogRecord(node, record);
             position = std::max(position, record.value("offset", position) + 1);
         }
         // What was skipped for want of a base is read again once a snapshot gave one.
@@ -349,11 +349,11 @@
         const Json list = result.ok() ? Json::parse(result.body, nullptr, false) : Json();
         const bool readable = list.is_array();
         if (readable)
-            takeVmList(node, readVmList(list));
+            applyVmList(node, readVmList(list));
         if (!readable && readableBefore)
             logEvent(EventId::VmListUnreadable, {{"vmList", node.settings.vmList.text()}});
         readableBefore = readable;
-        co_await pause(vmListEvery);
+        co_await pause(vmListInterval);
     }
 }
 
--- a/libs/daemon/src/OwnerLoop.cpp
+++ b/libs/daemon/src/OwnerLoop.cpp
@@ -17,14 +17,14 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration tickEvery = std::chrono::milliseconds(50);
-constexpr Duration orderTimeout = std::chrono::milliseconds(1000);
+constexpr Duration tickInterval = std::chrono::milliseconds(50);
+constexpr Duration commandTimeout = std::chrono::milliseconds(1000);
 constexpr Duration loadTimeout = std::chrono::seconds(55);
 constexpr Duration appendTimeout = std::chrono::milliseconds(500);
-constexpr Duration reachEvery = std::chrono::milliseconds(500);
-constexpr Duration tellLoadEvery = std::chrono::milliseconds(300);
+constexpr Duration probeInterval = std::chrono::milliseconds(500);
+constexpr Duration loadReportInterval = std::chrono::milliseconds(300);
 /** Shorter than a lease: whoever answers us within one knows our claims. */
-constexpr Duration repeatEvery = std::chrono::seconds(1);
+constexpr Duration statusRepeatInterval = std::chrono::seconds(1);
 
 std::string targetName(const Node &node, TargetId target)
 {
@@ -33,8 +33,8 @@
 }
 
 /** One order to an engine, with the fencing token of the claim it is given under. */
-HttpCall orderCall(const FencingToken &token, const std::string &order, const std::string &adapter,
-                   const std::string &evict)
+HttpCall commandCall(const FencingToken &token, const std::string &order,
+                     const std::string &adapter, const std::string &evict)
 {
     Json body{{"token", token.offset}, {"local", token.local}, {"order", order}};
     if (!adapter.empty())
@@ -99,7 +99,7 @@
     });
 }
 
-void noteLost(Node &node, TargetId target)
+void recordLost(Node &node, TargetId target)
 {
     logEvent(EventId::TargetLost, {{"target", targetName(node, target)}});
     forgetSlots(node, target);
@@ -111,7 +111,7 @@
     return json.is_object() ? json.value("token", std::uint64_t{0}) : 0;
 }
 
-void takeRefusal(Node &node, TargetId target, const std::string &body)
+void applyRefusal(Node &node, TargetId target, const std::string &body)
 {
     logEvent(EventId::StaleOrderRefused, {{"target", targetName(node, target)}});
     const FencingToken higher{higherToken(body), ~std::uint64_t{0} >> 1U};
@@ -130,19 +130,19 @@
     if (!info)
         co_return;
     const Instant askedAt = BootClock::now();
-    HttpCall call = orderCall(claim.token, "claim", "", "");
+    HttpCall call = commandCall(claim.token, "claim", "", "");
     node.metrics.add(Counter::EngineCalls);
     const HttpResult result =
-        co_await node.http.call(info->endpoint, std::move(call), orderTimeout);
+        co_await node.http.call(info->endpoint, std::move(call), commandTimeout);
     if (result.error)
         co_return;
     if (result.status == 409) {
-        takeRefusal(node, claim.target, result.body);
+        applyRefusal(node, claim.target, result.body);
         co_return;
     }
     if (!result.ok())
         co_return;
-    const bool began = node.ownership.with([&](OwnershipState &state) {
+    const bool claimed = node.ownership.with([&](OwnershipState &state) {
         const TargetClaim *before = findClaim(state, claim.target);
         const bool confirming = before != nullptr && before->phase == ClaimPhase::Confirming;
         recordEngineAccepted(state, claim.target, claim.token, askedAt, BootClock::now());
@@ -150,13 +150,13 @@
         const TargetClaim *after = findClaim(state, claim.target);
         return confirming && after != nullptr && after->phase == ClaimPhase::Owner;
     });
-    if (began)
+    if (claimed)
         logEvent(EventId::TargetClaimed,
                  {{"target", info->declaration.name},
                   {"token", std::to_string(claim.token.offset)},
                   {"local", std::to_string(claim.token.local)}});
     applyEngineReport(node, claim.target, result.body, askedAt);
-    if (began)
+    if (claimed)
         reportTarget(node, claim.target);
 }
 
@@ -179,23 +179,23 @@
         offset = reply.is_object() ? reply.value("offset", std::uint64_t{0}) : 0;
     }
     const Instant now = BootClock::now();
-    std::vector<TargetId> began;
+    std::vector<TargetId> claimed;
     node.ownership.with([&](OwnershipState &state) {
         finishAppend(state, targets, offset, now);
         for (const TargetId target : targets) {
             const TargetClaim *claim = findClaim(state, target);
             if (claim != nullptr && claim->phase == ClaimPhase::Owner)
-                began.push_back(target);
+                claimed.push_back(target);
         }
     });
-    for (const TargetId target : began) {
+    for (const TargetId target : claimed) {
         logEvent(EventId::TargetClaimed,
                  {{"target", targetName(node, target)}, {"token", std::to_string(offset)}});
         reportTarget(node, target);
     }
 }
 
-asio::awaitable<void> reach(Node &node, TargetId target)
+asio::awaitable<void> probeTarget(Node &node, TargetId target)
 {
     const std::optional<TargetInfo> info = findTarget(node, target);
     if (!info)
@@ -204,7 +204,7 @@
     call.path = "/v1/status";
     node.metrics.add(Counter::EngineCalls);
     const HttpResult result =
-        co_await node.http.call(info->endpoint, std::move(call), orderTimeout);
+        co_await node.http.call(info->endpoint, std::move(call), commandTimeout);
     if (result.ok())
         node.ownership.with(
             [&](OwnershipState &state) { noteReachable(state, target, BootClock::now()); });
@@ -247,12 +247,12 @@
         EventId::LoadOrdered,
         {{"target", info->declaration.name}, {"adapter", entry->ref.text()}, {"evict", evicted}});
     reportTarget(node, target);
-    HttpCall call = orderCall(token, "load", entry->ref.text(), evicted);
+    HttpCall call = commandCall(token, "load", entry->ref.text(), evicted);
     const HttpResult result = co_await node.http.call(info->endpoint, std::move(call), loadTimeout);
     const bool stale = !result.error && result.status == 409;
     engine->table.with([&](SlotTable &table) { endLoad(table, result.ok(), BootClock::now()); });
     if (stale && result.body.find("stale-token") != std::string::npos)
-        takeRefusal(node, target, result.body);
+        applyRefusal(node, target, result.body);
     if (result.ok()) {
         node.metrics.add(Counter::LoadsDone);
         logEvent(EventId::LoadDone,
@@ -308,7 +308,7 @@
     return status;
 }
 
-v1::TargetNews toNews(const TargetStatus &status, bool released)
+v1::TargetNews toMessage(const TargetStatus &status, bool released)
 {
     v1::TargetNews news;
     news.set_target(status.target.value);
@@ -352,7 +352,7 @@
 
 // Load and pins change with every request; they are told a few times a second, and only if they
 // differ. All is repeated now and then for peers that missed a message.
-void tellLoads(Node &node)
+void reportLoads(Node &node)
 {
     std::vector<TargetId> owned;
     node.ownership.with([&](const OwnershipState &state) {
@@ -369,8 +369,8 @@
         const std::shared_ptr<OwnedEngine> engine = engineOf(node, target);
         const std::int64_t age = now - engine->statusReportedAt;
         const bool differs = contentHash(*status) != engine->reportedStatusHash;
-        const bool due = (differs && age >= Duration(tellLoadEvery).count())
-            || age >= Duration(repeatEvery).count();
+        const bool due = (differs && age >= Duration(loadReportInterval).count())
+            || age >= Duration(statusRepeatInterval).count();
         if (due)
             reportTarget(node, target);
     }
@@ -406,7 +406,7 @@
     status.owner = node.self;
     status.usable = false;
     status.version.change = ++engineOf(node, order.target)->statusRevision;
-    const v1::TargetNews news = toNews(status, true);
+    const v1::TargetNews news = toMessage(status, true);
     postToAll(node, [&news](v1::PeerNews &message) { *message.add_targets() = news; });
     node.directory.apply(status);
     forgetSlots(node, order.target);
@@ -428,7 +428,7 @@
         lost = ours && after->phase != ClaimPhase::Owner;
     });
     if (lost)
-        noteLost(node, target);
+        recordLost(node, target);
     TargetStatus status;
     status.target = target;
     status.owner = owner;
@@ -465,7 +465,7 @@
     engine->reportedStatusHash = contentHash(*status);
     engine->statusReportedAt = BootClock::now().time_since_epoch().count();
     applyStatus(node, *status);
-    const v1::TargetNews news = toNews(*status, false);
+    const v1::TargetNews news = toMessage(*status, false);
     postToAll(node, [&news](v1::PeerNews &message) { *message.add_targets() = news; });
 }
 
@@ -485,7 +485,7 @@
 
 asio::awaitable<void> ownerLoop(Node &node)
 {
-    Instant reachAt{};
+    Instant nextProbeAt{};
     while (!node.stopped) {
         const Instant now = BootClock::now();
         std::vector<TargetId> unowned;
@@ -499,13 +499,13 @@
             spawn(node, claimAtEngine(node, claim));
         for (const HandOver &order : actions.handOvers)
             handOver(node, order);
-        if (now >= reachAt && !node.shuttingDown) {
-            reachAt = now + reachEvery;
+        if (now >= nextProbeAt && !node.shuttingDown) {
+            nextProbeAt = now + probeInterval;
             for (const TargetId target : unowned)
-                spawn(node, reach(node, target));
+                spawn(node, probeTarget(node, target));
         }
-        tellLoads(node);
-        co_await pause(tickEvery);
+        reportLoads(node);
+        co_await pause(tickInterval);
     }
 }
 
--- a/libs/daemon/src/OwnerRun.cpp
+++ b/libs/daemon/src/OwnerRun.cpp
@@ -17,8 +17,8 @@
 using Json = nlohmann::json;
 
 constexpr std::string_view eventEnd = "\n\n";
-constexpr std::string_view dataMark = "data: ";
-constexpr std::string_view doneMark = "data: [DONE]";
+constexpr std::string_view dataPrefix = "data: ";
+constexpr std::string_view doneLine = "data: [DONE]";
 constexpr std::size_t maxEventBytes = 1024 * 1024;
 constexpr Duration cancelTimeout = std::chrono::seconds(2);
 
@@ -55,7 +55,7 @@
         && answer.value("model", "") == request.adapter();
 }
 
-void reportWrong(Node &node, const v1::RunRequest &request)
+void reportWrongAnswer(Node &node, const v1::RunRequest &request)
 {
     node.metrics.add(Counter::WrongAnswers);
     const std::optional<TargetInfo> info = findTarget(node, TargetId{request.target()});
@@ -86,15 +86,15 @@
              end = buffer.find(eventEnd, begin)) {
             const std::string_view event = std::string_view(buffer).substr(begin, end - begin);
             begin = end + eventEnd.size();
-            if (event == doneMark) {
+            if (event == doneLine) {
                 done = true;
                 break;
             }
-            if (!event.starts_with(dataMark))
+            if (!event.starts_with(dataPrefix))
                 continue;
-            const Json json = Json::parse(event.substr(dataMark.size()), nullptr, false);
+            const Json json = Json::parse(event.substr(dataPrefix.size()), nullptr, false);
             if (!isForRequest(json, request)) {
-                reportWrong(node, request);
+                reportWrongAnswer(node, request);
                 progress.kind = ErrorKind::WrongAnswer;
                 co_return;
             }
@@ -105,12 +105,12 @@
             }
             if (position > expected)
                 co_return;
-            v1::RunEvent told;
-            told.mutable_piece()->set_position(position);
-            told.mutable_piece()->set_data(std::string(event) + std::string(eventEnd));
+            v1::RunEvent message;
+            message.mutable_piece()->set_position(position);
+            message.mutable_piece()->set_data(std::string(event) + std::string(eventEnd));
             ++expected;
             node.metrics.add(Counter::TokensStreamed);
-            if (!co_await sink.write(told)) {
+            if (!co_await sink.write(message)) {
                 progress.kind = ErrorKind::CallerGone;
                 co_return;
             }
@@ -129,8 +129,8 @@
     logEvent(EventId::ShortAnswer, {{"request", request.request_id()}});
 }
 
-asio::awaitable<void> passWhole(Node &node, const v1::RunRequest &request, HttpClientStream &stream,
-                                RunSink &sink, RunProgress &progress)
+asio::awaitable<void> passBuffered(Node &node, const v1::RunRequest &request,
+                                   HttpClientStream &stream, RunSink &sink, RunProgress &progress)
 {
     std::string body;
     std::string piece;
@@ -146,15 +146,15 @@
     progress.ended = true;
     const Json json = Json::parse(body, nullptr, false);
     if (!isForRequest(json, request)) {
-        reportWrong(node, request);
+        reportWrongAnswer(node, request);
         progress.kind = ErrorKind::WrongAnswer;
         co_return;
     }
-    v1::RunEvent told;
-    told.mutable_piece()->set_position(0);
-    told.mutable_piece()->set_data(body);
+    v1::RunEvent message;
+    message.mutable_piece()->set_position(0);
+    message.mutable_piece()->set_data(body);
     progress.pieces = 1;
-    progress.kind = co_await sink.write(told) ? ErrorKind::Ok : ErrorKind::CallerGone;
+    progress.kind = co_await sink.write(message) ? ErrorKind::Ok : ErrorKind::CallerGone;
 }
 
 asio::awaitable<void> cancelAtEngine(Node &node, Endpoint endpoint, std::string requestId)
@@ -216,7 +216,7 @@
     if (request.stream())
         co_await passStream(node, request, *stream, *sink, progress);
     else
-        co_await passWhole(node, request, *stream, *sink, progress);
+        co_await passBuffered(node, request, *stream, *sink, progress);
     if (sink->gone())
         progress.kind = ErrorKind::CallerGone;
     co_return progress;
--- a/libs/daemon/src/PeerExchange.cpp
+++ b/libs/daemon/src/PeerExchange.cpp
@@ -19,7 +19,7 @@
 constexpr Duration newsTimeout = std::chrono::milliseconds(1000);
 constexpr int maxGossipedMembers = 64;
 
-v1::MemberNews toNews(const Member &member)
+v1::MemberNews toMessage(const Member &member)
 {
     v1::MemberNews news;
     news.set_vm(member.vm.value);
@@ -32,7 +32,7 @@
     return news;
 }
 
-Member fromNews(const v1::MemberNews &news)
+Member fromMessage(const v1::MemberNews &news)
 {
     Member member;
     member.vm = VmId{news.vm()};
@@ -51,12 +51,12 @@
     for (const v1::MemberNews &news : list) {
         if (members.size() >= maxGossipedMembers)
             break;
-        members.push_back(fromNews(news));
+        members.push_back(fromMessage(news));
     }
     return members;
 }
 
-void fillHead(Node &node, v1::PeerNews &news)
+void fillHeader(Node &node, v1::PeerNews &news)
 {
     news.set_vm(node.settings.vm);
     news.set_zone(node.settings.zone);
@@ -66,7 +66,7 @@
         return nextGossip(state);
     });
     for (const Member &member : gossip)
-        *news.add_members() = toNews(member);
+        *news.add_members() = toMessage(member);
     const ManifestMark mark =
         node.manifest.with([](const AcceptedManifest &state) { return state.mark; });
     news.set_manifest_offset(mark.offset);
@@ -77,7 +77,7 @@
     news.set_highest_local(highest.local);
 }
 
-void noteReply(Node &node, VmId peer, const v1::PeerNewsReply &reply)
+void applyReply(Node &node, VmId peer, const v1::PeerNewsReply &reply)
 {
     const std::vector<Member> gossip = membersOf(reply.members());
     const Instant now = BootClock::now();
@@ -94,14 +94,14 @@
     const std::optional<Endpoint> endpoint = peerEndpoint(node, to);
     if (!endpoint)
         co_return false;
-    fillHead(node, news);
+    fillHeader(node, news);
     node.metrics.add(Counter::PeerMessagesSent);
     node.metrics.add(Counter::PeerBytesSent, news.ByteSizeLong());
     const PeerResult<v1::PeerNewsReply> result =
         co_await node.peers.tell(*endpoint, std::move(news), timeout);
     if (!result.ok)
         co_return false;
-    noteReply(node, to, result.reply);
+    applyReply(node, to, result.reply);
     co_return true;
 }
 
@@ -150,13 +150,13 @@
     if (!endpoint)
         co_return;
     v1::PeerNews news;
-    fillHead(node, news);
+    fillHeader(node, news);
     news.set_indirect_probe(to.value);
     const PeerResult<v1::PeerNewsReply> result =
         co_await node.peers.tell(*endpoint, std::move(news), newsTimeout);
     if (!result.ok)
         co_return;
-    noteReply(node, via, result.reply);
+    applyReply(node, via, result.reply);
     node.membership.with([&](MembershipState &state) {
         recordProbeResult(state, to, result.reply.probe_answered(), BootClock::now());
     });
@@ -164,7 +164,7 @@
 
 // The zone's peers vouch for an unfenced target's lease only if every one of them answered us: one
 // that is heard through others, or that we hear but that does not hear us, knows not of our claim.
-std::optional<Instant> zonePeersHeardAt(const MembershipState &state, Instant now)
+std::optional<Instant> zonePeersAnsweredAt(const MembershipState &state, Instant now)
 {
     Instant oldest = now;
     for (const MembershipState::Known &known : state.others) {
@@ -176,15 +176,16 @@
     return oldest;
 }
 
-void tellOwnership(Node &node, const std::vector<Member> &alive, std::optional<Instant> peersHeard)
+void updateOwnership(Node &node, const std::vector<Member> &alive,
+                     std::optional<Instant> peersAnsweredAt)
 {
     std::vector<OwnerCandidate> candidates;
     for (const Member &member : alive)
         candidates.push_back(OwnerCandidate{member.vm, member.zone});
     node.ownership.with([&](OwnershipState &state) {
         setCandidates(state, candidates);
-        if (peersHeard)
-            recordZonePeersContact(state, *peersHeard);
+        if (peersAnsweredAt)
+            recordZonePeersContact(state, *peersAnsweredAt);
     });
 }
 
@@ -204,7 +205,7 @@
     }
 }
 
-void noteAliveChange(Node &node, const std::vector<Member> &alive)
+void applyAliveChange(Node &node, const std::vector<Member> &alive)
 {
     std::vector<VmId> vms;
     for (const Member &member : alive)
@@ -251,8 +252,8 @@
         noteHeard(state, from, news.incarnation(), now);
     });
     node.ownership.with([&](OwnershipState &state) {
-        const FencingToken told{news.highest_token(), news.highest_local()};
-        state.highest = std::max(state.highest, told);
+        const FencingToken peerHighest{news.highest_token(), news.highest_local()};
+        state.highest = std::max(state.highest, peerHighest);
     });
     for (const v1::TargetNews &target : news.targets())
         applyTargetStatus(node, target);
@@ -273,7 +274,7 @@
         return nextGossip(state);
     });
     for (const Member &member : answerGossip)
-        *reply.add_members() = toNews(member);
+        *reply.add_members() = toMessage(member);
     const ManifestMark mark =
         node.manifest.with([](const AcceptedManifest &state) { return state.mark; });
     reply.set_manifest_offset(mark.offset);
@@ -288,20 +289,20 @@
     while (!node.stopped) {
         const Instant now = BootClock::now();
         std::vector<Member> alive;
-        std::optional<Instant> peersHeard;
+        std::optional<Instant> peersAnsweredAt;
         const std::vector<Probe> probes = node.membership.with([&](MembershipState &state) {
             std::vector<Probe> due = tick(state, now);
             alive = aliveMembers(state);
-            peersHeard = zonePeersHeardAt(state, now);
+            peersAnsweredAt = zonePeersAnsweredAt(state, now);
             return due;
         });
-        tellOwnership(node, alive, peersHeard);
+        updateOwnership(node, alive, peersAnsweredAt);
         const bool changed = first
             || !std::equal(alive.begin(), alive.end(), before.begin(), before.end(),
                            [](const Member &a, const Member &b) { return a.vm == b.vm; });
         if (changed) {
             logChanges(before, alive);
-            noteAliveChange(node, alive);
+            applyAliveChange(node, alive);
             before = alive;
             first = false;
         }
@@ -358,9 +359,9 @@
         for (const ManifestRecord &record : history.records) {
             if (record.offset <= request.read_through())
                 continue;
-            v1::ManifestRecord *told = reply.add_records();
-            told->set_offset(record.offset);
-            told->set_body(record.body);
+            v1::ManifestRecord *added = reply.add_records();
+            added->set_offset(record.offset);
+            added->set_body(record.body);
         }
         return true;
     });
--- a/libs/daemon/src/ProblemReply.cpp
+++ b/libs/daemon/src/ProblemReply.cpp
@@ -36,8 +36,8 @@
     reply.status = httpStatusOf(problem.kind);
     reply.contentType = "application/problem+json";
     reply.body = problemJson(problem).dump(-1, ' ', false, Json::error_handler_t::replace);
-    const bool comeBack = problem.notRun && (reply.status == 503 || reply.status == 409);
-    if (comeBack || problem.retryAfter > Duration{})
+    const bool retryable = problem.notRun && (reply.status == 503 || reply.status == 409);
+    if (retryable || problem.retryAfter > Duration{})
         reply.headers.push_back({"Retry-After", retryAfterSeconds(problem.retryAfter)});
     return reply;
 }
