--- a/libs/gateway/src/ActiveCall.cpp
+++ b/libs/gateway/src/ActiveCall.cpp
@@ -34,7 +34,7 @@
 {
     if (call.forwarded)
         return call.forwarded->callerAddress;
-    boost::system::error_code ignored; // of a caller that has gone; it is told apart all the same
+    boost::system::error_code ignored; // the caller may have gone; its call still has an identity
     return call.caller.socket().remote_endpoint(ignored).address().to_string();
 }
 
@@ -77,8 +77,8 @@
         closeConnection(*call.connection);
 }
 
-// The wait may be told of bytes that were read long before, so the peek never blocks and the wait
-// goes on. A caller that has sent its next call already is not watched further: the end of its
+// The wait may end for bytes that were read long before, so the peek never blocks and the wait is
+// repeated. A caller that has already sent its next call is not watched further: the end of its
 // connection cannot be seen behind those bytes.
 void watchCaller(const ActiveCallPtr &call)
 {
@@ -106,7 +106,7 @@
 
 void setResetOnClose(ActiveCall &call, bool reset)
 {
-    boost::system::error_code ignored; // of a connection that has ended already
+    boost::system::error_code ignored; // the connection may have ended already
     call.caller.socket().set_option(asio::socket_base::linger(reset, 0), ignored);
 }
 
--- a/libs/gateway/src/ActiveCall.h
+++ b/libs/gateway/src/ActiveCall.h
@@ -16,17 +16,17 @@
 
 namespace monsoonbay {
 
-/** A caller that takes nothing of its answer for this long is given up. */
+/** Time limit of a write to a caller, which is reached if the caller does not read its answer. */
 constexpr Duration callerWriteTimeout = std::chrono::seconds(10);
 
-/** The wait of a call for a place at an engine. */
+/** The wait of a call for capacity at an engine. */
 struct CapacityWait
 {
     Instant since{};
-    Instant softDeadline{}; ///< then others go first
-    Instant deadline{}; ///< then it is refused
-    bool waited = false; ///< it has found no place at once
-    Duration forecast{}; ///< until a place was expected when it last found none; zero: not known
+    Instant softDeadline{}; ///< from then on other calls go first
+    Instant deadline{}; ///< from then on it is refused
+    bool waited = false; ///< it did not find capacity at once
+    Duration forecast{}; ///< expected wait when it last found no capacity; zero: not known
 };
 
 /** One caller's call while it is being served. */
@@ -43,43 +43,43 @@
     std::shared_ptr<const RouteTable> routes;
     const Route *route = nullptr;
     std::string service;
-    std::optional<KeyDigest> key; ///< nothing: the route needs none
-    std::string workspace; ///< that holds the key; empty: nobody's call
-    std::int64_t units = 0; ///< that the call counts against its workspace's limit
+    std::optional<KeyDigest> key; ///< nullopt: the route needs none
+    std::string workspace; ///< the key's; empty: none
+    std::int64_t units = 0; ///< charged to the workspace's limit
     Instant unitsChargedAt{};
     Instant arrivedAt;
     Instant deadline;
-    std::optional<ForwardedCall> forwarded; ///< by another VM
-    std::optional<std::string> origin; ///< version of software that began its stream
+    std::optional<ForwardedCall> forwarded; ///< set if another VM forwarded the call
+    std::optional<std::string> origin; ///< software version that began its stream
 
-    std::vector<std::string> triedTargets; ///< targets that were sent to, or could not be reached
-    int unreachableHere = 0; ///< of these, that other VMs reach
-    bool noPeerAccepts = false; ///< no other VM takes it
-    std::vector<std::string> loadDeclinedBy; ///< engines that will not load the adapter now
+    std::vector<std::string> triedTargets; ///< targets of its attempts, unreachable ones included
+    int unreachableHere = 0; ///< of these, targets that only this VM does not reach
+    bool noPeerAccepts = false; ///< no other VM accepts it
+    std::vector<std::string> loadDeclinedBy; ///< engines that did not load the adapter when asked
     CapacityWait capacityWait;
-    std::vector<std::string> prefillAsked; ///< engines whose holder was asked what waits there
-    std::string adapterMissingAt; ///< engine that lacked the adapter which it was taken to hold
-    std::vector<PromptPrefix> prefixes; ///< of its prompt, if it goes to engines
-    double cachedTokens = 0; ///< of its prompt, believed to be at the engine it was sent to last
+    std::vector<std::string> prefillAsked; ///< engines that were asked how many tokens wait there
+    std::string adapterMissingAt; ///< engine without the adapter that it was believed to hold
+    std::vector<PromptPrefix> prefixes; ///< of its prompt, if the service has engines
+    double cachedTokens = 0; ///< of its prompt, believed to be cached at its latest engine
     int attempts = 0;
-    std::optional<Instant> retryTakenAt; ///< right to a further send that is still to be used
-    Duration placementTime{}; ///< time spent on finding targets, loads included
+    std::optional<Instant> retryTakenAt; ///< a retry taken from the budget and not yet sent
+    Duration placementTime{}; ///< time spent on placement, adapter loads included
     int loads = 0; ///< adapter loads that were waited for
-    Duration forecast{}; ///< expected from the choice of the engine to the first event; zero: none
+    Duration forecast{}; ///< from the choice of the engine to the first event; zero: none
     Instant forecastAt{}; ///< when that engine was chosen
-    Instant firstPieceAt{}; ///< of the answer, towards the caller; zero: none yet
+    Instant firstPieceAt{}; ///< first piece passed to the caller; zero: none yet
     Instant lastPieceAt{};
     Duration longestGap{}; ///< between two pieces
     BodyDelimiter bodyDelimiter =
-        BodyDelimiter::SelfDelimited; ///< by the last answer of a target that ended
-    std::size_t trailingBytes = 0; ///< bytes of that answer after its last whole event
+        BodyDelimiter::SelfDelimited; ///< of the last answer read to its end
+    std::size_t trailingBytes = 0; ///< bytes of that answer after its last complete event
     bool mayHaveRun = false;
-    int runsStarted = 0; ///< that may have begun, here and at other VMs
+    int runsStarted = 0; ///< runs that may have begun, other VMs' attempts included
     bool callerDisconnected = false;
     bool timedOut = false;
     bool ended = false;
     bool answerStarted = false;
-    bool closeConnection = false; ///< the caller's connection ends with this call
+    bool closeConnection = false; ///< the caller's connection is closed after this call
     TargetConnectionPtr connection; ///< of the attempt under way; closed to cancel it
 
     bool cancelled() const noexcept
@@ -90,59 +90,63 @@
 
 using ActiveCallPtr = std::shared_ptr<ActiveCall>;
 
-/** Whether it is the same work as another call; see CallIdentity. */
+/** Equal for calls that repeat the same work; see CallIdentity. */
 CallIdentity identityOf(const ActiveCall &call);
 
-/** Where the call's own caller is; empty if it has gone. */
+/** Address of the caller, also behind a forwarding VM; the unspecified one if it has gone. */
 std::string callerAddressOf(const ActiveCall &call);
 
-/** True if the caller sent a body, if only an empty one. */
+/** True if the caller sent a body, even an empty one. */
 bool hasBody(const ActiveCall &call);
 
-/** A piece of the answer goes to the caller now. */
+/** Records the time of a piece of the answer that is passed to the caller now. */
 void recordPiece(ActiveCall &call);
 
 /** Time until the deadline, never negative. */
 Duration timeLeft(const ActiveCall &call);
 
-/** Ends what is under way for the call, whoever waits for it. */
+/** Cancels the attempt under way by closing its connection. */
 void cancelActiveCall(ActiveCall &call);
 
-/** Notices a caller that closes its connection while its call is being served. */
+/** Cancels the call if its caller closes the connection while the call is being served. */
 void watchCaller(const ActiveCallPtr &call);
 
-/** An answer of our own. `notRun` promises that the call has not run and never will. */
+/**
+ * An answer of this VM instead of a target's. `notRun` in its body promises that the call has not
+ * run and never will.
+ */
 struct LocalReply
 {
     int status = 503;
     std::string reason; ///< short, for callers and logs
     Duration retryAfter{}; ///< zero: none
-    Duration forecast{}; ///< until a place was expected; zero: not known
+    Duration forecast{}; ///< expected wait for capacity; zero: not known
 };
 
 LocalReply makeLocalReply(int status, std::string reason, Duration retryAfter);
 
-/** Answers by ourselves and logs why. */
+/** Sends an answer of this VM to the caller and logs the reason. */
 asio::awaitable<void> sendLocalReply(ActiveCall &call, LocalReply answer);
 
 /**
- * Writes a whole answer to the caller; false if the caller cannot be reached. A VM that forwarded
- * the call learns `outcome` and `end`; a caller whose answer has no end shown gets none shown.
+ * Writes a complete answer to the caller; false if the write failed. A VM that forwarded the call
+ * is told `outcome` and `end`; to a caller, an answer that only its connection delimited is
+ * delimited in the same way.
  */
 asio::awaitable<bool> writeAnswer(ActiveCall &call, HttpReply reply,
                                   ForwardOutcome outcome = ForwardOutcome::FromTarget,
                                   BodyDelimiter end = BodyDelimiter::SelfDelimited);
 
 /**
- * From now on the caller's connection is reset if it ends, whatever ends it. To be called before an
- * answer that ends with its connection: its caller would take a cut for the end.
+ * From now on any close of the caller's connection resets it. To be called before an answer that
+ * the end of the connection delimits: the caller would take a truncated one for complete.
  */
 void resetOnClose(ActiveCall &call);
 
-/** All of that answer was written: the connection may end in order. */
+/** All of that answer was written: from now on the connection is closed gracefully again. */
 void closeOrderly(ActiveCall &call);
 
-/** Cuts the answer that is being written, so that its caller sees that it was cut. */
+/** Resets the caller's connection, which shows the caller that its answer is truncated. */
 void abortAnswer(ActiveCall &call);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/BodyDelimiter.h
+++ b/libs/gateway/src/BodyDelimiter.h
@@ -5,10 +5,10 @@
 
 namespace monsoonbay {
 
-/** What shows that an answer is whole. */
+/** What delimits the body of an answer, and so whether a truncated one is noticed (RFC 9112). */
 enum class BodyDelimiter : std::uint8_t {
-    SelfDelimited, ///< it has as many bytes as its head says, or its last chunk has come
-    CloseDelimited, ///< nothing: its connection ends in order, as it also does when the sender ends
+    SelfDelimited, ///< its Content-Length or its last chunk: it is known to be complete
+    CloseDelimited, ///< the end of its connection, which looks the same when the sender exits
 };
 
 constexpr std::string_view delimiterName(BodyDelimiter end) noexcept
--- a/libs/gateway/src/CallAnswer.cpp
+++ b/libs/gateway/src/CallAnswer.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Taken off what the caller will wait, so that a target never works past the caller's patience. */
+/** Subtracted from the caller's remaining time, so that no target works past its deadline. */
 constexpr Duration deadlineMargin = std::chrono::milliseconds(10);
 
 bool isEventStream(const ResponseHead &head)
@@ -154,7 +154,7 @@
     }
     if (call.mayHaveRun) {
         last.status = call.timedOut ? 504 : 502;
-        last.reason = call.timedOut ? "the time ran out; the call may have run"
+        last.reason = call.timedOut ? "deadline exceeded; the call may have run"
                                     : "the answer was lost; the call may have run";
         last.retryAfter = Duration::zero();
     }
--- a/libs/gateway/src/CallAnswer.h
+++ b/libs/gateway/src/CallAnswer.h
@@ -8,7 +8,7 @@
 
 namespace monsoonbay {
 
-/** An answer that was read whole, to be passed on unless a better one can be had. */
+/** A target's complete error answer, sent to the caller unless a later attempt does better. */
 struct FallbackAnswer
 {
     bool present = false;
@@ -16,7 +16,7 @@
     BodyDelimiter end = BodyDelimiter::SelfDelimited;
 };
 
-/** The answer to one call, over all its sends. */
+/** The answer to one call, over all its attempts. */
 struct CallAnswer
 {
     explicit CallAnswer(ActiveCall &call)
@@ -28,27 +28,26 @@
     LocalReply refusal;
 };
 
-/** The request as it goes to a target, or to another VM. */
+/** The request to a target or to another VM: the caller's, with `facts` in its headers. */
 std::shared_ptr<HttpRequest> requestFor(const ActiveCall &call, const SendMetadata &facts);
 
-/** What a target is told beside the request, but for its id. */
+/** Metadata for the next attempt; the id of the target is left to set. */
 SendMetadata sendFactsOf(const ActiveCall &call, const CallAnswer &answer);
 
-/** The call is sent now, to a target or another VM. */
+/** Counts an attempt that is about to be sent to a target or another VM. */
 void recordAttempt(ActiveCall &call);
 
-/** Reads a whole answer; false if it broke off. */
+/** Reads a body to its end; false if it broke off. */
 asio::awaitable<bool> readFully(TargetExchange &exchange, std::string &body);
 
-/** Passes the answer on whose head has been read; `onPiece` is called for each piece of a stream.
- */
+/** Passes on the answer whose head was read; calls `onPiece` for each piece of a stream. */
 asio::awaitable<AttemptResult> passAnswer(ActiveCall &call, CallAnswer &answer,
                                           TargetExchange &exchange,
                                           const std::function<void()> &onPiece);
 
 /**
- * The last word to the caller. A stream that has begun can only be broken off, so that it does not
- * look complete; a target's own error goes through unchanged; and "not run" is said only if no
+ * Ends a call that no attempt completed. A stream that has begun is aborted, so that it does not
+ * look complete; a target's own error is passed on unchanged; and `notRun` is promised only if no
  * target may have run the call.
  */
 asio::awaitable<void> answerFailure(ActiveCall &call, CallAnswer &answer, LocalReply last);
--- a/libs/gateway/src/CallListener.cpp
+++ b/libs/gateway/src/CallListener.cpp
@@ -26,13 +26,13 @@
 constexpr auto nothrowAwaitable = asio::as_tuple(asio::use_awaitable);
 constexpr int backlog = 1024;
 
-/** Time for the body of a request, beside that for its header. */
+/** Time limit for the body of a request, in addition to that for its header. */
 constexpr Duration bodyTimeout = std::chrono::seconds(10);
 
-/** For what a refused caller still sends; long enough for some megabytes on the users' links. */
+/** Time to read what a refused caller still sends; enough for some megabytes on users' links. */
 constexpr Duration drainTimeout = std::chrono::milliseconds(1000);
 
-/** What another VM adds to the header of a call that it forwards, with long names. */
+/** Room for what another VM adds to the header of a call that it forwards, long names included. */
 constexpr std::uint32_t forwardedHeaderBytes = 2048;
 
 constexpr std::string_view expectContinue = "100-continue";
@@ -59,7 +59,7 @@
     return 400;
 }
 
-/** True if the caller can still be told what was wrong with its request. */
+/** True if the caller can still receive an answer that says what was wrong with its request. */
 bool canReceiveAnswer(beast::error_code error)
 {
     if (error == beast::error::timeout)
@@ -68,9 +68,9 @@
     return !cut && error.category() == http::make_error_code(http::error::end_of_stream).category();
 }
 
-// Closing a connection on which bytes wait to be read resets it, and the reset can overtake the
-// answer: the caller of a request that is too long would see a broken connection and not why. So
-// what it still sends is read and thrown away for a moment.
+// Closing a connection with unread bytes resets it, and the reset can overtake the answer: the
+// caller of a request that is too large would see a broken connection instead of the reason. So
+// what it still sends is read and discarded for a moment.
 asio::awaitable<void> drain(CallerConnection &connection)
 {
     boost::system::error_code ignored;
@@ -134,7 +134,7 @@
             if (error == asio::error::operation_aborted || self->stopping)
                 co_return;
             if (error) {
-                // Out of descriptors, most likely; some will be free again soon.
+                // Most likely out of file descriptors; some will soon be free again.
                 co_await pauseFor(self->node, std::chrono::milliseconds(20));
                 continue;
             }
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Reads one request into `parser`; false: the connection ends. */
+    /** Reads one request into `parser`; false if the connection ends. */
     asio::awaitable<bool> readRequest(CallerConnection &connection,
                                       http::request_parser<http::string_body> &parser)
     {
@@ -187,7 +187,7 @@
         return this->origin == ListenerKind::Peers ? forwardedHeaderBytes : 0;
     }
 
-    /** False: a forwarded call is not taken, and the other VM has been told why. */
+    /** False if a forwarded call is refused; the other VM was sent the reason. */
     asio::awaitable<bool> admit(CallerConnection &connection, const RequestHead &head)
     {
         if (this->origin == ListenerKind::Callers)
--- a/libs/gateway/src/CallListener.h
+++ b/libs/gateway/src/CallListener.h
@@ -4,13 +4,13 @@
 
 namespace monsoonbay {
 
-/** Whose calls come to an address. */
+/** Who sends the calls that arrive at an address. */
 enum class ListenerKind : std::uint8_t {
     Callers,
     Peers, ///< which forward them; see PeerForwarding.h
 };
 
-/** Takes connections and serves the calls on them. */
+/** Accepts connections and serves the calls on them. */
 class CallListener
 {
 public:
--- a/libs/gateway/src/CallServing.cpp
+++ b/libs/gateway/src/CallServing.cpp
@@ -21,10 +21,10 @@
 
 namespace {
 
-/** With less than this left a further send cannot be answered in time. */
+/** With less time left, another attempt cannot be answered in time. */
 constexpr Duration minTimeForRetry = std::chrono::milliseconds(60);
 
-/** Bounces off engines that lack the adapter after all, and targets that cannot be reached. */
+/** Bounds the targets that one call tries, unreachable ones included. */
 constexpr std::size_t maxTargetsTried = 6;
 
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
@@ -87,7 +87,7 @@
     return sharing;
 }
 
-/** The life of one call after its route is known. */
+/** Serves one call once its route is known. */
 class CallServing
 {
 public:
@@ -128,7 +128,7 @@
                 co_await answerFailure(this->call, this->answer, std::move(placement.refusal));
                 co_return;
             }
-            // Others may have learnt of it while a place was looked for.
+            // Other VMs may have sent evidence during the placement.
             const bool refusedAfterPlacement = co_await this->refuseHarmful();
             if (refusedAfterPlacement)
                 co_return;
@@ -155,14 +155,14 @@
             if (retrying)
                 continue;
             LocalReply last =
-                makeLocalReply(503, "the target did not take the call", shortRetryAfter);
+                makeLocalReply(503, "the target did not accept the call", shortRetryAfter);
             co_await answerFailure(this->call, this->answer, std::move(last));
             co_return;
         }
     }
 
 private:
-    // Sent on, such a call would end the next target, with all that it runs; true if refused.
+    // Such a call would crash the next target together with all calls there; true if refused.
     asio::awaitable<bool> refuseHarmful()
     {
         const HarmfulCall *harmful = findHarmfulCall(this->call);
@@ -175,7 +175,7 @@
         co_return true;
     }
 
-    /** True if the call is over. */
+    /** Has another VM serve the call; true if the call is over. */
     asio::awaitable<bool> sendToPeer()
     {
         const AttemptResult end = co_await forwardCall(this->call, this->answer);
@@ -215,7 +215,7 @@
                   {"identity", identityText(identityOf(this->call))}});
     }
 
-    // What may be sent again, and whether there is budget for it. A call that certainly has not
+    // Whether the call may be retried and the retry budget allows it. A call that certainly has not
     // run may always go elsewhere; one that may have run only if its route lets it run twice.
     bool canRetry(AttemptResult end)
     {
@@ -241,7 +241,7 @@
 
     asio::awaitable<AttemptResult> sendTo(const TargetEntry &target)
     {
-        // Counted from here on: the engine's holder may otherwise give the slot away meanwhile.
+        // Counted from here on; else the engine's lease holder may reassign its slot meanwhile.
         InFlightGuard inFlight(this->call, target.id);
         TargetExchange exchange(this->node, target, this->call.facts.attemptId);
         const bool connected = co_await exchange.connect();
@@ -330,7 +330,7 @@
         const AnswerMetadata &facts = exchange.facts();
         const bool otherTarget = !facts.answeredBy.empty() && facts.answeredBy != target.id;
         if (facts.misdirected && otherTarget) {
-            // The address belongs to another target now; the list will say so soon.
+            // The address belongs to another target now; the target list will soon follow.
             recordResult(this->call, target, SendOutcome::Unreachable);
             co_return;
         }
@@ -347,7 +347,7 @@
     ActiveCall &call;
     GatewayNode &node;
     CallAnswer answer;
-    boost::system::error_code sendError; ///< of the last send
+    boost::system::error_code sendError; ///< of the latest attempt
 };
 
 void startDeadline(const ActiveCallPtr &call, asio::steady_timer &timer)
@@ -362,19 +362,19 @@
     });
 }
 
-/**
- * A VM that has just started knows its configuration and targets within some 50 to 150 ms of its
- * first call, from the store or a peer. Callers that were refused until then came back after a
- * second, late: one in three of those in the first second after a loss of power.
- */
-/** A newer configuration is in force this soon after another VM has told of it, in most cases. */
+/** In most cases a newer configuration is in force this soon after another VM has reported it. */
 constexpr Duration maxNewRouteWait = std::chrono::milliseconds(600);
-constexpr double newRouteWaitShare = 0.35; ///< of what the caller will wait
-/** Callers of unknown routes must not take the memory of others. */
+constexpr double newRouteWaitShare = 0.35; ///< of the time that the caller will wait
+/** Bounds the memory that callers of unknown routes can occupy. */
 constexpr int maxRoutesAwaited = 200;
 
+/**
+ * A VM that has just started knows its configuration and targets within some 50 to 150 ms of its
+ * first call, from the store or another VM. Callers that were refused until then came back after a
+ * second, too late: one in three of those in the first second after a power loss.
+ */
 constexpr Duration maxStartWait = std::chrono::milliseconds(400);
-/** For callers of a VM that still knows nothing then: others may. */
+/** For callers of a VM that has no configuration by then: another VM may have one. */
 constexpr Duration otherVmRetryAfter = std::chrono::milliseconds(300);
 
 asio::awaitable<void> awaitStart(const ActiveCall &call)
@@ -384,7 +384,7 @@
         co_await call.node.started.wait(limit - BootClock::now());
 }
 
-/** How long the caller waits counts from when it said so: to this VM, or to one before. */
+/** The route's timeout counts from the first VM, the caller's remaining time from this one. */
 void setDeadline(ActiveCall &call)
 {
     const Instant received = call.arrivedAt;
@@ -412,8 +412,8 @@
     co_return std::nullopt;
 }
 
-// The VM that the call came to first has looked at its key, taken its units, and counts it for
-// retries and in the metrics.
+// The VM that received the call first has authenticated it and charged its quota, and counts it for
+// the retry budget and in the metrics.
 std::optional<LocalReply> acceptForwarded(ActiveCall &call)
 {
     const ForwardedCall &forwardedCall = *call.forwarded;
@@ -427,8 +427,8 @@
 }
 
 /**
- * Sets the call's route. If it has none, and another VM has a newer configuration, the call waits
- * for that: most are in force soon after they are heard of.
+ * Sets the call's route. If there is none and another VM has a newer configuration, the call waits
+ * for that: most are in force soon after they are reported.
  */
 asio::awaitable<void> findRoute(ActiveCall &call)
 {
@@ -492,7 +492,7 @@
     watchCaller(call);
     CallServing serving(*call);
     co_await serving.serve();
-    // Those of a forwarded call were taken by the VM that it came to first.
+    // A forwarded call was charged by the VM that received it first.
     if (!call->mayHaveRun && !call->forwarded)
         refundQuota(*call);
     call->ended = true;
--- a/libs/gateway/src/CallServing.h
+++ b/libs/gateway/src/CallServing.h
@@ -4,10 +4,10 @@
 
 namespace monsoonbay {
 
-/** Serves one call of a caller, from its route to the end of its answer. */
+/** Serves one call, from the choice of its route to the end of its answer. */
 asio::awaitable<void> serveCall(ActiveCallPtr call);
 
-/** The answer to a call without a route: it may have one in a newer configuration. */
+/** The answer to a call without a route: 503 if a newer configuration may have it, or 404. */
 LocalReply refusalWithoutRoute(const GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/CallerAuthentication.cpp
+++ b/libs/gateway/src/CallerAuthentication.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-/** News of a configuration take one read of the store that is under way, and one after it. */
+/** A new configuration arrives with the store read under way or with the one after it. */
 constexpr Duration maxNewKeyWait = std::chrono::milliseconds(2000);
-constexpr double newKeyTimeShare = 0.35; ///< of what the caller will wait
-/** Callers without a valid key must not take the memory of others. */
+constexpr double newKeyTimeShare = 0.35; ///< of the time that the caller will wait
+/** Bounds the memory that callers without a valid key can occupy. */
 constexpr int maxKeysAwaited = 64;
 constexpr std::size_t maxUnknownKeys = 1024;
 
-/** Another VM may be in touch. */
+/** Another VM may know the newest configuration. */
 constexpr Duration otherVmRetryAfter = std::chrono::milliseconds(300);
 constexpr Duration longRetryAfter = std::chrono::milliseconds(1000);
 
@@ -35,7 +35,8 @@
     return confirmed && *confirmed >= since;
 }
 
-// A caller goes on calling with a key that was taken; only its first call has to wait for news.
+// When the unknown key was first used here. A caller may go on calling with a revoked key; only its
+// first call has to wait for a newer configuration.
 Instant firstSeenAt(ActiveCall &call)
 {
     GatewayNode &node = call.node;
@@ -77,8 +78,7 @@
     if (workspace == nullptr && isConfirmedSince(node, seenAt))
         co_return makeLocalReply(401, "no workspace has this key", Duration::zero());
     if (workspace == nullptr)
-        co_return makeLocalReply(503, "this VM cannot tell whether the key is a new one",
-                                 longRetryAfter);
+        co_return makeLocalReply(503, "this VM cannot tell whether the key is new", longRetryAfter);
     if (!mayTrustKeysNow(node))
         co_return refuseUnconfirmedKeys();
     call.workspace = *workspace;
@@ -93,7 +93,7 @@
     if (workspace == nullptr)
         return makeLocalReply(401, "the key was taken away", Duration::zero());
     if (*workspace != call.workspace)
-        return makeLocalReply(503, "the key has gone to another workspace", otherVmRetryAfter);
+        return makeLocalReply(503, "the key now belongs to another workspace", otherVmRetryAfter);
     if (!mayTrustKeysNow(call.node))
         return refuseUnconfirmedKeys();
     return std::nullopt;
--- a/libs/gateway/src/CallerAuthentication.h
+++ b/libs/gateway/src/CallerAuthentication.h
@@ -6,21 +6,21 @@
 
 namespace monsoonbay {
 
-/** Whether a caller may call, and for which workspace. Logs name keys by a short hash only. */
+/** Authenticates callers by API key. Logs show only a short hash of a key. */
 
 /**
- * Finds the workspace that holds the call's key; the refusal if it may not call. A key that is not
- * known here may be a new one: its call waits a moment for news that would tell.
+ * Finds the workspace of the call's key; a refusal if the caller may not call. A key that is not
+ * known here may be new: the call waits a moment for a configuration that settles it.
  */
 asio::awaitable<std::optional<LocalReply>> authenticateCaller(ActiveCall &call);
 
 /**
- * The refusal of a call whose key was taken since it came, or may have been: to be asked for right
- * before each send.
+ * Refuses a call whose key was revoked since the call arrived, or may have been. To be called right
+ * before each attempt.
  */
 std::optional<LocalReply> recheckKey(const ActiveCall &call);
 
-/** Rank of the call: its workspace's, if that has one, or its route's. 0 goes first. */
+/** Priority of the call: its workspace's, if that has one, or its route's. 0 goes first. */
 int priorityOf(const ActiveCall &call);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/CallerStream.cpp
+++ b/libs/gateway/src/CallerStream.cpp
@@ -85,9 +85,9 @@
         abortAnswer(this->call);
 }
 
-// A connection that ends in order tells nothing: it ends so, too, when an engine ends with all its
-// connections. Inside an event, or before the first one, the run has certainly broken off; and an
-// answer in chunks cannot be ended by a run that shows no end.
+// A connection that is closed gracefully proves nothing: it also is when the engine exits.
+// Inside an event, or before the first one, the run was certainly cut off; and a chunked answer
+// cannot be completed by a run whose end only its connection shows.
 bool CallerStream::isUnproved(BodyDelimiter shownBy) const noexcept
 {
     if (isInsideEvent(this->events))
@@ -112,8 +112,8 @@
                                                       : AttemptResult::Unverified;
 }
 
-// The head is held back until the first event is there: until then a run that breaks off can be
-// replaced by another one, or by an honest failure.
+// The head is held back until the first event arrives: until then a run that breaks off can be
+// replaced by another one, or by an error status.
 asio::awaitable<bool> CallerStream::writeHead(const TargetExchange &exchange)
 {
     constexpr unsigned firstVersionWithChunks = 11;
--- a/libs/gateway/src/CallerStream.h
+++ b/libs/gateway/src/CallerStream.h
@@ -10,34 +10,35 @@
 
 namespace monsoonbay {
 
-/** Passes the events of one call on to its caller, over all its runs. */
+/** Passes the event stream of one call on to its caller, over all its runs. */
 class CallerStream
 {
 public:
     explicit CallerStream(ActiveCall &call);
 
-    /** True once the caller has the head of its answer: only the stream itself can go on. */
+    /** True once the head of the answer was sent: only the stream itself can go on. */
     bool started() const noexcept;
 
     /** Id of the last event that the caller has. */
     std::optional<std::uint64_t> lastId() const noexcept;
 
-    /** Bytes that came after the last whole event. */
+    /** Bytes received after the last complete event. */
     std::size_t trailingBytes() const noexcept;
 
-    /** A further run begins. */
+    /** Begins a further run; drops what was received of an incomplete event. */
     void restart();
 
-    /** Passes on the whole events in `piece`; false if the caller cannot be reached. */
+    /** Passes on the events that `piece` completes; false if the caller cannot be reached. */
     asio::awaitable<bool> pass(const TargetExchange &exchange, std::string piece);
 
     /**
-     * The run has ended, and says so. Ends the answer, unless that would promise the caller more
-     * than the run has shown: then it is Broken, and the answer can go on with a further run.
+     * The answer of the run has ended without an error. Completes the caller's answer, unless that
+     * would promise more than the run has shown: then the result is Broken, and a further run can
+     * continue the answer.
      */
     asio::awaitable<AttemptResult> finish(const TargetExchange &exchange);
 
-    /** Breaks the answer off, so that its caller sees it. */
+    /** Aborts the answer, so that its caller notices. */
     void cut();
 
 private:
@@ -49,10 +50,10 @@
     ActiveCall &call;
     EventStream events;
     bool headSent = false;
-    bool chunked = true; ///< the caller's answer; otherwise it ends with its connection
+    bool chunked = true; ///< the caller's answer; otherwise its connection delimits it
     BodyDelimiter announced =
-        BodyDelimiter::SelfDelimited; ///< by the head: what will show the answer's end
-    bool eventReceived = false; ///< of the run under way
+        BodyDelimiter::SelfDelimited; ///< what delimits the answer, by the head sent
+    bool eventReceived = false; ///< in the run under way
 };
 
 } // namespace monsoonbay
--- a/libs/gateway/src/EndToEndHeaders.cpp
+++ b/libs/gateway/src/EndToEndHeaders.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Headers that concern one connection only; everything else goes through as it is.
+// Headers that concern a single connection are dropped; all others are passed on unchanged.
 bool isPassedOn(const http::fields::value_type &header)
 {
     switch (header.name()) {
@@ -32,7 +32,7 @@
     }
 }
 
-/** Headers between two VMs begin so; they go no further. */
+/** Prefix of the headers between two VMs, which are not passed on. */
 constexpr std::string_view internalPrefix = "Monsoonbay-";
 
 bool isInternal(std::string_view name)
@@ -42,7 +42,7 @@
                           beast::string_view(internalPrefix.data(), internalPrefix.size()));
 }
 
-/** The names that a Connection header lists besides the fixed ones. */
+/** True if the Connection header lists that name as one more that is not passed on. */
 bool isNamedByConnection(std::string_view connection, std::string_view name)
 {
     return http::token_list(beast::string_view(connection.data(), connection.size()))
--- a/libs/gateway/src/EndToEndHeaders.h
+++ b/libs/gateway/src/EndToEndHeaders.h
@@ -8,7 +8,7 @@
 
 namespace monsoonbay {
 
-/** Headers that go through to the other side, in their order. */
+/** The headers that are passed on to the other side, in their order. */
 std::vector<HttpHeader> endToEndHeaders(const boost::beast::http::fields &fields);
 
 } // namespace monsoonbay
