--- a/libs/gateway/src/ClassDemandCodec.cpp
+++ b/libs/gateway/src/ClassDemandCodec.cpp
@@ -17,7 +17,7 @@
         numbers.Add(static_cast<std::uint64_t>(std::max<std::int64_t>(value, 0)));
 }
 
-/** False if there is not one sound number for each class. */
+/** False unless there is exactly one valid number for each class. */
 bool decodeNumbers(const Numbers &numbers, CountsByClass &values)
 {
     if (numbers.size() != static_cast<int>(callClassCount))
@@ -60,7 +60,7 @@
         && decodeNumbers(message.calls_by_class(), calls)
         && message.asked_in_window() <= maxReportedNumber;
     const auto inWindow = static_cast<std::int64_t>(message.asked_in_window());
-    // A call asks for one unit at least.
+    // Each call requests at least one unit.
     const bool valid =
         inRange && sumOf(asked) <= use.requestedPerSecond && inWindow >= sumOf(calls);
     if (!valid)
--- a/libs/gateway/src/ClassDemandCodec.h
+++ b/libs/gateway/src/ClassDemandCodec.h
@@ -5,16 +5,17 @@
 
 namespace monsoonbay {
 
-/** Demand by class of calls in the news; the fields 4 to 6 of the message WorkspaceUse. */
+/** Demand by call class in state updates: fields 4 to 6 of the message WorkspaceUse. */
 
-/** A number beyond this is taken for damaged; sums of many such numbers stay exact. */
+/** Larger numbers are rejected as corrupt; sums of many numbers up to this stay exact. */
 constexpr std::uint64_t maxReportedNumber = 1'000'000'000'000'000;
 
 void encodeClassDemand(const WorkspaceUse &use, gateway::v1::WorkspaceUse &message);
 
 /**
- * Sets the demand by class of `use`. If it is invalid it stays empty and the result is false: all
- * that `told` asks for counts towards the last class. A former version tells none, which is valid.
+ * Sets the demand by class of `use`. Invalid demand leaves it empty and returns false: all that
+ * `message` requests then counts towards the last class. An older version sends none, which is
+ * valid.
  */
 bool decodeClassDemand(const gateway::v1::WorkspaceUse &message, WorkspaceUse &use);
 
--- a/libs/gateway/src/ForwardedCall.cpp
+++ b/libs/gateway/src/ForwardedCall.cpp
@@ -92,7 +92,7 @@
         json["key"] = call.key->words;
     if (call.origin)
         json["origin"] = *call.origin;
-    // A header holds ASCII alone.
+    // A header value must be ASCII; all else is escaped.
     head.set(callHeader, json.dump(-1, ' ', true));
 }
 
--- a/libs/gateway/src/ForwardedCall.h
+++ b/libs/gateway/src/ForwardedCall.h
@@ -10,36 +10,36 @@
 
 namespace monsoonbay {
 
-/** What a VM tells another one of a call that it forwards; in a header of the request. */
+/** Metadata of a call that one VM forwards to another, in a header of the request. */
 struct ForwardedCall
 {
-    std::int64_t configVersion = 0; ///< by which the call is handled
+    std::int64_t configVersion = 0; ///< that the call is served by
     std::string service;
-    std::string workspace; ///< empty: nobody's call
-    std::optional<KeyDigest> key; ///< nothing: the route needs none
-    std::int64_t units = 0; ///< of the workspace's limit; taken by the VM that forwards it
+    std::string workspace; ///< empty: none
+    std::optional<KeyDigest> key; ///< nullopt: the route needs none
+    std::int64_t units = 0; ///< charged to the workspace's limit by the forwarding VM
     std::string callerAddress;
-    Duration waited{}; ///< since the call arrived at the VM that forwards it
+    Duration waited{}; ///< since the call arrived at the forwarding VM
     int runs = 0; ///< that may have begun before
-    bool hasBody = false; ///< the caller sent one, if only an empty one
-    std::optional<std::string> origin; ///< version of software that its stream has to go on at
+    bool hasBody = false; ///< the caller sent one, even an empty one
+    std::optional<std::string> origin; ///< software version that its stream must continue on
 
     auto operator<=>(const ForwardedCall &) const = default;
 };
 
-/** Why a VM does not take a forwarded call. */
+/** Why a VM refuses a forwarded call. */
 enum class ForwardRefusal : std::uint8_t {
-    None, ///< it takes it
-    Malformed, ///< the header cannot be read
+    None, ///< it accepts it
+    Malformed, ///< the header cannot be parsed
     Stopping,
-    LinksLost, ///< it does not reach the targets itself
-    ConfigMismatch, ///< its configuration is another one
-    Busy, ///< it has enough forwarded calls
+    LinksLost, ///< it does not reach the targets either
+    ConfigMismatch, ///< it has another version of the configuration
+    Busy, ///< it already serves too many forwarded calls
 };
 
 std::string_view refusalName(ForwardRefusal refusal) noexcept;
 
-/** What a VM's own answer to a forwarded call says of the call. */
+/** What the answer to a forwarded call says about whether the call ran. */
 enum class ForwardOutcome : std::uint8_t {
     FromTarget, ///< nothing: the answer is a target's
     NotRun, ///< it has not run there and never will
@@ -48,29 +48,28 @@
 
 void writeForwardRefusal(ResponseHead &head, ForwardRefusal refusal);
 
-/** None: the answer names no reason that is known. */
+/** None if the answer names no known reason. */
 ForwardRefusal parseForwardRefusal(const ResponseHead &head);
 
 void writeForwardedCall(RequestHead &head, const ForwardedCall &call);
 
-/** Nothing: the request bears no such header, or one that cannot be read. */
+/** Nullopt if the request has no such header, or one that cannot be parsed. */
 std::optional<ForwardedCall> readForwardedCall(const RequestHead &head);
 
 void eraseForwardedCall(RequestHead &head);
 
-/** What a VM says of a forwarded call in the head of its answer. */
+/** What a VM reports about a forwarded call in the head of its answer. */
 struct ForwardReport
 {
     ForwardOutcome outcome = ForwardOutcome::FromTarget;
-    int runs = 0; ///< that may have begun, those before it was forwarded among them
-    BodyDelimiter end =
-        BodyDelimiter::SelfDelimited; ///< what showed the end of the target's answer
-    std::string software; ///< version of the target's
+    int runs = 0; ///< that may have begun, including those before it was forwarded
+    BodyDelimiter end = BodyDelimiter::SelfDelimited; ///< what delimited the target's answer
+    std::string software; ///< version of the target's software
 
     auto operator<=>(const ForwardReport &) const = default;
 };
 
-/** Sets what the VM says; removes what a target may have set in its place. */
+/** Sets the report's headers and removes any that a target has set under their names. */
 void writeForwardReport(ResponseHead &head, const ForwardReport &report);
 
 ForwardReport readForwardReport(const ResponseHead &head);
--- a/libs/gateway/src/PeerForwarding.cpp
+++ b/libs/gateway/src/PeerForwarding.cpp
@@ -15,27 +15,27 @@
 
 namespace {
 
-/** One hop between two VMs and back takes a few ms; a frozen one does not answer. */
+/** A round trip between two VMs takes a few ms; a frozen VM does not answer. */
 constexpr Duration offerTimeout = std::chrono::milliseconds(150);
 
-/** With half of all VMs cut off, one call in sixteen meets no other one. */
+/** With half of all VMs cut off from the targets, one call in sixteen finds no other VM. */
 constexpr int maxOffers = 4;
 
-/** A VM that is cut off, stopping or silent stays so for a while. */
+/** Backoff from a VM that is cut off, stopping or silent, as it stays so for a while. */
 constexpr Duration refusalBackoff = std::chrono::milliseconds(1000);
-/** One that has many calls, or reads its configuration, soon has room again. */
+/** Backoff from a VM that has many calls or reads its configuration, as it soon accepts again. */
 constexpr Duration busyBackoff = std::chrono::milliseconds(100);
 
-/** A call takes another way after this many targets that only this VM does not reach. */
+/** A call is forwarded after this many targets that only this VM does not reach. */
 constexpr int minUnreachable = 2;
 
-/** Forwarded calls that a VM takes beside a few, for each of its own. */
+/** Forwarded calls that a VM accepts: so many for each of its own, and a few in any case. */
 constexpr int forwardedPerOwnCall = 8;
 constexpr int minForwarded = 16;
 
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
 
-/** Where another VM takes forwarded calls: at the same port as this one. */
+/** Where another VM accepts forwarded calls: at the same port as this one. */
 Endpoint forwardAddressOf(const GatewayNode &node, const Endpoint &peer)
 {
     return {peer.address, node.settings.forwards->port};
@@ -47,7 +47,7 @@
     return brief ? busyBackoff : refusalBackoff;
 }
 
-// A VM may have lost its links to one service and serve another.
+// By service: a VM may have lost its links to one service and still reach another.
 bool isBackedOff(const GatewayNode &node, const Endpoint &peer, const std::string &service)
 {
     const auto known = node.forwardPeers.find(peer);
@@ -57,7 +57,7 @@
     return until != known->second.notBefore.end() && until->second > BootClock::now();
 }
 
-/** Some VM that may take a call, drawn evenly; nothing: there is none. */
+/** A VM that may accept a call, drawn uniformly (reservoir sampling); nullopt if there is none. */
 std::optional<Endpoint> pickPeer(GatewayNode &node, const std::string &service,
                                  const std::vector<Endpoint> &tried, bool includeBackedOff)
 {
@@ -94,7 +94,7 @@
     return forwardedCall;
 }
 
-/** The request, so that the receiver cannot run it before all of it was sent. */
+/** The request in chunks, so that the receiver cannot run it before all of it was sent. */
 std::shared_ptr<HttpRequest> buildOffer(const ActiveCall &call, const CallAnswer &answer)
 {
     std::shared_ptr<HttpRequest> request = requestFor(call, sendFactsOf(call, answer));
@@ -105,14 +105,14 @@
     return request;
 }
 
-/** The answer of the other VM itself, as this one gives it on. */
+/** The other VM's own answer, as this VM passes it on. */
 LocalReply localReplyFrom(const TargetExchange &exchange, const std::string &body)
 {
     const nlohmann::json problem = nlohmann::json::parse(body, nullptr, false);
     const bool named = problem.is_object() && problem.contains("title");
-    LocalReply own = makeLocalReply(exchange.status(),
-                                    named ? problem.value("title", std::string()) : "not taken",
-                                    Duration::zero());
+    LocalReply own =
+        makeLocalReply(exchange.status(), named ? problem.value("title", std::string()) : "refused",
+                       Duration::zero());
     const auto seconds = exchange.head()[http::field::retry_after];
     if (!seconds.empty())
         own.retryAfter = fromSeconds(std::strtod(std::string(seconds).c_str(), nullptr));
@@ -140,7 +140,7 @@
               {"refusal", std::string(silent ? "silent" : refusalName(refusal))}});
 }
 
-/** Passes on the answer of a VM that has taken the call. */
+/** Passes on the answer of a VM that has accepted the call. */
 asio::awaitable<AttemptResult> passForwarded(ActiveCall &call, CallAnswer &answer,
                                              TargetExchange &exchange)
 {
@@ -192,7 +192,7 @@
     std::vector<Endpoint> tried;
     for (int offer = 0; offer < maxOffers && !call.cancelled(); ++offer) {
         std::optional<Endpoint> peer = pickPeer(node, call.service, tried, false);
-        // With few VMs all may be left out for a moment; a refusal is an answer of a few ms.
+        // With few VMs all may be backed off for a moment; another refusal takes just a few ms.
         if (!peer)
             peer = pickPeer(node, call.service, tried, true);
         if (!peer)
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -21,19 +21,19 @@
 
 constexpr auto nothrowAwaitable = asio::as_tuple(asio::use_awaitable);
 
-/** Links within a deployment take a few ms; a target that does not accept by then is passed by. */
+/** Links within a deployment take a few ms; a target that does not accept by then is skipped. */
 constexpr Duration connectTimeout = std::chrono::milliseconds(250);
 
-/** Requests above this are written while the answer is read already. */
+/** Larger requests are still written while their answer is already read. */
 constexpr std::size_t longRequestBytes = 4096;
 
-/** Answers to other calls that may stand before the one that is waited for. */
+/** Answers to other calls that may precede the expected one. */
 constexpr int maxForeignAnswers = 3;
 
 constexpr std::uint32_t headerLimit = 64 * 1024;
 
-// A target may answer a long request before it has read all of it, and read on later. The writing
-// must then neither keep the answer waiting nor be cut short while the connection is used on.
+// A target may answer a long request before it has read all of it, and read the rest later. The
+// write must then neither delay the answer nor be cut short while the connection is still in use.
 asio::awaitable<void> writeRequest(TargetConnectionPtr link, std::shared_ptr<HttpRequest> request,
                                    std::shared_ptr<bool> written)
 {
@@ -109,7 +109,7 @@
     return this->lastError;
 }
 
-// Another VM frames all that it sends, and says how the target's answer showed its end.
+// Another VM always sends a length or chunks, and reports what delimited the target's answer.
 BodyDelimiter TargetExchange::bodyDelimiter() const
 {
     if (this->parser->need_eof())
@@ -207,7 +207,7 @@
             this->answerFacts.attemptId.empty() || this->answerFacts.attemptId == this->attemptId;
         if (isOwn)
             co_return true;
-        // A second answer to an earlier call of this connection; it belongs to nobody.
+        // A second answer to an earlier call on this connection: no call waits for it.
         std::string dropped;
         BodyRead end = BodyRead::Some;
         while (end == BodyRead::Some)
--- a/libs/gateway/src/TargetExchange.h
+++ b/libs/gateway/src/TargetExchange.h
@@ -15,59 +15,59 @@
 
 namespace monsoonbay {
 
-/** How a read from a target ended. */
+/** Result of one read of a target's answer. */
 enum class BodyRead : std::uint8_t {
     Some, ///< there is more
-    End, ///< the answer has ended; bodyDelimiter() tells whether anything shows that it is whole
+    End, ///< the answer has ended; bodyDelimiter() tells whether it is known to be complete
     Broken, ///< it broke off
 };
 
-/** What became of a call that was offered to another VM. */
+/** How another VM replied to a call that was offered to it. */
 enum class OfferResult : std::uint8_t {
-    Accepted, ///< it waits for the rest of the request
-    Declined, ///< it does not take the call; head() tells why
+    Accepted, ///< it accepts the call and waits for the rest of the request
+    Declined, ///< it refuses the call; head() has the reason
     NoReply, ///< it did not answer in time, or the connection broke; it never runs the call
 };
 
-/** One call to a target, or to another VM, on one connection. */
+/** One attempt at a target, or at another VM, on one connection. */
 class TargetExchange
 {
 public:
     TargetExchange(GatewayNode &node, const TargetEntry &target, std::string attemptId);
-    /** To a VM that takes forwarded calls there. */
+    /** To another VM, at its address for forwarded calls. */
     TargetExchange(GatewayNode &node, const Endpoint &peer, std::string attemptId);
 
-    /** Gives the connection back if it can serve another call, else closes it. */
+    /** Returns the connection to the pool if it can serve another call, else closes it. */
     ~TargetExchange();
 
     TargetExchange(const TargetExchange &) = delete;
     TargetExchange &operator=(const TargetExchange &) = delete;
 
-    /** Takes an idle connection or makes one; false: the target cannot be reached. */
+    /** Takes an idle connection or makes one; false if the target cannot be reached. */
     asio::awaitable<bool> connect();
 
-    /** Why the last attempt to connect, send or read failed; no error: none has. */
+    /** Why the last connect, send or read that failed did so; no error if none has. */
     const boost::system::error_code &error() const noexcept;
 
-    /** Sends the request and reads the head of its answer; false: lost, it may have run. */
+    /** Sends the request and reads the head of its answer; false if lost: it may have run. */
     asio::awaitable<bool> send(std::shared_ptr<HttpRequest> request);
 
     /**
-     * Sends the head of the request alone and waits for the word to go on. Until sendOfferedBody()
-     * is called the receiver lacks the end of the request, and cannot run it.
+     * Sends only the head of the request and waits for "100 Continue". Until sendOfferedBody() is
+     * called the receiver lacks the end of the request, and cannot run it.
      */
     asio::awaitable<OfferResult> offer(std::shared_ptr<HttpRequest> request, Duration replyTimeout);
 
-    /** Sends the rest of a request that was taken; then as send(). */
+    /** Sends the rest of a request that was accepted; then as send(). */
     asio::awaitable<bool> sendOfferedBody();
 
     /** Reads what has arrived of the body. */
     asio::awaitable<BodyRead> read(std::string &piece);
 
-    /** What shows the end of the answer whose head has been read. */
+    /** What delimits the answer whose head has been read. */
     BodyDelimiter bodyDelimiter() const;
 
-    /** Version of the software of the target that answers. */
+    /** Software version of the target that answers. */
     std::string software() const;
 
     int status() const;
@@ -75,7 +75,7 @@
     const AnswerMetadata &facts() const noexcept;
     TargetConnectionPtr connection() const noexcept;
 
-    /** The answer is not read to its end; the connection will not be reused. */
+    /** The answer will not be read to its end; the connection is not reused. */
     void abandon() noexcept;
 
 private:
@@ -95,7 +95,7 @@
     TargetConnectionPtr link;
     std::shared_ptr<bool> written = std::make_shared<bool>(false);
     std::shared_ptr<HttpRequest> offered;
-    std::optional<Serializer> rest; ///< of the request that is offered
+    std::optional<Serializer> rest; ///< of the offered request
     std::optional<Parser> parser;
     AnswerMetadata answerFacts;
     std::array<char, 8192> readBuffer{};
--- a/libs/gateway/src/TargetPool.cpp
+++ b/libs/gateway/src/TargetPool.cpp
@@ -20,24 +20,25 @@
 
 constexpr std::size_t maxIdle = 64;
 
-/** Kept this long where the target does not say how long it keeps idle connections itself. */
+/** Idle connections are kept this long where the target does not announce its own timeout. */
 constexpr Duration defaultIdleTime = std::chrono::milliseconds(3000);
 
 /** A call sent this shortly before the target closes the connection may be lost with it. */
 constexpr Duration idleMargin = std::chrono::milliseconds(400);
 
 /**
- * Data that nobody has acknowledged for this long ends the connection. A link that falls silent
- * without a reset shows in no other way. A packet that is lost twice in a row still arrives before;
- * with 2.5 s each call on a kept connection into a cut zone was lost to its caller.
+ * Data that stays unacknowledged for this long ends the connection (TCP_USER_TIMEOUT). A link that
+ * falls silent without a reset is detected in no other way. A packet that is lost twice in a row
+ * still arrives before; with 2.5 s each call on a pooled connection into a zone that was cut off
+ * was lost to its caller.
  */
 constexpr unsigned unacknowledgedMs = 1000;
 constexpr int probeAfterSeconds = 1;
 constexpr int probeEverySeconds = 1;
 constexpr int probesLost = 3;
 
-// A connection that the target closed, or on which it sent something nobody asked for, looks fine
-// until the next answer is wrong or fails to come, and by then the call may have run.
+// A connection that the target closed, or on which it sent unsolicited bytes, looks usable until
+// the next answer is wrong or missing, and by then the call may have run.
 bool isUsable(tcp::socket &socket)
 {
     char byte = 0;
@@ -89,7 +90,7 @@
     const tcp::endpoint address(asio::ip::make_address(endpoint.address), endpoint.port);
     auto [error] = co_await connection->socket.async_connect(address, nothrowAwaitable);
     limit.cancel();
-    // The limit closes the socket, so that the connect ends as one that was cancelled.
+    // The timer closes the socket, so that the connect ends as one that was cancelled.
     if (error || !connection->socket.is_open()) {
         ConnectResult failed;
         failed.error = connection->socket.is_open() ? error : asio::error::timed_out;
@@ -108,7 +109,7 @@
 
 void closeConnection(TargetConnection &connection)
 {
-    // Closing cannot fail in a way that leaves anything to do.
+    // An error on closing leaves nothing to do.
     boost::system::error_code ignored;
     connection.socket.close(ignored);
 }
--- a/libs/gateway/src/TargetPool.h
+++ b/libs/gateway/src/TargetPool.h
@@ -29,24 +29,24 @@
 
 using TargetConnectionPtr = std::shared_ptr<TargetConnection>;
 
-/** Connections to one target that wait for their next call. */
+/** Idle connections to one target. */
 struct TargetPool
 {
     std::deque<TargetConnectionPtr> idle;
-    Instant lostAt{}; ///< a connection was lost, or could not be made, last
+    Instant lostAt{}; ///< when a connection was last lost, or could not be made
 };
 
-/** An idle connection that still looks sound; null if there is none. */
+/** An idle connection that still looks usable; null if there is none. */
 TargetConnectionPtr takeIdle(TargetPool &pool, Instant now);
 
-/** Keeps a connection for the next call; `keepAlive` is what the target said, or zero. */
+/** Keeps a connection for the next call; `keepAlive` is the target's own timeout, or zero. */
 void giveBack(TargetPool &pool, TargetConnectionPtr connection, Duration keepAlive, Instant now);
 
-/** What an attempt to connect came to. */
+/** Result of an attempt to connect. */
 struct ConnectResult
 {
     TargetConnectionPtr connection; ///< null: it failed
-    boost::system::error_code error; ///< why; asio::error::timed_out: nobody answered in time
+    boost::system::error_code error; ///< why; asio::error::timed_out: no answer in time
 };
 
 /** Connects within `timeout`. */
--- a/libs/gateway/src/WorkspaceQuota.cpp
+++ b/libs/gateway/src/WorkspaceQuota.cpp
@@ -51,10 +51,10 @@
         addUsage(sum, found->second);
 }
 
-/** What is known of all VMs, but without the use of this one. */
+/** Known usage of all other VMs. */
 FleetUsage othersUsageOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
-    // A VM that was suspended must not take what it heard before for what there is now.
+    // A VM that was suspended must not take reports from before that for current ones.
     dropSilent(node.reported, reporterTimeout, now);
     FleetUsage fleet;
     addUsageOf(fleet.usage, node.reported.workspaceTotal, workspace.name);
@@ -78,7 +78,7 @@
 
 namespace {
 
-/** The workspace's own priority is the same for all of its calls. */
+/** The route's priority alone: the workspace's own is the same for all of its calls. */
 int rankOf(const ActiveCall &call)
 {
     return call.route == nullptr ? 0 : call.route->priority;
@@ -119,10 +119,10 @@
     if (workspace == nullptr || !isLimited(workspace->limit))
         return std::nullopt;
     if (workspace->limit.unit == QuotaUnit::Tokens && call.facts.tokensMalformed)
-        return makeLocalReply(400, "the call's count of tokens is no count", Duration::zero());
+        return makeLocalReply(400, "the call's token count is malformed", Duration::zero());
     const Instant now = BootClock::now();
     if (!knowsFleetSize(node, now))
-        return makeLocalReply(503, "this VM does not know of the others yet", shortRetryAfter);
+        return makeLocalReply(503, "this VM does not know the other VMs yet", shortRetryAfter);
     const QuotaPolicy &policy = node.settings.quota;
     const std::int64_t units = costOf(workspace->limit, call.facts.tokens);
     UsageWindow &record = usageWindowOf(node, workspace->name);
