--- a/libs/gateway/include/gateway/PlacementSettings.h
+++ b/libs/gateway/include/gateway/PlacementSettings.h
@@ -4,18 +4,18 @@
 
 namespace monsoonbay {
 
-/** Which ways of finding a place at an engine a deployment uses. */
+/** Placement mechanisms that a deployment turns on. */
 struct PlacementSettings
 {
-    /** Engines that are expected to meet a call's objective go first; see ForecastChoice.h. */
+    /** Prefers engines that are forecast to meet the call's objective; see ForecastChoice.h. */
     bool forecast = false;
-    /** Calls ask the VM that orders an engine what waits there; see PrefillReservation.h. */
+    /** Calls ask an engine's lease holder how much waits there; see PrefillReserving.h. */
     bool reservePrefill = false;
-    /** Engines that declined a load are not asked before the time that they named. */
+    /** Engines that declined a load are not asked again before the time that they named. */
     bool keepDeclines = false;
-    /** A call waits for a load of its adapter that is under way at another engine. */
+    /** A call may wait for a load of its adapter that is already under way at an engine. */
     bool awaitLoads = false;
-    /** Calls without a place wait in one order; see CapacityQueue.h. */
+    /** Calls that find no capacity wait in one queue for each service; see CapacityQueue.h. */
     bool queue = false;
 
     auto operator<=>(const PlacementSettings &) const = default;
--- a/libs/gateway/src/CallPlacement.cpp
+++ b/libs/gateway/src/CallPlacement.cpp
@@ -19,14 +19,14 @@
 
 namespace {
 
-/** For a call whose patience is nearly over: an engine that is not busy still takes its load. */
+/** For a call near its wait limit: an engine that is not busy still accepts its load. */
 constexpr Duration minBeginWait = std::chrono::milliseconds(20);
-/** Engines in a row that decline a load at once; then all are taken as busy for a moment. */
+/** Once so many engines in a row have declined a load, all count as busy for a moment. */
 constexpr std::size_t maxDeclines = 6;
 
-/** Callers of refused calls come back after about a load's time. */
+/** Retry-After of refused calls: about the time of an adapter load. */
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
-/** Without any target: entries are listed again within seconds. */
+/** Retry-After where there is no target: entries are listed again within seconds. */
 constexpr Duration longRetryAfter = std::chrono::milliseconds(800);
 
 bool isUsable(GatewayNode &node, const std::string &target, const TargetUsage &all, Instant now)
@@ -34,7 +34,7 @@
     return !isEjected(runtimeOf(node, target).health, now) && !isFailing(all);
 }
 
-/** True if ejections leave too few targets: then they are set aside rather than the callers. */
+/** Ignores ejections where they leave less than half of the targets, rather than refuse callers. */
 template <typename Views> void ignoreExcessiveEjections(Views &views)
 {
     const auto usable =
@@ -45,7 +45,7 @@
         view.usable = true;
 }
 
-/** How long the call has for a load to begin. */
+/** How long the call may wait for a load to begin. */
 Duration beginWaitLimit(const ActiveCall &call)
 {
     return std::max(call.capacityWait.softDeadline - BootClock::now(), minBeginWait);
@@ -57,7 +57,7 @@
         != call.loadDeclinedBy.end();
 }
 
-/** Shortest objective of the routes to the service; nothing: all are alike, or no forecasts. */
+/** Shortest objective of the service's routes; nullopt if all are alike, or without forecasts. */
 std::optional<Duration> shortestObjective(const ActiveCall &call)
 {
     if (!call.node.settings.placement.forecast)
@@ -65,18 +65,18 @@
     return call.routes->shortestObjective(call.service);
 }
 
-/** True if a load for the call may be asked for there. */
+/** True if a load for the call may be requested there. */
 bool mayAskLoadFor(const ActiveCall &call, const std::string &target)
 {
     if (wasDeclined(call, target))
         return false;
-    // Its holder has to hear that the adapter is not there, whatever it said before.
+    // The lease holder has to learn that the adapter is missing, even after it declined a load.
     return call.adapterMissingAt == target
         ? canCommand(call.node, target)
         : mayRequestLoad(call.node, target, beginWaitLimit(call));
 }
 
-/** Time until the call's adapter is there by a load under way; below 0: none is waited for. */
+/** Time until a load under way brings the call's adapter; below 0: none is waited for. */
 double incomingMs(const ActiveCall &call, const std::string &target, double loadMs)
 {
     if (!call.node.settings.placement.awaitLoads)
@@ -88,7 +88,7 @@
     return incoming ? 1000 * toSeconds(*incoming) : -1;
 }
 
-/** Targets of the call's service that take calls of this VM now. */
+/** Targets that accept calls of this VM now and fit the software version of the call's stream. */
 std::vector<const TargetRecord *> availableTargets(ActiveCall &call, Instant now)
 {
     std::vector<const TargetRecord *> targets = targetsOf(call.node, call.service);
@@ -99,7 +99,7 @@
     return targets;
 }
 
-/** For a call that no target can take: when the first will that named a time, if any did. */
+/** Retry-After of a call that no target accepts: the earliest time that one named, if any did. */
 Duration retryAfterBackoff(const ActiveCall &call)
 {
     const Instant now = BootClock::now();
@@ -112,7 +112,7 @@
     return first == Instant{} ? longRetryAfter : first - now;
 }
 
-/** For a call that no engine takes at all. */
+/** Refuses a call that no engine accepts. */
 LocalReply refuseWithoutEngine(const ActiveCall &call)
 {
     if (!call.origin)
@@ -121,13 +121,13 @@
     return makeLocalReply(503, "no engine has the version that began the stream", longRetryAfter);
 }
 
-/** Age of what this VM knows of the load of engines, for the choice. */
+/** Age of this VM's figures on the load of engines, for the choice. */
 Duration loadAge(const ActiveCall &call, Instant now)
 {
     return shortestObjective(call) ? knownLoadAge(call.node, now) : loadReportAge(call.node);
 }
 
-/** The weights of the choice, by the pace that own calls have shown. */
+/** The weights of the choice, with the prefill rate that this VM's calls have shown. */
 EngineWeights currentWeights(const ActiveCall &call)
 {
     EngineWeights weights = call.node.settings.weights;
@@ -143,7 +143,7 @@
     const Instant now = BootClock::now();
     const ModelSpec *model = baseModel(*spec.engine);
     const int capacity = model != nullptr ? adapterCapacity(*spec.engine, *model) : 0;
-    // Up to the age of the news, chance keeps VMs from all choosing the same engine.
+    // Jitter up to the age of the load figures keeps VMs from all choosing the same engine.
     std::uniform_real_distribution<double> jitter(0, 1000 * toSeconds(loadAge(call, now)));
     const bool asked = shouldAskLeaseHolders(node, *call.route);
     std::vector<EngineView> views;
@@ -182,9 +182,9 @@
 }
 
 /**
- * Where the call goes next. An engine that refused it because its load was not done yet is about to
- * have the adapter; anywhere else it would be loaded anew, and the holder would not learn of it. A
- * load that is under way serves all who want the adapter, if they can wait for it.
+ * The next step of the call. An engine that refused it because its load was not done yet is about
+ * to have the adapter; anywhere else it would be loaded again, and the lease holder would not learn
+ * that it was missing. A load under way serves all calls of the adapter that can wait for it.
  */
 EngineChoice nextEngine(const ActiveCall &call, const std::vector<EngineView> &views,
                         const EngineNeed &need, const EngineWeights &weights)
@@ -237,7 +237,7 @@
                 });
             placement.refusal = anyOrderable
                 ? refuseForCapacity(call, "no engine has room")
-                : makeLocalReply(503, "no engine may be ordered", longRetryAfter);
+                : makeLocalReply(503, "no engine has a reachable lease holder", longRetryAfter);
             co_return placement;
         }
         const bool allDeclined = call.loadDeclinedBy.size() >= maxDeclines;
@@ -286,7 +286,7 @@
             record != node.targetTable.records.end() && mayTakeWork(record->second);
         if (!mayTake || !takesCalls(node, id, BootClock::now()))
             continue;
-        // What was heard while it loaded may be that it came back as another version.
+        // During the load, an update may have shown that it restarted as another version.
         std::vector<const TargetRecord *> chosen{&record->second};
         keepCompatibleTargets(call, chosen);
         if (chosen.empty())
@@ -296,7 +296,7 @@
         co_return placement;
     }
     placement.refusal =
-        makeLocalReply(503, "the time ran out before an engine was found", shortRetryAfter);
+        makeLocalReply(503, "deadline exceeded before an engine was found", shortRetryAfter);
     co_return placement;
 }
 
@@ -337,7 +337,7 @@
         placement = co_await placeOnEngine(call, *spec);
     else
         placement = placeOnPlain(call);
-    // Counted before it is sent: other calls are placed while a connection is made.
+    // Counted before it is sent: other calls are placed while the connection is made.
     if (placement.target)
         recordSent(runtimeOf(call.node, placement.target->id).limit, BootClock::now());
     co_return placement;
--- a/libs/gateway/src/CallPlacement.h
+++ b/libs/gateway/src/CallPlacement.h
@@ -7,17 +7,17 @@
 
 namespace monsoonbay {
 
-/** Where a call goes, or why it goes nowhere. */
+/** The target of a call's next attempt, or why there is none. */
 struct Placement
 {
     std::optional<TargetEntry> target;
     LocalReply refusal; ///< if there is no target
 };
 
-/** Finds a target for the next send; for engines, has the adapter loaded if need be. */
+/** Finds a target for the next attempt; on an engine, has the adapter loaded if need be. */
 asio::awaitable<Placement> placeCall(ActiveCall &call);
 
-/** Notes a call's share of its target while it is under way there. */
+/** Counts a call in the usage of its target while it is in flight there. */
 class InFlightGuard
 {
 public:
@@ -27,7 +27,7 @@
     InFlightGuard(const InFlightGuard &) = delete;
     InFlightGuard &operator=(const InFlightGuard &) = delete;
 
-    /** The first event has come: its prompt is read. */
+    /** The first event has arrived: the engine has read the prompt. */
     void noteFirstEvent();
 
 private:
@@ -39,8 +39,8 @@
     double waiting;
     bool firstEventSeen = false;
     double held;
-    int quick; ///< 1 for a call of a route with the least objective
-    double waitingBefore; ///< tokens of other calls, as far as known
+    int quick; ///< 1 for a call of a route with the shortest objective
+    double waitingBefore; ///< tokens of other calls that waited there, as far as known
     Instant sentAt;
 };
 
--- a/libs/gateway/src/CapacityWaiters.h
+++ b/libs/gateway/src/CapacityWaiters.h
@@ -11,21 +11,21 @@
 
 struct ActiveCall;
 
-/** A call that waits for a place, and what wakes it. */
+/** A call that waits for capacity, and the timer that wakes it. */
 struct CapacityWaiter
 {
     const ActiveCall *call;
     asio::steady_timer *limit;
 };
 
-/** Calls of one service that wait for a place. */
+/** Calls of one service that wait for capacity. */
 struct ServiceWaiters
 {
     CapacityQueue queue;
     std::map<std::uint64_t, CapacityWaiter> waiters; ///< by the id in the queue
 };
 
-/** Calls that wait for a place at an engine. */
+/** Calls that wait for capacity at an engine, by service. */
 struct CapacityWaiters
 {
     std::map<std::string, ServiceWaiters> services;
--- a/libs/gateway/src/CapacityWaiting.cpp
+++ b/libs/gateway/src/CapacityWaiting.cpp
@@ -12,21 +12,20 @@
 
 namespace {
 
-/** Marks that are over and calls that have ended show without news; they are looked for so often.
- */
+/** Interval of the checks for what no state update shows: expired backoffs and ended calls. */
 constexpr Duration capacityCheckInterval = std::chrono::milliseconds(40);
-/** Between two looks, and more for each call that waits: each costs a look at all engines. */
+/** Between two checks, and more for each waiting call: each is compared with all engines. */
 constexpr Duration minCheckInterval = std::chrono::milliseconds(10);
 constexpr Duration checkIntervalPerCall = std::chrono::microseconds(200);
-/** A call that was woken and found no place lets others try first. */
+/** A call that was woken and found no capacity lets others try first. */
 constexpr Duration noCapacityDelay = std::chrono::milliseconds(40);
-/** With nobody waiting. */
+/** Check interval while no call waits. */
 constexpr Duration idleCheckInterval = std::chrono::seconds(1);
 
-/** Callers of refused calls come back after about a load's time. */
+/** Retry-After of refused calls: about the time of an adapter load. */
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
 
-/** A call's place in the queue, for as long as it waits. */
+/** Keeps a call in the queue for as long as it waits. */
 class QueueEntry
 {
 public:
@@ -48,7 +47,7 @@
         this->serviceWaiters.waiters.erase(this->id);
     }
 
-    /** False: too many wait already. */
+    /** False if too many calls wait already. */
     bool joined() const noexcept
     {
         return this->queued;
@@ -60,7 +59,7 @@
     bool queued;
 };
 
-/** True if the engine can run one more call, if it is not too large. */
+/** True if the engine can run one more call, provided that it is not too large. */
 bool canRunOneMore(GatewayNode &node, const TargetEntry &entry, const EngineSpec &spec,
                    const TargetUsage &usage, Instant now)
 {
@@ -70,7 +69,7 @@
         && !isEjected(runtimeOf(node, entry.id).health, now);
 }
 
-/** Loads that calls of this VM have asked for there. */
+/** Number of loads at the target that calls of this VM have requested. */
 int loadsRequestedAt(const GatewayNode &node, const std::string &target)
 {
     return static_cast<int>(
@@ -78,7 +77,7 @@
                       [&target](const auto &ask) { return ask.first.first == target; }));
 }
 
-/** Calls whose adapter an engine with room holds or is loading need no further load. */
+/** Marks the calls that need no further load: the engine holds or is loading their adapter. */
 void markLoadNotNeeded(GatewayNode &node, CapacityQueue &queue,
                        const ServiceWaiters &serviceWaiters, const TargetRuntime &runtime,
                        Instant now)
@@ -94,7 +93,7 @@
     }
 }
 
-/** Looks at all engines of a service; marks the calls in the queue that need no load. */
+/** Checks all engines of a service for capacity; marks the waiting calls that need no load. */
 ServiceCapacity findCapacity(GatewayNode &node, const std::string &service, const EngineSpec &spec,
                              ServiceWaiters &serviceWaiters, Instant now)
 {
@@ -244,7 +243,7 @@
             continue;
         }
         co_await node.engineChanged.wait(capacityCheckInterval);
-        // More news mostly follows; one look serves all of it.
+        // More updates usually follow; one check then covers all of them.
         const Duration pause =
             minCheckInterval + checkIntervalPerCall * static_cast<int>(callsWaiting(node));
         co_await pauseFor(node, pause);
--- a/libs/gateway/src/HarmfulCallTracking.cpp
+++ b/libs/gateway/src/HarmfulCallTracking.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/** Calls in one piece of evidence; 0.6 KB, so that an answer with many changes stays short. */
+/** Calls in one record of evidence; 0.6 KB, so that an answer with many changes stays short. */
 constexpr std::size_t maxCallsPerRecord = 32;
 
-/** Evidence that is kept, by pieces and by calls in them: 1 MB in all. */
+/** Bounds on the evidence kept, by records and by calls in them: 1 MB in all. */
 constexpr std::size_t maxEvidence = 2048;
 constexpr std::size_t maxCallsKept = 16384;
 
@@ -25,7 +25,7 @@
     node.evidenceChanged = true;
 }
 
-/** Own evidence, which this VM tells the others. */
+/** Adds evidence of this VM, which it reports to the others. */
 void addOwnEvidence(GatewayNode &node, const CallEvidence &evidence)
 {
     for (std::size_t from = 0; from < evidence.calls.size(); from += maxCallsPerRecord) {
@@ -49,7 +49,7 @@
     node.evidenceChanged = true;
 }
 
-/** True if a harmful call is named in it: without it that call would be let through again. */
+/** True if a harmful call is blocked by this evidence: without it, it would be admitted again. */
 bool blocksHarmfulCall(const HarmfulCalls &harmful, const CallEvidence &evidence)
 {
     return !evidence.target.empty()
@@ -57,7 +57,7 @@
                        [&](const auto &call) { return findHarmful(harmful, call) != nullptr; });
 }
 
-/** Ids of all evidence, what is least worth keeping first: of no harmful call, and the oldest. */
+/** Ids of all evidence in the order of eviction: that of harmful calls last, the oldest first. */
 std::vector<std::uint64_t> inEvictionOrder(const GatewayNode &node)
 {
     std::vector<std::tuple<bool, Instant, std::uint64_t>> ordered;
@@ -89,7 +89,7 @@
     addOwnEvidence(node, evidence);
 }
 
-// Costs a call nothing but a look while no target has ended under any call.
+// Costs a call a single check while no target has crashed under any call.
 void recordCompletedCall(ActiveCall &activeCall)
 {
     GatewayNode &node = activeCall.node;
--- a/libs/gateway/src/PrefillReservation.cpp
+++ b/libs/gateway/src/PrefillReservation.cpp
@@ -13,19 +13,19 @@
 
 namespace v1 = gateway::v1;
 
-/** News older than this share of an objective are too old to place a call by. */
+/** State updates older than this share of an objective are too old to place a call by. */
 constexpr double updateAgeShare = 0.125;
 
-/** An answer takes a few ms; a call does not wait for more than this share of its objective. */
+/** A reply takes a few ms; a call waits for at most this share of its objective. */
 constexpr double askTimeShare = 0.05;
 
-/** A holder that did not answer is not asked for this long. */
+/** A lease holder that did not answer is not asked again for this long. */
 constexpr Duration unansweredBackoff = std::chrono::seconds(1);
 
-/** Engines that one call asks about; then it takes the best that it knows. */
+/** Engines that one call asks about; after that it takes the best that it knows. */
 constexpr std::size_t maxAsked = 3;
 
-/** A call leaves half of the wait that it could bear to calls that bear less. */
+/** A call leaves half of the wait that it could tolerate to calls that tolerate less. */
 constexpr double waitShare = 0.5;
 
 double tokensToPrefill(const ActiveCall &call, const EngineView &engine)
@@ -33,7 +33,7 @@
     return std::max(call.facts.promptTokens - engine.cachedTokens, 0.0);
 }
 
-/** Tokens that may wait before the call at this engine while there are others to ask. */
+/** Tokens that may wait ahead of the call at this engine while there are others to ask. */
 double maxAhead(const ActiveCall &call, const EngineView &engine, PrefillStep step)
 {
     const EngineWeights &weights = call.node.settings.weights;
@@ -45,15 +45,15 @@
     bound.ownTokens = tokensToPrefill(call, engine);
     bound.otherMs = weights.runPenaltyMs * engine.runs + loadMs;
     bound.tokensPerMs = weights.promptTokensPerMs;
-    // The engine reads on while the adapter is loaded. Where all engines are late, one that is no
-    // worse than it was believed to be is the best.
+    // The engine goes on with its prefill while the adapter is loaded. Where all engines are late,
+    // one that is no worse than it was believed to be is the best.
     return std::max(waitShare * maxTokensAhead(bound) + loadMs * bound.tokensPerMs,
                     engine.waitingTokens);
 }
 
 PrefillRequest requestOf(const ActiveCall &call, const EngineView &engine, PrefillStep step)
 {
-    // An engine that is chosen again after its holder was asked is the best there is.
+    // An engine that is chosen again after its lease holder was asked is the best there is.
     const auto &asked = call.prefillAsked;
     const bool askedBefore = std::find(asked.begin(), asked.end(), engine.id) != asked.end();
     const bool stays = step == PrefillStep::SendLoaded || askedBefore || asked.size() >= maxAsked;
@@ -64,7 +64,7 @@
     return wanted;
 }
 
-/** The VM that orders the engine, if it answers; null: nobody can be asked. */
+/** The engine's lease holder; null if there is none, or it did not answer lately. */
 const PeerState *askableHolder(const GatewayNode &node, const std::string &target, Instant now)
 {
     const PeerState *holder = holderOf(node, target);
@@ -112,7 +112,7 @@
     co_return reply;
 }
 
-// Not given back if the call goes elsewhere after all: the count falls as the engine reads.
+// Not released if the call goes elsewhere after all: the count falls as the engine reads prompts.
 PrefillReply reserveHere(GatewayNode &node, const std::string &target, const PrefillRequest &wanted)
 {
     return reservePrefill(node.prefill.held[target], wanted,
--- a/libs/gateway/src/ResumeState.h
+++ b/libs/gateway/src/ResumeState.h
@@ -11,7 +11,7 @@
 
 namespace monsoonbay {
 
-/** A stream that this VM began, and has told nobody of. */
+/** A stream that this VM began and has not reported to any other. */
 struct UnreportedStream
 {
     StreamId id = 0;
@@ -20,19 +20,19 @@
     auto operator<=>(const UnreportedStream &) const = default;
 };
 
-/** What this VM knows of streams that callers may take up again. */
+/** What this VM knows of streams that callers may resume. */
 struct ResumeState
 {
     explicit ResumeState(asio::io_context &context)
         : due(context)
     { }
 
-    StreamOrigins origins; ///< of streams begun here, and of those that others told of
+    StreamOrigins origins; ///< of streams begun here, and of those reported by other VMs
     std::deque<UnreportedStream> unreported; ///< oldest first
     std::unordered_map<std::string, SoftwareVersions> versions; ///< by service
-    std::set<std::string> ambiguousServices; ///< services whose streams others are told of
-    Instant versionsCheckedAt{}; ///< at the versions, last
-    Duration longestTimeout{}; ///< that a caller of a stream has named
+    std::set<std::string> ambiguousServices; ///< services whose streams are reported to other VMs
+    Instant versionsCheckedAt{}; ///< when the versions were checked last
+    Duration longestTimeout{}; ///< longest wait that the caller of a stream has named
     Signal due;
 };
 
--- a/libs/gateway/src/StreamResuming.cpp
+++ b/libs/gateway/src/StreamResuming.cpp
@@ -14,26 +14,26 @@
 
 namespace v1 = gateway::v1;
 
-/** Between two looks at the versions that all targets have. */
+/** Interval of the checks of all targets' software versions. */
 constexpr Duration versionCheckInterval = std::chrono::milliseconds(500);
-/** Streams that begin within this long are told together. */
+/** Streams that begin within this time are reported together. */
 constexpr Duration reportDelay = std::chrono::milliseconds(10);
 constexpr Duration reportTimeout = std::chrono::milliseconds(400);
 /** VMs answer in a few ms; one that is gone or cut off does not. */
 constexpr Duration askTimeout = std::chrono::milliseconds(150);
 
-/** VMs that keep what began a stream: of the zone, for one may end, and one of all zones. */
+/** VMs that store a stream's origin: two of the zone, as one may fail, and one of all zones. */
 constexpr std::size_t replicasInZone = 2;
 constexpr std::size_t replicasOfAll = 1;
 
-/** No caller is taken to wait longer, whatever it names. */
+/** No caller is assumed to wait longer, whatever it names. */
 constexpr Duration maxResumeTime = std::chrono::seconds(60);
 
 constexpr Duration shortRetryAfter = std::chrono::milliseconds(300);
 
-/** How a VM knows what began a stream. */
+/** How a VM knows the software version that began a stream. */
 enum class OriginSource : std::uint8_t {
-    Recorded, ///< this VM began it, or was told
+    Recorded, ///< this VM began it, or it was reported to this VM
     OnlyVersion, ///< there has been no other version
     Asked, ///< another VM knew
 };
@@ -57,7 +57,7 @@
     OriginSource source = OriginSource::Recorded;
 };
 
-/** How long a stream of the service may be taken up again after it began. */
+/** How long a stream of the service may be resumed after it began. */
 Duration resumeTimeFor(const GatewayNode &node, const std::string &service)
 {
     const Duration configured = node.routes->maxResumableTimeout(service);
@@ -76,7 +76,7 @@
         forgetSoftware(versions, now - maxResumeTime);
 }
 
-/** The one version that can have begun a stream of the service; nothing: that is not proved. */
+/** The only version that can have begun a stream of the service; nullopt if that is not proved. */
 std::optional<std::string> onlyVersionOf(const GatewayNode &node, const std::string &service,
                                          Instant now)
 {
@@ -90,7 +90,7 @@
                                                     : onlySoftware(versions->second, since);
 }
 
-// While this VM is in no doubt, others can tell as much without hearing of each stream.
+// While a service has had one version only, other VMs know as much without a report of each stream.
 void findAmbiguousServices(GatewayNode &node, Instant now)
 {
     ResumeState &state = node.resuming;
@@ -101,7 +101,7 @@
     }
 }
 
-/** Where what began a stream is kept, this VM left out. */
+/** VMs among which those that store a stream's origin are chosen. */
 struct ReplicaCandidates
 {
     std::vector<std::string> names;
@@ -114,7 +114,7 @@
     choice.endpoints.push_back(std::move(endpoint));
 }
 
-/** All VMs, whether they are heard or not: each VM has to choose among the same. */
+/** All known VMs, reachable or not, as every VM has to choose among the same. */
 ReplicaCandidates candidatesOf(const GatewayNode &node, const std::optional<std::string> &zone)
 {
     ReplicaCandidates choice;
@@ -127,7 +127,7 @@
     return choice;
 }
 
-/** The VMs to tell of streams, or to ask. */
+/** The VMs that a stream's origin is reported to, or asked from. */
 class OriginReplicas
 {
 public:
@@ -158,10 +158,10 @@
 {
     const auto recorded =
         co_await node.peerLinks.noteOrigins(replica, std::move(note), reportTimeout);
-    static_cast<void>(recorded); // two others keep it
+    static_cast<void>(recorded); // two other VMs store it
 }
 
-/** The streams that are to be told now; others stay for when there is doubt. */
+/** The streams to report now; the others stay until their service has a second version. */
 std::vector<StreamId> takeDueStreams(GatewayNode &node, Instant now)
 {
     ResumeState &state = node.resuming;
@@ -200,7 +200,7 @@
         spawn(node, "tell keeper", reportToReplica(node, replica, std::move(note)));
 }
 
-/** What the VMs that were asked have answered so far. */
+/** Answers so far of the VMs that were asked. */
 struct OriginQuery
 {
     explicit OriginQuery(asio::io_context &context)
@@ -249,7 +249,7 @@
     checkVersions(node, now);
     if (const auto only = onlyVersionOf(node, call.service, now))
         co_return FoundOrigin{*only, OriginSource::OnlyVersion};
-    // Also where the caller names nothing: others may know that there was one version alone.
+    // Also where the caller names no stream: others may know that there was only one version.
     const auto reportedOrigin = co_await askReplicas(node, id, call.service);
     if (!reportedOrigin)
         co_return std::nullopt;
@@ -294,7 +294,8 @@
               {"knownBy", found ? std::string(sourceName(found->source)) : "not known"}});
     if (!found) {
         call.node.metrics.add(Counter::ResumesUnknown);
-        co_return makeLocalReply(503, "what began the stream is not known", shortRetryAfter);
+        co_return makeLocalReply(503, "the version that began the stream is not known",
+                                 shortRetryAfter);
     }
     call.node.metrics.add(Counter::StreamsTakenUp);
     call.origin = found->software;
--- a/libs/gateway/src/StreamResuming.h
+++ b/libs/gateway/src/StreamResuming.h
@@ -9,34 +9,35 @@
 namespace monsoonbay {
 
 /**
- * What targets of two versions of their software write does not fit together, so a stream goes on
- * only at the version that began it. VMs in doubt tell others of the streams that they begin, and
- * ask them of those that they did not; see docs/design/stream-versions.md.
+ * The output of two software versions of a target does not fit together, so a stream is resumed
+ * only on the version that began it. While more than one version may have begun streams, VMs report
+ * the streams that they begin to others, and ask them about streams that they did not begin; see
+ * docs/design/stream-versions.md.
  */
 
-/** The first event of a stream goes to its caller, from a target of that version. */
+/** Records that the first event of a stream, by that software version, goes to its caller. */
 void recordStreamStart(ActiveCall &call, const std::string &software);
 
 /**
- * For a call that takes a stream up again, sets what began it; a refusal if that is not known. It
- * returns at once for other calls.
+ * For a call that resumes a stream, sets the version that began it; a refusal if that is not known.
+ * It returns at once for other calls.
  */
 asio::awaitable<std::optional<LocalReply>> resolveStreamOrigin(ActiveCall &call);
 
 /**
- * Takes off the targets that the call's stream may not go on at, and for one that begins those of a
+ * Removes the targets that the call's stream may not continue on; for a new stream, those of a
  * version that is not settled, if others are left.
  */
 void keepCompatibleTargets(ActiveCall &call, std::vector<const TargetRecord *> &targets);
 
 /**
- * False: the engine may have come back as another version since its entry was read. It is asked for
- * its start before a stream goes on there, or begins after a connection to it was lost; calls that
- * nobody may take up are not kept waiting.
+ * False if the engine may have restarted as another version since its entry was read. It is asked
+ * for its start before a stream continues there, or begins there after a connection was lost; calls
+ * that nobody can resume do not wait for that.
  */
 asio::awaitable<bool> confirmTargetStart(ActiveCall &call, const TargetEntry &target);
 
-/** Looks at the versions that serve, and tells others of streams. */
+/** Checks the versions in service, and reports streams to other VMs. */
 asio::awaitable<void> streamOriginLoop(GatewayNode &node);
 
 gateway::v1::OriginsNoted handleOriginNote(GatewayNode &node, const gateway::v1::OriginNote &note);
