--- a/libs/gateway/tests/Exchanges.cpp
+++ b/libs/gateway/tests/Exchanges.cpp
@@ -39,10 +39,9 @@
 
 } // namespace
 
-// Symptom: a VM that was started anew refused nearly all of its callers and went on with an old
-// configuration for a quarter of a minute. Sequence: it is asked by its relay before it reports
-// there itself; its reports, counted anew, come after that. Cause: the relay took the new boot from
-// the answer but kept the former boot's count, and dropped the reports as older ones.
+// Guards against a restarted VM that refuses nearly all callers and keeps an old configuration for
+// a quarter of a minute. The relay asked it before its first report, took the new boot from the
+// answer but kept the former boot's sequence, and so dropped the reports, numbered anew, as old.
 Test(exchanges, reports_of_a_new_boot_count_from_its_first_word)
 {
     GatewayNode node(ownSettings());
@@ -50,7 +49,7 @@
     v1::Digest answer;
     describePeer(2, *answer.mutable_from());
     applyDigest(node, peerAddress, answer, false);
-    cr_assert(answerReport(node, reportOf(2, 1)).complete(), "taken, and answered in full");
-    cr_assert(!answerReport(node, reportOf(2, 1)).complete(), "an older report tells nothing");
+    cr_assert(answerReport(node, reportOf(2, 1)).complete(), "accepted, and answered in full");
+    cr_assert(!answerReport(node, reportOf(2, 1)).complete(), "an older report is dropped");
     cr_assert(answerReport(node, reportOf(2, 2)).complete());
 }
--- a/libs/gateway/tests/ForwardedCalls.cpp
+++ b/libs/gateway/tests/ForwardedCalls.cpp
@@ -27,6 +27,7 @@
 
 } // namespace
 
+// Guards against fields that a forwarded call loses on its way to the other VM.
 Test(forwarded_calls, what_is_written_is_read)
 {
     RequestHead head;
@@ -41,6 +42,7 @@
     cr_assert(!readForwardedCall(head));
 }
 
+// Guards against a malformed header that ends the VM or is served as a call.
 Test(forwarded_calls, a_header_that_cannot_be_read_is_no_call)
 {
     for (const char *value : {"", "{}", "[1]", "{\"service\":3}", "\xff", "{\"configVersion\":"}) {
@@ -52,7 +54,7 @@
     }
 }
 
-// Guards against a target that says in a VM's name that a call has not run.
+// Guards against a target whose headers claim, as a VM's, that a call has not run.
 Test(forwarded_calls, a_target_cannot_set_the_headers_of_a_vm)
 {
     ResponseHead head;
@@ -68,7 +70,8 @@
     }
 }
 
-// Guards against calls that go in a circle, or by a configuration that the other VM does not have.
+// Guards against a VM that accepts a call without links to its targets, with another configuration
+// than the call's, with too many forwarded calls, or while it shuts down.
 Test(forwarded_calls, a_vm_that_cannot_serve_a_call_refuses_it)
 {
     GatewayNode node((GatewaySettings()));
--- a/libs/gateway/tests/HarmfulWatches.cpp
+++ b/libs/gateway/tests/HarmfulWatches.cpp
@@ -47,7 +47,7 @@
     return findHarmful(node.harmful, call) != nullptr;
 }
 
-/** `asker` asks `asked` and takes the answers, until there is no more to tell. */
+/** `asker` reports to `asked` and applies the answers, until there are no more updates. */
 void exchange(GatewayNode &asker, GatewayNode &asked, std::uint64_t &sequence)
 {
     const PeerState &known = asker.peers[asked.settings.peers];
@@ -67,9 +67,9 @@
 
 } // namespace
 
-// Symptom: each VM let a call end targets until it had seen three ends itself. Sequence: the caller
-// comes to another VM each time. What VMs see goes to the relay of their zone, from there to the
-// relays of other zones and to all VMs.
+// Guards against VMs that each let a call crash targets until they have seen three crashes
+// themselves, as its caller comes to another VM each time. Evidence goes to the relay of the zone,
+// and from there to the relays of other zones and to all VMs.
 Test(harmful_watch, crashes_seen_by_different_vms_are_combined_at_all)
 {
     std::uint64_t sequence = 0;
@@ -95,8 +95,8 @@
         cr_assert(blocks(*node, harmful));
 }
 
-// At size: ends seen by three VMs of different zones are known to all 300 after each VM has spoken
-// to its relay, the relays to one another, and each VM to its relay again.
+// Guards against evidence that does not reach all of 300 VMs: three VMs of different zones see one
+// crash each; then VMs report to their relay, the relays to one another, and VMs to their relay.
 Test(harmful_watch, three_rounds_reach_three_hundred_vms)
 {
     constexpr int zones = 4;
@@ -130,6 +130,7 @@
     }
 }
 
+// Guards against a call that is blocked for a single crash whose evidence arrives more than once.
 Test(harmful_watch, the_same_evidence_received_twice_counts_once)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
@@ -143,6 +144,7 @@
     cr_assert_eq(node.shared.evidence.all().size(), 1);
 }
 
+// Guards against a call that stays blocked, or evidence that stays in memory, for good.
 Test(harmful_watch, evidence_expires)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
@@ -177,7 +179,8 @@
 
 } // namespace
 
-// Targets that end without a word leave connections silent; the list tells that they ended.
+// Guards against crashes that are missed where connections just fall silent: the target list then
+// shows a new start of the target.
 Test(harmful_watch, a_new_start_in_the_list_is_a_crash_of_the_former_one)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
@@ -190,6 +193,7 @@
     cr_assert(blocks(node, harmful));
 }
 
+// Guards against calls that are blocked because targets shut down gracefully while running them.
 Test(harmful_watch, a_target_that_left_did_not_crash_under_its_calls)
 {
     GatewayNode node(settingsOf("vm-1", "zone-a"));
@@ -201,8 +205,8 @@
     cr_assert(node.shared.evidence.all().empty());
 }
 
-// Symptom would be a VM that runs out of memory, or one that forgets a harmful call, while many
-// targets end for other reasons.
+// Guards against a VM that runs out of memory, or admits a harmful call again, while many targets
+// crash for other reasons.
 Test(harmful_watch, memory_is_bounded_and_a_harmful_call_is_kept_longest)
 {
     constexpr std::size_t maxKept = 2048;
--- a/libs/gateway/tests/PrefillReservations.cpp
+++ b/libs/gateway/tests/PrefillReservations.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-// Guards against a count by a VM that no longer orders the engine: two VMs would each count a part.
+// Guards against a count by a VM without the engine's lease: two VMs would each count a part.
 Test(prefill_reservations, only_the_lease_holder_of_an_engine_counts)
 {
     GatewayNode node(settingsOfVm());
@@ -61,7 +61,7 @@
     cr_assert(node.prefill.held.empty());
 }
 
-// Guards against two calls of different VMs that both take an engine for idle.
+// Guards against two calls of different VMs that both consider an engine idle.
 Test(prefill_reservations, the_second_call_learns_of_the_first)
 {
     GatewayNode node(settingsOfVm());
@@ -79,7 +79,7 @@
     cr_assert_gt(*counted, 1000);
 }
 
-// Guards against calls that ask where news are fresh: a hop on their way that tells them nothing.
+// Guards against calls that ask although updates are fresh: a round trip that tells them nothing.
 Test(prefill_reservations, nobody_is_asked_where_updates_are_recent_enough)
 {
     GatewayNode node(settingsOfVm());
--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -34,7 +34,7 @@
     return std::make_shared<RouteTable>(std::move(config));
 }
 
-/** A VM that knows one engine, of another VM, and calls that wait for it. */
+/** A VM that knows one engine, whose lease another VM holds, and calls that wait for it. */
 struct WaitingCalls
 {
     WaitingCalls()
@@ -102,7 +102,8 @@
 
 } // namespace
 
-// Symptom: each news of an engine woke all calls that waited, and all but one found its slot taken.
+// Guards against an update on an engine that wakes all waiting calls: all but one find its slot
+// taken.
 Test(waiting, one_free_slot_wakes_the_most_urgent_call_alone)
 {
     WaitingCalls waitingCalls;
@@ -126,7 +127,7 @@
     cr_assert_eq(waitingCalls.woken.back(), 1);
 }
 
-// Guards against a call that waits for a slot though its adapter has come by another's load.
+// Guards against a call that waits for a slot although another call's load brought its adapter.
 Test(waiting, a_call_whose_adapter_is_there_is_woken_without_a_slot)
 {
     WaitingCalls waitingCalls;
@@ -138,7 +139,7 @@
     cr_assert_eq(waitingCalls.woken, std::vector<int>{1});
 }
 
-// Guards against calls that wait for an engine whose holder has told all to come later, and against
+// Guards against calls that wait for an engine whose lease holder made all back off, and against
 // callers that all come back at the same moment.
 Test(waiting, no_capacity_in_time_is_refused_at_once_with_the_time)
 {
@@ -159,8 +160,8 @@
     cr_assert(spread >= 0ms && spread <= answer.retryAfter / 4);
 }
 
-// Guards against a call of a caller that has gone, or of a service that is no longer configured,
-// which would wait for its whole patience.
+// Guards against a call that waits until its wait limit though its caller has gone, or its service
+// is no longer configured.
 Test(waiting, calls_that_can_no_longer_be_served_are_woken)
 {
     WaitingCalls waitingCalls;
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -81,7 +81,7 @@
 
 } // namespace
 
-// Guards against units that are lost with calls that have not run.
+// Guards against calls that are charged although they have not run.
 Test(workspaces, calls_that_have_not_run_use_nothing_up)
 {
     ServedCall served(600);
@@ -91,7 +91,7 @@
     cr_assert_eq(served.used(), 0);
 }
 
-// Guards against calls that run twice and count once.
+// Guards against calls that run twice and are charged once.
 Test(workspaces, a_retry_that_may_run_again_counts_again)
 {
     ServedCall served(600);
@@ -99,10 +99,11 @@
     chargeQuotaAgain(served.call);
     cr_assert_eq(served.used(), 1200);
     refundQuota(served.call);
-    cr_assert_eq(served.used(), 600, "the repeat has not run; the first send may have");
+    cr_assert_eq(served.used(), 600, "the retry has not run; the first attempt may have");
 }
 
-// Guards against a VM that has just started and takes itself for the only one.
+// Guards against a VM that has just started and takes itself for the only one: each such VM would
+// admit the whole limit.
 Test(workspaces, a_vm_that_knows_of_no_others_yet_admits_nothing)
 {
     ServedCall served(600);
@@ -112,8 +113,8 @@
     cr_assert_eq(served.used(), 0);
 }
 
-// Guards against the limit many times over after a common restart: VMs that had found only each
-// other so far, in twos and threes, each took themselves for all there are.
+// Guards against usage of many times the limit after a common restart: VMs that had found only each
+// other so far, in twos and threes, took themselves for all VMs.
 Test(workspaces, a_relay_that_has_just_started_does_not_know_how_many_vms_there_are)
 {
     ServedCall served(600);
@@ -123,18 +124,17 @@
     const std::optional<LocalReply> refused = chargeQuota(served.call);
     cr_assert(refused && refused->status == 503);
     served.node.bootedAt = BootClock::now() - 10s;
-    cr_assert(!chargeQuota(served.call),
-              "without the store, those that are heard count in the end");
+    cr_assert(!chargeQuota(served.call), "without the store, the VMs that report count in the end");
 }
 
-// Guards against refusing calls of all workspaces for seconds after a single VM was started anew:
-// it took itself for the only one and told the whole limit as used before its start.
+// Guards against calls of all workspaces that are refused for seconds after a single VM restarted:
+// it took itself for the only one and reported the whole limit as used before its start.
 Test(workspaces, a_restarted_vm_reports_its_own_part_of_the_window_before_as_used)
 {
     ServedCall served(600);
     served.node.settings.firstStart = false;
     served.node.vmListRead = false;
-    cr_assert_eq(served.used(), 0, "it cannot say before it knows how many there are");
+    cr_assert_eq(served.used(), 0, "unknown until it knows how many VMs there are");
     for (int vm = 2; vm <= 70; ++vm)
         addPeer(served.node, {"10.0.1." + std::to_string(vm), 7380},
                 {"vm-" + std::to_string(vm), "zone-a", 1});
@@ -143,8 +143,8 @@
     cr_assert_leq(served.used(), 10 * 1000 / 70);
 }
 
-// Guards against a limit that is passed after a common restart: VMs that could not tell their use
-// yet were counted as ones that had used nothing, and the others let their parts run.
+// Guards against a limit that is exceeded after a common restart: VMs that could not report their
+// usage yet were counted as having used nothing, and the others admitted their parts as well.
 Test(workspaces, a_vm_that_cannot_tell_its_use_yet_is_not_counted)
 {
     ServedCall served(600);
@@ -159,7 +159,7 @@
 }
 
 // Guards against workspaces that are refused for a minute after a common restart: VMs that took
-// each other for the relay added each other's sums again and again, and came to 2,258 VMs of 70.
+// each other for the relay added each other's sums again and again, and counted 2,258 VMs of 70.
 Test(workspaces, vms_that_report_to_each_other_count_each_other_once)
 {
     GatewayNode one(settingsOf("vm-1", "10.0.0.1"));
@@ -175,6 +175,7 @@
     cr_assert_eq(reachableVms(two, now), 2);
 }
 
+// Guards against a VM that admits calls as if no other VM used the workspace's limit.
 Test(workspaces, usage_of_other_vms_leaves_less)
 {
     ServedCall served(600);
@@ -191,7 +192,7 @@
     cr_assert(refused->retryAfter > 0s);
 }
 
-// Guards against a VM that is told of its own use again and counts it twice.
+// Guards against a VM that receives its own usage from its relay and counts it twice.
 Test(workspaces, a_vm_receives_the_usage_of_all_others)
 {
     ServedCall served(600);
@@ -228,7 +229,7 @@
     return arrived;
 }
 
-/** `told` with one more number in a field. */
+/** `message` with one more number in a field. */
 WorkspaceUse decodedWith(gateway::v1::WorkspaceUse message, int field, std::uint64_t number)
 {
     google::protobuf::UnknownFieldSet added;
@@ -241,8 +242,8 @@
 
 } // namespace
 
-// Guards against numbers that are lost under way, and against the demand of VMs of a former
-// version, which tell none by class, that is not counted at all.
+// Guards against numbers that are lost on the wire, and against demand that is not counted at all
+// where it comes from VMs of an older version, which send none by class.
 Test(workspaces, demand_arrives_as_it_was_sent)
 {
     cr_assert(decodeWorkspaceUse(sentAndReceived(usageWithClasses())) == usageWithClasses());
@@ -253,26 +254,27 @@
     cr_assert_eq(sentAndReceived({7000, 1000}).ByteSizeLong(), older.ByteSizeLong() + 7);
 }
 
-// Guards against invalid numbers that reach the sums: all of the entry is then of the last class.
+// Guards against invalid numbers that reach the sums: the whole entry then counts for the last
+// class.
 Test(workspaces, invalid_demand_by_class_is_rejected)
 {
     const WorkspaceUse plain{7000, 1000};
     const gateway::v1::WorkspaceUse message = sentAndReceived(usageWithClasses());
     for (const int field : {4, 5, 6})
-        cr_expect(decodedWith(message, field, 1) == plain, "one number of field %d too many",
+        cr_expect(decodedWith(message, field, 1) == plain, "one number too many in field %d",
                   field);
     cr_expect(decodedWith(sentAndReceived(plain), 4, 1) == plain, "one number only");
-    cr_expect(decodedWith(sentAndReceived(plain), 6, ~0ULL) == plain, "no sensible number");
+    cr_expect(decodedWith(sentAndReceived(plain), 6, ~0ULL) == plain, "a number out of range");
     WorkspaceUse more = usageWithClasses();
     more.requestedByClass[3] = 791;
-    cr_expect(decodeWorkspaceUse(sentAndReceived(more)) == plain,
-              "classes are more than the whole");
+    cr_expect(decodeWorkspaceUse(sentAndReceived(more)) == plain, "the classes exceed the total");
     gateway::v1::WorkspaceUse huge;
     huge.set_units(~0ULL);
-    cr_expect_gt(decodeWorkspaceUse(huge).unitsInWindow, 0, "use does not turn into room");
+    cr_expect_gt(decodeWorkspaceUse(huge).unitsInWindow, 0, "huge usage does not become negative");
 }
 
-// Guards against a booking that is refused beside long prompts, which use the limit up.
+// Guards against small calls, such as a booking, that are refused while long prompts use up the
+// limit.
 Test(workspaces, small_calls_run_beside_long_prompts_that_are_refused)
 {
     ServedCall served(900);
@@ -300,7 +302,7 @@
     cr_assert_eq(served.node.metrics.value(Counter::OverLimitSmall), 0);
 }
 
-// Guards against a key that is still honoured by a send that waited while it was taken.
+// Guards against an attempt that waited, and is still sent after its key was revoked.
 Test(workspaces, a_key_is_checked_again_before_each_attempt)
 {
     ServedCall served(600);
@@ -311,7 +313,8 @@
     cr_assert(taken && taken->status == 401);
 }
 
-// Guards against a VM that was suspended, or cut off, while a key was taken.
+// Guards against a VM that sends a call because it was suspended, or cut off, while a key was
+// revoked.
 Test(workspaces, an_old_confirmation_stops_an_attempt_where_key_checks_are_strict)
 {
     ServedCall served(600);
@@ -324,6 +327,7 @@
     cr_assert(refused && refused->status == 503);
 }
 
+// Guards against a VM that learns a configuration from another, but not when that was the newest.
 Test(workspaces, an_answer_reports_when_the_configuration_was_confirmed)
 {
     ServedCall served(600);
