--- a/libs/daemon/include/daemon/Daemon.h
+++ b/libs/daemon/include/daemon/Daemon.h
@@ -18,10 +18,10 @@
 /** How a daemon ended. */
 struct ShutdownReport
 {
-    std::uint64_t abortedRequests = 0; ///< in flight when the bound or a second signal ended it
+    std::uint64_t abortedRequests = 0; ///< aborted by the time limit or a second signal
 };
 
-/** One entry VM of the system. The kernel of all roles; main() and tests run it. */
+/** One entry VM of the system, with all its roles; run by main() and by tests. */
 class Daemon
 {
 public:
@@ -34,13 +34,13 @@
     DaemonPorts ports() const;
     bool ready() const;
 
-    /** Begins a graceful shutdown; the second call cuts what is still in flight. Thread-safe. */
+    /** Begins a graceful shutdown; the second call aborts requests in flight. Thread-safe. */
     void requestShutdown();
 
     /** Blocks until the shutdown is done. */
     ShutdownReport wait();
 
-    /** Ends at once, as a crash would, without telling anybody. For tests of failures. */
+    /** Ends at once, like a crash, without a message to any peer. For failure tests. */
     void kill();
 
 private:
--- a/libs/daemon/src/CallerRequest.h
+++ b/libs/daemon/src/CallerRequest.h
@@ -8,7 +8,7 @@
 
 namespace monsoonbay {
 
-/** A caller's request after the checks at the door. */
+/** A caller's request that passed the checks on arrival. */
 struct CallerRequest
 {
     std::string id;
--- a/libs/daemon/src/Coordinator.cpp
+++ b/libs/daemon/src/Coordinator.cpp
@@ -164,8 +164,8 @@
                 [&news](v1::PeerNews &message) { *message.add_verdicts() = news; });
 }
 
-// The owner of a target died with an order in its hands. Its successor finds out what became of the
-// load by the engine's report; the permit is free at once.
+// For owners that failed before they reported the result of a load command. The next owner learns
+// the outcome of the load from the engine's report; the permit is released at once.
 void releaseLostPermits(Node &node, const std::vector<Member> &alive)
 {
     const std::vector<LoadOrder> pending = node.placement.with([](const PlacementState &state) {
--- a/libs/daemon/src/Daemon.cpp
+++ b/libs/daemon/src/Daemon.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 constexpr auto pollInterval = std::chrono::milliseconds(20);
-/** Time for the goodbyes to reach the peers after the last request has ended. */
+/** Time for the leave messages to reach the peers. */
 constexpr auto leaveDelay = std::chrono::milliseconds(300);
 constexpr auto drainDelay = std::chrono::milliseconds(100);
 
--- a/libs/daemon/src/Guarded.h
+++ b/libs/daemon/src/Guarded.h
@@ -5,7 +5,7 @@
 
 namespace monsoonbay {
 
-/** A value that is reached only under its own lock; never hold two, nor one across I/O. */
+/** A value accessible only under its own lock; never hold two locks, nor one across I/O. */
 template <typename T> class Guarded
 {
 public:
--- a/libs/daemon/src/Ingress.cpp
+++ b/libs/daemon/src/Ingress.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t keptBodyBytes = 64 * 1024;
 constexpr Duration recheckInterval = std::chrono::milliseconds(200);
 
-/** One request on its way; lives on the connection's strand. */
+/** State of one request in progress; lives on the connection's strand. */
 struct RequestRun
 {
     RequestRun(Node &node, HttpExchange &exchange, CallerRequest request)
@@ -36,7 +36,7 @@
     CallerRequest request;
     RequestLifecycle life;
     AttemptEnd lastEnd;
-    std::string wholeBody; ///< a non-streamed answer, or what is kept of a streamed one
+    std::string wholeBody; ///< a non-streamed answer, or the part of a streamed one to store
     Instant lastPieceAt{};
     Duration stalled{};
     Duration retryAfter{};
@@ -76,7 +76,7 @@
     co_return !error;
 }
 
-/** Takes one event of an attempt; false if the caller is gone. */
+/** Handles one event of an attempt; false if the caller is gone. */
 asio::awaitable<bool> handleEvent(RequestRun &run, std::uint32_t attempt, const v1::RunEvent &event)
 {
     if (event.has_end()) {
@@ -98,7 +98,7 @@
     co_return delivered;
 }
 
-/** Stands for the owner's connection when this VM owns the target itself. */
+/** Takes the place of the owner's connection when this VM owns the target itself. */
 class LocalSink final : public RunSink
 {
 public:
@@ -163,8 +163,8 @@
         if (const auto open = weak.lock())
             open->cancel();
     };
-    // From here on a byte may have reached the owner, and through it the target: silence means
-    // "may have run" unless the owner says otherwise.
+    // From here on a byte may have reached the owner, and through it the target: without an answer
+    // the request may have run, unless the owner reports otherwise.
     run.lastEnd.dispatched = true;
     v1::RunEvent event;
     bool open = true;
@@ -217,7 +217,7 @@
             end = waiter->end;
             break;
         }
-        // It may have become resident between the look into the directory and the waiting.
+        // It may have become resident between the lookup in the directory and the wait.
         const std::shared_ptr<const Manifest> manifest = manifestInForce(node);
         const bool resident = node.directory
                                   .choose(adapter, *node.policy, manifest->head.weights.stall,
@@ -266,7 +266,7 @@
     co_return found;
 }
 
-/** The owner now of the target that an earlier attempt went to. */
+/** Route to the target of an earlier attempt, through its current owner. */
 TargetRoute routeToSame(const Node &node, const TargetRoute &before)
 {
     const VmId owner = node.ownership.with(
@@ -295,7 +295,7 @@
         node.directory.removeHolder(adapter, route.target);
 }
 
-/** Drives a model request to its ending. */
+/** Routes and attempts a model request until it ends. */
 asio::awaitable<RequestStep> driveModelRequest(RequestRun &run)
 {
     Node &node = run.node;
@@ -372,7 +372,7 @@
     run.lastEnd.pieces = 1;
 }
 
-/** Drives a call of a plain service to its ending; its answer is passed on as it is. */
+/** Attempts a call of a plain service until it ends; its answer is passed on unchanged. */
 asio::awaitable<RequestStep> drivePlainRequest(RequestRun &run, HttpResult &result)
 {
     RequestStep step{NextStep::Route, ErrorKind::Ok, {}};
@@ -390,7 +390,7 @@
     co_return step;
 }
 
-/** Begins the ingress span; all further hops are below it. */
+/** Begins the ingress span, the parent of the spans of all further hops. */
 Span beginSpan(const Node &node, CallerRequest &request)
 {
     Span span;
@@ -438,7 +438,7 @@
     }
 }
 
-/** Gives the caller the one end of its request. */
+/** Ends the request towards its caller: with the answer, an error, or an aborted connection. */
 asio::awaitable<void> conclude(RequestRun &run, const RequestStep &step, HttpReply whole)
 {
     if (step.kind == ErrorKind::CallerGone) {
@@ -461,8 +461,8 @@
         co_await run.exchange.respond(std::move(reply));
         co_return;
     }
-    // The head is out, so the status cannot tell; the event does, and the missing end of the
-    // chunks keeps a client that ignores events from taking the fragment for the whole.
+    // The head was sent, so the status cannot show the error; the event does, and the missing last
+    // chunk keeps a client that ignores events from taking the fragment for the whole answer.
     const std::string event = problemEvent(problem);
     co_await run.exchange.writeChunk(event);
     run.exchange.abort();
@@ -510,8 +510,8 @@
     node.metrics.add(Counter::KeyReplays);
     if (answer.kind != ErrorKind::Ok || !answer.bodyStored) {
         const ErrorKind kind = answer.kind == ErrorKind::Ok ? ErrorKind::MayHaveRun : answer.kind;
-        HttpReply reply = problemReply(
-            ProblemDetail{kind, false, "the first request with this key ended so", {}});
+        HttpReply reply = problemReply(ProblemDetail{
+            kind, false, "the first request with this key ended with this error", {}});
         co_await exchange.respond(std::move(reply));
         co_return;
     }
--- a/libs/daemon/src/KeyClient.cpp
+++ b/libs/daemon/src/KeyClient.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-// The holders are asked one after the other in rendezvous order. Two repeats that arrive at once
+// The holders are asked one after the other in rendezvous order. Two duplicates that arrive at once
 // at two entry VMs therefore meet at the first holder, and only one of them gets the key.
 asio::awaitable<KeyOutcome> reserveAtHolders(Node &node, const CallerRequest &request)
 {
--- a/libs/daemon/src/KeyClient.h
+++ b/libs/daemon/src/KeyClient.h
@@ -5,7 +5,7 @@
 
 namespace monsoonbay {
 
-/** What the holders of an Idempotency-Key's record allow, and the kept answer if it ran. */
+/** The decision by the holders of an Idempotency-Key's record, and the stored answer if any. */
 struct KeyOutcome
 {
     KeyDecision decision = KeyDecision::RefuseUnknown;
@@ -15,7 +15,7 @@
 /** Reserves the key at its holders and decides whether the request may run. */
 asio::awaitable<KeyOutcome> reserveAtHolders(Node &node, const CallerRequest &request);
 
-/** Tells the holders how the request ended; "not run" frees the key. */
+/** Reports to the holders how the request ended; `notRun` releases the key. */
 asio::awaitable<void> completeAtHolders(Node &node, const CallerRequest &request,
                                         StoredAnswer answer, bool notRun);
 
--- a/libs/daemon/src/ManifestReader.cpp
+++ b/libs/daemon/src/ManifestReader.cpp
@@ -78,8 +78,9 @@
     });
 }
 
-// Judging and putting in force happen under the lock of the accepted state's order: records come
-// from the log loop and from peers' fetches, and an older state must not be put over a newer one.
+// Records come from the log loop and from peers at the same time, and an older state must not
+// replace a newer one: a record is judged under the lock of the accepted state, and that state is
+// put in force only if its offset is above that of the manifest in force.
 void applyManifestRecord(Node &node, const ManifestRecord &record)
 {
     JudgedRecord judged;
@@ -160,8 +161,9 @@
              {{"log", node.settings.log.text()}});
 }
 
-// Records between what we read and what is retained are lost to us: among them may be accepted
-// manifests. What is in force stays so, but later deltas cannot be judged before a snapshot.
+// Records between the last one read and the first one retained are lost, and there may be accepted
+// manifests among them. The manifest in force stays, but later deltas cannot be judged before a
+// snapshot.
 void handleGap(Node &node, std::uint64_t position, std::uint64_t first)
 {
     node.manifest.with([&](AcceptedManifest &state) {
@@ -172,8 +174,8 @@
     });
 }
 
-// The coordinator puts the accepted state back on the log before retention takes the records that
-// it was made of; without that a new VM would find changes with nothing to apply them to.
+// The coordinator appends a snapshot of the accepted state to the log before retention drops the
+// records that it was made of; otherwise a new VM would find deltas without a base.
 asio::awaitable<void> snapshotIfDue(Node &node, std::uint64_t first, std::uint64_t next)
 {
     const VmId coordinator =
@@ -289,8 +291,8 @@
 
 void fetchIfNewer(Node &node, VmId peer, std::uint64_t offset)
 {
-    // A reader of the log is usually ahead by itself; the peers are asked only about what the log
-    // has not given, which while it is up resolves within a poll.
+    // This VM usually has the record from the log first; a peer is asked only for what the log has
+    // not delivered yet, which takes it one poll while it is reachable.
     const bool behind = offset > node.manifestOffset;
     if (!behind || node.stopped)
         return;
@@ -325,7 +327,7 @@
             applyLogRecord(node, record);
             position = std::max(position, record.value("offset", position) + 1);
         }
-        // What was skipped for want of a base is read again once a snapshot gave one.
+        // Records that were skipped for lack of a base are read again once a snapshot gave one.
         const std::uint64_t resumeAt = node.manifest.with([&](const AcceptedManifest &state) {
             const bool adopted = !wasBased && state.based;
             return adopted ? state.readThrough + 1 : position;
--- a/libs/daemon/src/Node.cpp
+++ b/libs/daemon/src/Node.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Distinguishes this run of the process from earlier ones under the same name, without any disk.
+// Distinguishes this run of the process from earlier ones of the same name, without disk storage.
 std::uint64_t newIncarnation()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
@@ -201,7 +201,7 @@
         call.path = "/v1/traces";
         call.body = otlpJson(node.settings.vm, node.settings.zone, spans);
         call.headers.push_back(HttpHeader{"Content-Type", "application/json"});
-        // A collector that is down costs its spans and nothing else.
+        // If the collector is down, these spans are lost and nothing else.
         co_await node.http.call(node.settings.traces, std::move(call), std::chrono::seconds(2));
     }
 }
--- a/libs/daemon/src/Node.h
+++ b/libs/daemon/src/Node.h
@@ -74,7 +74,7 @@
     int hits = 0;
 };
 
-/** What the manifest reader keeps beside the accepted state, to serve peers. */
+/** Records and verdicts that the manifest reader keeps to serve peers and operators. */
 struct ManifestHistory
 {
     std::deque<ManifestRecord> records;
@@ -83,11 +83,11 @@
     std::uint64_t lastSnapshotAt = 0; ///< offset of the newest snapshot record seen
 };
 
-/** Who coordinates load permits, as membership says now. */
+/** The VM that coordinates load permits, by the current membership. */
 struct CoordinatorView
 {
     VmId coordinator;
-    VmId deputy; ///< hears the demand too, so that a change of coordinator forgets nothing
+    VmId deputy; ///< receives the demand too, so that a change of coordinator loses none
 };
 
 /** Messages to one peer that wait to be sent. */
@@ -121,7 +121,7 @@
 
     Guarded<std::vector<ListedVm>> listed;
     Guarded<std::shared_ptr<const TargetMap>> targets;
-    Guarded<std::unordered_set<TargetId>> drained; ///< by operators' word
+    Guarded<std::unordered_set<TargetId>> drained; ///< by operators
 
     Guarded<MembershipState> membership;
     Guarded<CoordinatorView> coordinator;
@@ -159,17 +159,19 @@
 
 bool isReady(const Node &node);
 
-/** Joins the VM list with the manifest and the operators' drains, and tells all who depend on it.
+/**
+ * Joins the VM list with the manifest and the operators' drains; updates ownership, directory and
+ * placement by the result.
  */
 void refreshTargets(Node &node);
 
-/** True if spans are wanted; without a collector none are made. */
+/** True if a trace collector is configured; without one no spans are recorded. */
 bool isTraced(const Node &node);
 
 /** Sends spans to the collector once a second. */
 asio::awaitable<void> traceLoop(Node &node);
 
-/** Sleeps on the calling coroutine's executor; returns early if the node stops. */
+/** Sleeps on the calling coroutine's executor. */
 asio::awaitable<void> pause(Duration duration);
 
 } // namespace monsoonbay
--- a/libs/daemon/src/Operators.cpp
+++ b/libs/daemon/src/Operators.cpp
@@ -181,8 +181,8 @@
     const std::optional<TargetInfo> info = findTarget(node, TargetId::of(target));
     if (!info)
         co_return textReply(404, "no such target; see monsoonbayctl status\n");
-    // Put into force here at once, so that a target this VM owns stops even while the log is out;
-    // the record tells the other VMs and outlives this one.
+    // Applied here at once, so that a target that this VM owns is drained even while the log is
+    // unreachable; the record in the log informs the other VMs and outlives this process.
     node.drained.with([&](auto &drained) {
         if (on)
             drained.insert(info->id);
--- a/libs/daemon/src/OwnerLoop.cpp
+++ b/libs/daemon/src/OwnerLoop.cpp
@@ -23,7 +23,7 @@
 constexpr Duration appendTimeout = std::chrono::milliseconds(500);
 constexpr Duration probeInterval = std::chrono::milliseconds(500);
 constexpr Duration loadReportInterval = std::chrono::milliseconds(300);
-/** Shorter than a lease: whoever answers us within one knows our claims. */
+/** Shorter than a lease: a peer that answers within a lease knows this VM's claims. */
 constexpr Duration statusRepeatInterval = std::chrono::seconds(1);
 
 std::string targetName(const Node &node, TargetId target)
@@ -32,7 +32,7 @@
     return info ? info->declaration.name : "unknown";
 }
 
-/** One order to an engine, with the fencing token of the claim it is given under. */
+/** One command to an engine, with the fencing token of the claim that it is sent under. */
 HttpCall commandCall(const FencingToken &token, const std::string &order,
                      const std::string &adapter, const std::string &evict)
 {
@@ -116,7 +116,7 @@
     logEvent(EventId::StaleOrderRefused, {{"target", targetName(node, target)}});
     const FencingToken higher{higherToken(body), ~std::uint64_t{0} >> 1U};
     node.ownership.with([&](OwnershipState &state) {
-        // The engine names only the offset; any local count may stand behind it.
+        // The engine reports only the offset; the local count of that token may be any.
         const std::uint64_t local = state.highest.local;
         recordEngineRefused(state, target, higher);
         state.highest.local = local + 1;
@@ -302,7 +302,7 @@
         }
         if (table.loading)
             status.loading = table.loading->id();
-        // Taken under the table's lock, so that a later count never carries an older content.
+        // Counted under the table's lock, so that a later count never carries older content.
         status.version.change = ++engine->statusRevision;
     });
     return status;
@@ -350,8 +350,8 @@
     return hash;
 }
 
-// Load and pins change with every request; they are told a few times a second, and only if they
-// differ. All is repeated now and then for peers that missed a message.
+// Load and pins change with every request; they are reported a few times a second, and only if they
+// differ. The status is also repeated at intervals for peers that missed a message.
 void reportLoads(Node &node)
 {
     std::vector<TargetId> owned;
--- a/libs/daemon/src/OwnerRun.cpp
+++ b/libs/daemon/src/OwnerRun.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t maxEventBytes = 1024 * 1024;
 constexpr Duration cancelTimeout = std::chrono::seconds(2);
 
-/** How far a run came. */
+/** Progress and outcome of a run. */
 struct RunProgress
 {
     ErrorKind kind = ErrorKind::Ok;
@@ -125,7 +125,7 @@
         progress.kind = ErrorKind::Ok;
         co_return;
     }
-    // The engine closed the stream properly, but without its end mark: a short answer.
+    // The engine closed the stream properly, but without its end marker: a short answer.
     logEvent(EventId::ShortAnswer, {{"request", request.request_id()}});
 }
 
@@ -207,7 +207,7 @@
         std::string body;
         co_await stream->read(body);
         progress.kind = kindOfStatus(head.status, body, request.resume());
-        // These are the engine's own word that it ran nothing.
+        // With these the engine itself states that it ran nothing.
         const bool ranNothing = progress.kind != ErrorKind::MayHaveRun;
         progress.dispatched = !ranNothing;
         progress.ended = ranNothing;
@@ -231,7 +231,7 @@
     return event;
 }
 
-/** Says at once that nothing ran. */
+/** Ends the run at once with the report that nothing ran. */
 asio::awaitable<void> decline(RunSink &sink, ErrorKind kind)
 {
     RunProgress progress;
--- a/libs/daemon/src/PeerExchange.cpp
+++ b/libs/daemon/src/PeerExchange.cpp
@@ -105,8 +105,8 @@
     co_return true;
 }
 
-// One message at a time to each peer: what comes up meanwhile goes together into the next, so
-// a slow peer gets fewer and larger messages instead of a growing queue.
+// One message at a time to each peer: what is posted meanwhile is merged into the next, so that a
+// slow peer gets fewer and larger messages instead of a growing queue.
 asio::awaitable<void> drainOutbox(Node &node, VmId to)
 {
     while (true) {
@@ -127,7 +127,7 @@
         const bool sent = co_await sendNews(node, to, *news, newsTimeout);
         if (sent)
             continue;
-        // An order that did not get through would keep its permit until the load times out, and
+        // A load command that was not delivered would keep its permit until the load times out, and
         // nothing would be loaded meanwhile.
         for (const v1::LoadOrder &order : news->orders())
             reportLoadResult(node, order.permit(), order, LoadOutcome::Declined);
@@ -162,8 +162,9 @@
     });
 }
 
-// The zone's peers vouch for an unfenced target's lease only if every one of them answered us: one
-// that is heard through others, or that we hear but that does not hear us, knows not of our claim.
+// The zone's peers confirm an unfenced target's lease only if every one of them answered this VM: a
+// peer known through others, or one whose messages arrive here but that gets none from here, does
+// not know of this VM's claim.
 std::optional<Instant> zonePeersAnsweredAt(const MembershipState &state, Instant now)
 {
     Instant oldest = now;
@@ -353,7 +354,7 @@
     if (!state.based || state.readThrough <= request.read_through())
         return reply;
     const bool complete = node.history.with([&](const ManifestHistory &history) {
-        // Who has judged nothing has no base to apply records to, however complete they are.
+        // A VM that has judged no record has no base to apply records to, however complete.
         if (request.read_through() == 0 || request.read_through() < history.completeAfter)
             return false;
         for (const ManifestRecord &record : history.records) {
--- a/libs/daemon/src/PeerExchange.h
+++ b/libs/daemon/src/PeerExchange.h
@@ -6,16 +6,16 @@
 
 namespace monsoonbay {
 
-/** Adds to the next message to a peer and sends it as soon as the one before is through. */
+/** Adds to the next message to a peer, which is sent once the one before was answered or failed. */
 void postUpdates(Node &node, VmId to, const std::function<void(v1::PeerNews &)> &add);
 
 /** Adds to the next message to every peer that counts as alive. */
 void postToAll(Node &node, const std::function<void(v1::PeerNews &)> &add);
 
-/** Takes a message of a peer; the reply carries gossip and the manifest in force here. */
+/** Applies a peer's message; the reply carries gossip and the mark of the manifest in force. */
 asio::awaitable<v1::PeerNewsReply> takeNews(Node &node, v1::PeerNews news);
 
-/** Probes members, spreads what they tell, and keeps the views that depend on who is alive. */
+/** Probes members, and updates the state that depends on which of them are alive. */
 asio::awaitable<void> membershipLoop(Node &node);
 
 v1::RecordReply takeRecord(Node &node, const v1::RecordRequest &request);
--- a/libs/daemon/src/ProblemReply.cpp
+++ b/libs/daemon/src/ProblemReply.cpp
@@ -21,7 +21,7 @@
     return json;
 }
 
-// Rounded up to whole seconds, as the header wants; a caller that comes back early only waits.
+// Rounded up to whole seconds, as the header requires; a caller that retries early only waits.
 std::string retryAfterSeconds(Duration wait)
 {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(wait).count();
--- a/libs/daemon/src/ProblemReply.h
+++ b/libs/daemon/src/ProblemReply.h
@@ -8,7 +8,7 @@
 
 namespace monsoonbay {
 
-/** What the caller is told of a request that was not answered. */
+/** The error reported to the caller of a request that was not answered. */
 struct ProblemDetail
 {
     ErrorKind kind = ErrorKind::BadRequest;
@@ -17,7 +17,7 @@
     Duration retryAfter{};
 };
 
-/** An RFC 9457 problem document with a stable type, notRun, and Retry-After where it helps. */
+/** An RFC 9457 problem document with a stable type, notRun, and Retry-After where it applies. */
 HttpReply problemReply(const ProblemDetail &problem);
 
 /** The same as the last event of a stream that has begun. */
--- a/libs/daemon/src/Waiters.h
+++ b/libs/daemon/src/Waiters.h
@@ -21,11 +21,11 @@
 /** How waiting for an adapter ended. */
 struct WaitResult
 {
-    ErrorKind refusal = ErrorKind::Ok; ///< Ok: ask the directory again
+    ErrorKind refusal = ErrorKind::Ok; ///< Ok: look up the directory again
     Duration retryAfter{};
 };
 
-/** All who wait here for one adapter, as the coordinator is told. */
+/** The requests that wait here for one adapter, as reported to the coordinator. */
 struct WaitSummary
 {
     AdapterId adapter;
@@ -58,7 +58,7 @@
     void add(AdapterId adapter, const WaiterPtr &waiter);
     void remove(AdapterId adapter, const WaiterPtr &waiter);
 
-    /** Lets all who wait for the adapter go on, or refuses them. */
+    /** Lets all requests that wait for the adapter continue, or refuses them. */
     void wake(AdapterId adapter, const WaitResult &end);
 
     WaitSummary summary(AdapterId adapter) const;
