--- a/libs/daemon/src/Ingress.cpp
+++ b/libs/daemon/src/Ingress.cpp
@@ -23,9 +23,9 @@
 constexpr Duration recheckInterval = std::chrono::milliseconds(200);
 
 /** State of one request in progress; lives on the connection's strand. */
-struct RequestRun
+struct ActiveRequest
 {
-    RequestRun(Node &node, HttpExchange &exchange, CallerRequest request)
+    ActiveRequest(Node &node, HttpExchange &exchange, CallerRequest request)
         : node(node)
         , exchange(exchange)
         , request(std::move(request))
@@ -51,50 +51,51 @@
     ErrorKind refusal = ErrorKind::NoTarget;
 };
 
-asio::awaitable<bool> deliver(RequestRun &run, const std::string &data)
+asio::awaitable<bool> deliver(ActiveRequest &active, const std::string &data)
 {
     const Instant now = BootClock::now();
-    const bool first = run.life.delivered == 1 && !run.life.headDelivered;
+    const bool first = active.life.delivered == 1 && !active.life.headDelivered;
     if (first)
-        run.node.metrics.record(Timing::FirstPiece, toSeconds(now - run.request.arrived));
+        active.node.metrics.record(Timing::FirstPiece, toSeconds(now - active.request.arrived));
     else
-        run.node.metrics.record(Timing::BetweenPieces, toSeconds(now - run.lastPieceAt));
-    run.lastPieceAt = now;
-    const bool kept = !run.request.streamed || !run.request.idempotencyKey.empty();
-    if (kept && (!run.request.streamed || run.wholeBody.size() < keptBodyBytes))
-        run.wholeBody += data;
-    if (!run.request.streamed)
+        active.node.metrics.record(Timing::BetweenPieces, toSeconds(now - active.lastPieceAt));
+    active.lastPieceAt = now;
+    const bool kept = !active.request.streamed || !active.request.idempotencyKey.empty();
+    if (kept && (!active.request.streamed || active.wholeBody.size() < keptBodyBytes))
+        active.wholeBody += data;
+    if (!active.request.streamed)
         co_return true;
-    if (!run.life.headDelivered) {
-        run.life.headDelivered = true;
+    if (!active.life.headDelivered) {
+        active.life.headDelivered = true;
         std::string type = "text/event-stream";
-        const std::error_code error = co_await run.exchange.beginStream(200, std::move(type));
+        const std::error_code error = co_await active.exchange.beginStream(200, std::move(type));
         if (error)
             co_return false;
     }
-    const std::error_code error = co_await run.exchange.writeChunk(data);
+    const std::error_code error = co_await active.exchange.writeChunk(data);
     co_return !error;
 }
 
 /** Handles one event of an attempt; false if the caller is gone. */
-asio::awaitable<bool> handleEvent(RequestRun &run, std::uint32_t attempt, const v1::RunEvent &event)
+asio::awaitable<bool> handleEvent(ActiveRequest &active, std::uint32_t attempt,
+                                  const v1::RunEvent &event)
 {
     if (event.has_end()) {
-        run.lastEnd.attempt = attempt;
-        run.lastEnd.kind = static_cast<ErrorKind>(event.end().kind());
-        run.lastEnd.dispatched = event.end().dispatched();
-        run.lastEnd.pieces = event.end().pieces();
+        active.lastEnd.attempt = attempt;
+        active.lastEnd.kind = static_cast<ErrorKind>(event.end().kind());
+        active.lastEnd.dispatched = event.end().dispatched();
+        active.lastEnd.pieces = event.end().pieces();
         co_return true;
     }
     if (!event.has_piece())
         co_return true;
-    if (!takePiece(run.life, attempt, event.piece().position())) {
-        run.node.metrics.add(Counter::PiecesDropped);
+    if (!takePiece(active.life, attempt, event.piece().position())) {
+        active.node.metrics.add(Counter::PiecesDropped);
         co_return true;
     }
-    const bool delivered = co_await deliver(run, event.piece().data());
+    const bool delivered = co_await deliver(active, event.piece().data());
     if (!delivered)
-        run.callerGone = true;
+        active.callerGone = true;
     co_return delivered;
 }
 
@@ -102,37 +103,37 @@
 class LocalSink final : public RunSink
 {
 public:
-    LocalSink(RequestRun &run, std::uint32_t attempt)
-        : run(run)
+    LocalSink(ActiveRequest &active, std::uint32_t attempt)
+        : active(active)
         , attempt(attempt)
     { }
 
     asio::awaitable<bool> write(const v1::RunEvent &event) override
     {
-        return handleEvent(this->run, this->attempt, event);
+        return handleEvent(this->active, this->attempt, event);
     }
 
     bool gone() const override
     {
-        return this->run.callerGone;
+        return this->active.callerGone;
     }
 
     void whenGone(std::function<void()> handler) override
     {
-        if (this->run.callerGone)
+        if (this->active.callerGone)
             handler();
         else
-            this->run.cancelAttempt = std::move(handler);
+            this->active.cancelAttempt = std::move(handler);
     }
 
 private:
-    RequestRun &run;
+    ActiveRequest &active;
     std::uint32_t attempt;
 };
 
-v1::RunRequest runRequest(const RequestRun &run, TargetId target, bool resume)
+v1::RunRequest runRequest(const ActiveRequest &active, TargetId target, bool resume)
 {
-    const CallerRequest &request = run.request;
+    const CallerRequest &request = active.request;
     v1::RunRequest order;
     order.set_request_id(request.id);
     order.set_target(target.value);
@@ -146,72 +147,72 @@
     order.set_priority(request.priority);
     order.set_idempotent(request.idempotent);
     order.set_resume(resume);
-    order.set_resume_from(run.life.delivered);
+    order.set_resume_from(active.life.delivered);
     order.set_traceparent(request.traceparent);
     return order;
 }
 
-asio::awaitable<void> attemptRemotely(RequestRun &run, const v1::RunRequest &order, VmId owner,
-                                      std::uint32_t attempt)
+asio::awaitable<void> attemptRemotely(ActiveRequest &active, const v1::RunRequest &order,
+                                      VmId owner, std::uint32_t attempt)
 {
-    const std::optional<Endpoint> endpoint = peerEndpoint(run.node, owner);
+    const std::optional<Endpoint> endpoint = peerEndpoint(active.node, owner);
     if (!endpoint)
         co_return;
     const Duration timeout = std::chrono::milliseconds(order.deadline_ms());
-    const std::shared_ptr<RemoteRun> remote = run.node.peers.run(*endpoint, order, timeout);
-    run.cancelAttempt = [weak = std::weak_ptr(remote)] {
+    const std::shared_ptr<RemoteRun> remote = active.node.peers.run(*endpoint, order, timeout);
+    active.cancelAttempt = [weak = std::weak_ptr(remote)] {
         if (const auto open = weak.lock())
             open->cancel();
     };
     // From here on a byte may have reached the owner, and through it the target: without an answer
     // the request may have run, unless the owner reports otherwise.
-    run.lastEnd.dispatched = true;
+    active.lastEnd.dispatched = true;
     v1::RunEvent event;
     bool open = true;
     while (open) {
         open = co_await remote->read(event);
         if (!open)
             break;
-        const bool more = co_await handleEvent(run, attempt, event);
+        const bool more = co_await handleEvent(active, attempt, event);
         if (!more || event.has_end())
             break;
     }
 }
 
-asio::awaitable<void> attemptAt(RequestRun &run, TargetRoute route, bool resume)
+asio::awaitable<void> attemptAt(ActiveRequest &active, TargetRoute route, bool resume)
 {
-    const std::uint32_t attempt = beginAttempt(run.life);
-    run.lastEnd = AttemptEnd{attempt, ErrorKind::PeerUnreachable, false, 0};
-    const v1::RunRequest order = runRequest(run, route.target, resume);
-    run.node.directory.recordSent(route.target);
-    if (route.owner == run.node.self) {
-        auto sink = std::make_shared<LocalSink>(run, attempt);
-        co_await runOnTarget(run.node, order, sink);
+    const std::uint32_t attempt = beginAttempt(active.life);
+    active.lastEnd = AttemptEnd{attempt, ErrorKind::PeerUnreachable, false, 0};
+    const v1::RunRequest order = runRequest(active, route.target, resume);
+    active.node.directory.recordSent(route.target);
+    if (route.owner == active.node.self) {
+        auto sink = std::make_shared<LocalSink>(active, attempt);
+        co_await runOnTarget(active.node, order, sink);
     } else {
-        co_await attemptRemotely(run, order, route.owner, attempt);
+        co_await attemptRemotely(active, order, route.owner, attempt);
     }
-    run.cancelAttempt = nullptr;
-    if (run.callerGone)
-        run.lastEnd.kind = ErrorKind::CallerGone;
+    active.cancelAttempt = nullptr;
+    if (active.callerGone)
+        active.lastEnd.kind = ErrorKind::CallerGone;
 }
 
-asio::awaitable<WaitResult> waitForResident(RequestRun &run)
+asio::awaitable<WaitResult> waitForResident(ActiveRequest &active)
 {
-    Node &node = run.node;
-    const AdapterId adapter = run.request.adapter.id();
+    Node &node = active.node;
+    const AdapterId adapter = active.request.adapter.id();
     const auto waiter = std::make_shared<Waiters::Waiter>(co_await asio::this_coro::executor);
-    waiter->arrived = run.request.arrived;
-    waiter->deadline = run.request.deadline;
-    waiter->weight = 1.0 + 0.25 * (5 - run.request.priority);
+    waiter->arrived = active.request.arrived;
+    waiter->deadline = active.request.deadline;
+    waiter->weight = 1.0 + 0.25 * (5 - active.request.priority);
     node.waiters.add(adapter, waiter);
-    run.cancelAttempt = [waiter] {
+    active.cancelAttempt = [waiter] {
         waiter->timer.cancel();
     };
     reportWant(node, adapter);
     WaitResult end;
     end.refusal = ErrorKind::DeadlinePassed;
-    while (!run.callerGone) {
-        const Instant until = std::min(run.request.deadline, BootClock::now() + recheckInterval);
+    while (!active.callerGone) {
+        const Instant until = std::min(active.request.deadline, BootClock::now() + recheckInterval);
         const bool woken = co_await waitFor(waiter, until);
         if (woken) {
             end = waiter->end;
@@ -227,10 +228,10 @@
             end.refusal = ErrorKind::Ok;
             break;
         }
-        if (BootClock::now() >= run.request.deadline)
+        if (BootClock::now() >= active.request.deadline)
             break;
     }
-    run.cancelAttempt = nullptr;
+    active.cancelAttempt = nullptr;
     node.waiters.remove(adapter, waiter);
     if (!waiter->woken)
         reportWant(node, adapter);
@@ -238,27 +239,27 @@
 }
 
 /** Finds a target that holds the adapter, waiting for a load if none does. */
-asio::awaitable<FoundRoute> findRoute(RequestRun &run)
+asio::awaitable<FoundRoute> findRoute(ActiveRequest &active)
 {
-    Node &node = run.node;
-    const AdapterId adapter = run.request.adapter.id();
+    Node &node = active.node;
+    const AdapterId adapter = active.request.adapter.id();
     FoundRoute found;
-    while (!run.callerGone) {
+    while (!active.callerGone) {
         const std::shared_ptr<const Manifest> manifest = manifestInForce(node);
         found.route = node.directory.choose(adapter, *node.policy, manifest->head.weights.stall,
                                             manifest->head.weights.batch);
         if (found.route)
             co_return found;
         const Instant began = BootClock::now();
-        if (began >= run.request.deadline) {
+        if (began >= active.request.deadline) {
             found.refusal = ErrorKind::DeadlinePassed;
             co_return found;
         }
-        const WaitResult end = co_await waitForResident(run);
-        run.stalled += BootClock::now() - began;
+        const WaitResult end = co_await waitForResident(active);
+        active.stalled += BootClock::now() - began;
         if (end.refusal != ErrorKind::Ok) {
             found.refusal = end.refusal;
-            run.retryAfter = end.retryAfter;
+            active.retryAfter = end.retryAfter;
             co_return found;
         }
     }
@@ -274,11 +275,11 @@
     return TargetRoute{before.target, owner.value == 0 ? before.owner : owner};
 }
 
-RequestStep nextStep(RequestRun &run)
+RequestStep nextStep(ActiveRequest &active)
 {
     const Instant now = BootClock::now();
-    return run.node.retries.with(
-        [&](RetryBudget &budget) { return endAttempt(run.life, run.lastEnd, budget, now); });
+    return active.node.retries.with(
+        [&](RetryBudget &budget) { return endAttempt(active.life, active.lastEnd, budget, now); });
 }
 
 void countStep(Node &node, const RequestStep &step, const TargetRoute &route, AdapterId adapter)
@@ -296,10 +297,10 @@
 }
 
 /** Routes and attempts a model request until it ends. */
-asio::awaitable<RequestStep> driveModelRequest(RequestRun &run)
+asio::awaitable<RequestStep> driveModelRequest(ActiveRequest &active)
 {
-    Node &node = run.node;
-    const AdapterId adapter = run.request.adapter.id();
+    Node &node = active.node;
+    const AdapterId adapter = active.request.adapter.id();
     RequestStep step{NextStep::Route, ErrorKind::Ok, {}};
     TargetRoute route;
     bool counted = false;
@@ -309,20 +310,20 @@
         const bool resume = step.step == NextStep::Resume;
         if (resume) {
             route = routeToSame(node, route);
-            logEvent(EventId::StreamResumed, {{"request", run.request.id}});
+            logEvent(EventId::StreamResumed, {{"request", active.request.id}});
         } else {
-            const FoundRoute found = co_await findRoute(run);
+            const FoundRoute found = co_await findRoute(active);
             if (!counted)
-                countDemand(node, adapter, run.stalled == Duration{});
+                countDemand(node, adapter, active.stalled == Duration{});
             counted = true;
             if (!found.route) {
-                step = endRouting(run.life, found.refusal);
+                step = endRouting(active.life, found.refusal);
                 break;
             }
             route = *found.route;
         }
-        co_await attemptAt(run, route, resume);
-        step = nextStep(run);
+        co_await attemptAt(active, route, resume);
+        step = nextStep(active);
         countStep(node, step, route, adapter);
     }
     co_return step;
@@ -347,45 +348,47 @@
     return *candidates[node.nextRequest.load() % candidates.size()];
 }
 
-asio::awaitable<void> attemptPlain(RequestRun &run, const TargetInfo &info, HttpResult &result)
+asio::awaitable<void> attemptPlain(ActiveRequest &active, const TargetInfo &info,
+                                   HttpResult &result)
 {
-    const std::uint32_t attempt = beginAttempt(run.life);
-    run.lastEnd = AttemptEnd{attempt, ErrorKind::NoTarget, false, 0};
+    const std::uint32_t attempt = beginAttempt(active.life);
+    active.lastEnd = AttemptEnd{attempt, ErrorKind::NoTarget, false, 0};
     HttpCall call;
-    call.method = run.request.method;
-    call.path = run.request.path;
-    call.body = run.request.body;
-    call.headers.push_back(HttpHeader{"X-Request-Id", run.request.id});
-    if (!run.request.contentType.empty())
-        call.headers.push_back(HttpHeader{"Content-Type", run.request.contentType});
-    if (!run.request.traceparent.empty())
-        call.headers.push_back(HttpHeader{"traceparent", run.request.traceparent});
-    const Duration left = run.request.deadline - BootClock::now();
-    result = co_await run.node.http.call(info.endpoint, std::move(call), left);
-    run.lastEnd.dispatched = result.sent;
+    call.method = active.request.method;
+    call.path = active.request.path;
+    call.body = active.request.body;
+    call.headers.push_back(HttpHeader{"X-Request-Id", active.request.id});
+    if (!active.request.contentType.empty())
+        call.headers.push_back(HttpHeader{"Content-Type", active.request.contentType});
+    if (!active.request.traceparent.empty())
+        call.headers.push_back(HttpHeader{"traceparent", active.request.traceparent});
+    const Duration left = active.request.deadline - BootClock::now();
+    result = co_await active.node.http.call(info.endpoint, std::move(call), left);
+    active.lastEnd.dispatched = result.sent;
     if (result.error) {
-        run.lastEnd.kind = result.sent ? ErrorKind::MayHaveRun : ErrorKind::NoTarget;
+        active.lastEnd.kind = result.sent ? ErrorKind::MayHaveRun : ErrorKind::NoTarget;
         co_return;
     }
-    takePiece(run.life, attempt, 0);
-    run.lastEnd.kind = ErrorKind::Ok;
-    run.lastEnd.pieces = 1;
+    takePiece(active.life, attempt, 0);
+    active.lastEnd.kind = ErrorKind::Ok;
+    active.lastEnd.pieces = 1;
 }
 
 /** Attempts a call of a plain service until it ends; its answer is passed on unchanged. */
-asio::awaitable<RequestStep> drivePlainRequest(RequestRun &run, HttpResult &result)
+asio::awaitable<RequestStep> drivePlainRequest(ActiveRequest &active, HttpResult &result)
 {
     RequestStep step{NextStep::Route, ErrorKind::Ok, {}};
     while (step.step == NextStep::Route) {
         if (step.wait > Duration{})
             co_await pause(step.wait);
-        const std::optional<TargetInfo> info = plainTarget(run.node, run.request.plainService);
+        const std::optional<TargetInfo> info =
+            plainTarget(active.node, active.request.plainService);
         if (!info) {
-            step = endRouting(run.life, ErrorKind::NoTarget);
+            step = endRouting(active.life, ErrorKind::NoTarget);
             break;
         }
-        co_await attemptPlain(run, *info, result);
-        step = nextStep(run);
+        co_await attemptPlain(active, *info, result);
+        step = nextStep(active);
     }
     co_return step;
 }
@@ -405,104 +408,104 @@
     return span;
 }
 
-void endSpan(RequestRun &run, Span span, const RequestStep &step)
+void endSpan(ActiveRequest &active, Span span, const RequestStep &step)
 {
     if (span.startNanos == 0)
         return;
     span.endNanos = unixNanos();
     span.failed = step.step != NextStep::Answered;
-    span.attributes = {{"request", run.request.id},
+    span.attributes = {{"request", active.request.id},
                        {"end", std::string(errorName(step.kind))},
-                       {"adapter", run.request.isModel() ? run.request.adapter.text() : ""},
-                       {"stallSeconds", std::to_string(toSeconds(run.stalled))}};
-    run.node.spans.add(std::move(span));
+                       {"adapter", active.request.isModel() ? active.request.adapter.text() : ""},
+                       {"stallSeconds", std::to_string(toSeconds(active.stalled))}};
+    active.node.spans.add(std::move(span));
 }
 
-void recordEnd(RequestRun &run, const RequestStep &step)
+void recordEnd(ActiveRequest &active, const RequestStep &step)
 {
-    Metrics &metrics = run.node.metrics;
-    if (run.request.isModel()) {
-        metrics.record(Timing::LoadStall, toSeconds(run.stalled));
-        if (run.stalled > Duration{})
+    Metrics &metrics = active.node.metrics;
+    if (active.request.isModel()) {
+        metrics.record(Timing::LoadStall, toSeconds(active.stalled));
+        if (active.stalled > Duration{})
             metrics.add(Counter::RequestsStalled);
     }
     if (step.step == NextStep::Answered) {
         metrics.add(Counter::RequestsAnswered);
     } else if (step.step == NextStep::Refuse) {
         metrics.add(Counter::RequestsRefused);
-        metrics.record(Timing::Refusal, toSeconds(BootClock::now() - run.request.arrived));
+        metrics.record(Timing::Refusal, toSeconds(BootClock::now() - active.request.arrived));
     } else {
         metrics.add(Counter::RequestsFailed);
         logEvent(EventId::AnswerLost,
-                 {{"request", run.request.id}, {"kind", std::string(errorName(step.kind))}});
+                 {{"request", active.request.id}, {"kind", std::string(errorName(step.kind))}});
     }
 }
 
 /** Ends the request towards its caller: with the answer, an error, or an aborted connection. */
-asio::awaitable<void> conclude(RequestRun &run, const RequestStep &step, HttpReply whole)
+asio::awaitable<void> conclude(ActiveRequest &active, const RequestStep &step, HttpReply whole)
 {
     if (step.kind == ErrorKind::CallerGone) {
-        run.exchange.abort();
+        active.exchange.abort();
         co_return;
     }
     if (step.step == NextStep::Answered) {
-        if (!run.life.headDelivered) {
-            co_await run.exchange.respond(std::move(whole));
+        if (!active.life.headDelivered) {
+            co_await active.exchange.respond(std::move(whole));
             co_return;
         }
         const std::string done = "data: [DONE]\n\n";
-        co_await run.exchange.writeChunk(done);
-        co_await run.exchange.endStream();
+        co_await active.exchange.writeChunk(done);
+        co_await active.exchange.endStream();
         co_return;
     }
-    const ProblemDetail problem{step.kind, step.step == NextStep::Refuse, "", run.retryAfter};
-    if (!run.life.headDelivered) {
+    const ProblemDetail problem{step.kind, step.step == NextStep::Refuse, "", active.retryAfter};
+    if (!active.life.headDelivered) {
         HttpReply reply = problemReply(problem);
-        co_await run.exchange.respond(std::move(reply));
+        co_await active.exchange.respond(std::move(reply));
         co_return;
     }
     // The head was sent, so the status cannot show the error; the event does, and the missing last
     // chunk keeps a client that ignores events from taking the fragment for the whole answer.
     const std::string event = problemEvent(problem);
-    co_await run.exchange.writeChunk(event);
-    run.exchange.abort();
+    co_await active.exchange.writeChunk(event);
+    active.exchange.abort();
 }
 
-asio::awaitable<void> watchCaller(RequestRun &run)
+asio::awaitable<void> watchCaller(ActiveRequest &active)
 {
-    co_await run.exchange.callerGone();
-    if (run.exchange.begun() && !run.life.headDelivered)
+    co_await active.exchange.callerGone();
+    if (active.exchange.begun() && !active.life.headDelivered)
         co_return;
-    run.callerGone = true;
-    if (run.cancelAttempt)
-        run.cancelAttempt();
+    active.callerGone = true;
+    if (active.cancelAttempt)
+        active.cancelAttempt();
 }
 
-asio::awaitable<void> serve(RequestRun &run)
+asio::awaitable<void> serve(ActiveRequest &active)
 {
     HttpReply whole;
     HttpResult plain;
     RequestStep step;
-    Span span = beginSpan(run.node, run.request);
-    if (run.request.isModel()) {
-        step = co_await driveModelRequest(run);
-        whole.body = run.wholeBody;
+    Span span = beginSpan(active.node, active.request);
+    if (active.request.isModel()) {
+        step = co_await driveModelRequest(active);
+        whole.body = active.wholeBody;
     } else {
-        step = co_await drivePlainRequest(run, plain);
+        step = co_await drivePlainRequest(active, plain);
         whole.status = plain.status;
         whole.contentType = plain.contentType;
         whole.body = plain.body;
     }
-    recordEnd(run, step);
-    endSpan(run, std::move(span), step);
-    if (!run.request.idempotencyKey.empty()) {
+    recordEnd(active, step);
+    endSpan(active, std::move(span), step);
+    if (!active.request.idempotencyKey.empty()) {
         StoredAnswer kept{step.kind, whole.status, whole.contentType, whole.body, true};
-        if (run.request.streamed)
+        if (active.request.streamed)
             kept.contentType = "text/event-stream";
         const bool notRun = step.step == NextStep::Refuse;
-        co_await completeAtHolders(run.node, run.request, std::move(kept), notRun);
+        co_await completeAtHolders(active.node, active.request, std::move(kept), notRun);
     }
-    co_await conclude(run, step, std::move(whole));
+    co_await conclude(active, step, std::move(whole));
 }
 
 asio::awaitable<void> replay(Node &node, HttpExchange &exchange, const StoredAnswer &answer)
@@ -559,21 +562,21 @@
         }
     }
     node.retries.with([](RetryBudget &budget) { addRetryTokens(budget); });
-    RequestRun run(node, exchange, std::move(request));
-    run.life.traits.idempotent = run.request.idempotent;
-    run.life.traits.resumable = run.request.isModel();
-    run.life.traits.deadline = run.request.deadline;
+    ActiveRequest active(node, exchange, std::move(request));
+    active.life.traits.idempotent = active.request.idempotent;
+    active.life.traits.resumable = active.request.isModel();
+    active.life.traits.deadline = active.request.deadline;
     asio::cancellation_signal stopWatching;
     bool watching = true;
     const auto executor = co_await asio::this_coro::executor;
     asio::steady_timer watchEnded(executor, asio::steady_timer::time_point::max());
-    asio::co_spawn(executor, watchCaller(run),
+    asio::co_spawn(executor, watchCaller(active),
                    asio::bind_cancellation_slot(stopWatching.slot(), [&](std::exception_ptr) {
                        watching = false;
                        watchEnded.cancel();
                    }));
-    co_await serve(run);
-    // The watcher refers to `run`; it has to end before `run` does.
+    co_await serve(active);
+    // The watcher refers to `active`; it has to end before `active` does.
     stopWatching.emit(asio::cancellation_type::all);
     while (watching)
         co_await watchEnded.async_wait(asio::as_tuple(asio::use_awaitable));
