--- a/libs/daemon/src/PeerExchange.cpp
+++ b/libs/daemon/src/PeerExchange.cpp
@@ -19,7 +19,7 @@
 constexpr Duration newsTimeout = std::chrono::milliseconds(1000);
 constexpr int maxGossipedMembers = 64;
 
-v1::MemberNews toNews(const Member &member)
+v1::MemberNews toMessage(const Member &member)
 {
     v1::MemberNews news;
     news.set_vm(member.vm.value);
@@ -32,7 +32,7 @@
     return news;
 }
 
-Member fromNews(const v1::MemberNews &news)
+Member fromMessage(const v1::MemberNews &news)
 {
     Member member;
     member.vm = VmId{news.vm()};
@@ -51,12 +51,12 @@
     for (const v1::MemberNews &news : list) {
         if (members.size() >= maxGossipedMembers)
             break;
-        members.push_back(fromNews(news));
+        members.push_back(fromMessage(news));
     }
     return members;
 }
 
-void fillHead(Node &node, v1::PeerNews &news)
+void fillHeader(Node &node, v1::PeerNews &news)
 {
     news.set_vm(node.settings.vm);
     news.set_zone(node.settings.zone);
@@ -66,7 +66,7 @@
         return nextGossip(state);
     });
     for (const Member &member : gossip)
-        *news.add_members() = toNews(member);
+        *news.add_members() = toMessage(member);
     const ManifestMark mark =
         node.manifest.with([](const AcceptedManifest &state) { return state.mark; });
     news.set_manifest_offset(mark.offset);
@@ -77,7 +77,7 @@
     news.set_highest_local(highest.local);
 }
 
-void noteReply(Node &node, VmId peer, const v1::PeerNewsReply &reply)
+void applyReply(Node &node, VmId peer, const v1::PeerNewsReply &reply)
 {
     const std::vector<Member> gossip = membersOf(reply.members());
     const Instant now = BootClock::now();
@@ -94,19 +94,19 @@
     const std::optional<Endpoint> endpoint = peerEndpoint(node, to);
     if (!endpoint)
         co_return false;
-    fillHead(node, news);
+    fillHeader(node, news);
     node.metrics.add(Counter::PeerMessagesSent);
     node.metrics.add(Counter::PeerBytesSent, news.ByteSizeLong());
     const PeerResult<v1::PeerNewsReply> result =
         co_await node.peers.tell(*endpoint, std::move(news), timeout);
     if (!result.ok)
         co_return false;
-    noteReply(node, to, result.reply);
+    applyReply(node, to, result.reply);
     co_return true;
 }
 
-// One message at a time to each peer: what comes up meanwhile goes together into the next, so
-// a slow peer gets fewer and larger messages instead of a growing queue.
+// One message at a time to each peer: what is posted meanwhile is merged into the next, so that a
+// slow peer gets fewer and larger messages instead of a growing queue.
 asio::awaitable<void> drainOutbox(Node &node, VmId to)
 {
     while (true) {
@@ -127,7 +127,7 @@
         const bool sent = co_await sendNews(node, to, *news, newsTimeout);
         if (sent)
             continue;
-        // An order that did not get through would keep its permit until the load times out, and
+        // A load command that was not delivered would keep its permit until the load times out, and
         // nothing would be loaded meanwhile.
         for (const v1::LoadOrder &order : news->orders())
             reportLoadResult(node, order.permit(), order, LoadOutcome::Declined);
@@ -150,21 +150,22 @@
     if (!endpoint)
         co_return;
     v1::PeerNews news;
-    fillHead(node, news);
+    fillHeader(node, news);
     news.set_indirect_probe(to.value);
     const PeerResult<v1::PeerNewsReply> result =
         co_await node.peers.tell(*endpoint, std::move(news), newsTimeout);
     if (!result.ok)
         co_return;
-    noteReply(node, via, result.reply);
+    applyReply(node, via, result.reply);
     node.membership.with([&](MembershipState &state) {
         recordProbeResult(state, to, result.reply.probe_answered(), BootClock::now());
     });
 }
 
-// The zone's peers vouch for an unfenced target's lease only if every one of them answered us: one
-// that is heard through others, or that we hear but that does not hear us, knows not of our claim.
-std::optional<Instant> zonePeersHeardAt(const MembershipState &state, Instant now)
+// The zone's peers confirm an unfenced target's lease only if every one of them answered this VM: a
+// peer known through others, or one whose messages arrive here but that gets none from here, does
+// not know of this VM's claim.
+std::optional<Instant> zonePeersAnsweredAt(const MembershipState &state, Instant now)
 {
     Instant oldest = now;
     for (const MembershipState::Known &known : state.others) {
@@ -176,15 +177,16 @@
     return oldest;
 }
 
-void tellOwnership(Node &node, const std::vector<Member> &alive, std::optional<Instant> peersHeard)
+void updateOwnership(Node &node, const std::vector<Member> &alive,
+                     std::optional<Instant> peersAnsweredAt)
 {
     std::vector<OwnerCandidate> candidates;
     for (const Member &member : alive)
         candidates.push_back(OwnerCandidate{member.vm, member.zone});
     node.ownership.with([&](OwnershipState &state) {
         setCandidates(state, candidates);
-        if (peersHeard)
-            recordZonePeersContact(state, *peersHeard);
+        if (peersAnsweredAt)
+            recordZonePeersContact(state, *peersAnsweredAt);
     });
 }
 
@@ -204,7 +206,7 @@
     }
 }
 
-void noteAliveChange(Node &node, const std::vector<Member> &alive)
+void applyAliveChange(Node &node, const std::vector<Member> &alive)
 {
     std::vector<VmId> vms;
     for (const Member &member : alive)
@@ -251,8 +253,8 @@
         noteHeard(state, from, news.incarnation(), now);
     });
     node.ownership.with([&](OwnershipState &state) {
-        const FencingToken told{news.highest_token(), news.highest_local()};
-        state.highest = std::max(state.highest, told);
+        const FencingToken peerHighest{news.highest_token(), news.highest_local()};
+        state.highest = std::max(state.highest, peerHighest);
     });
     for (const v1::TargetNews &target : news.targets())
         applyTargetStatus(node, target);
@@ -273,7 +275,7 @@
         return nextGossip(state);
     });
     for (const Member &member : answerGossip)
-        *reply.add_members() = toNews(member);
+        *reply.add_members() = toMessage(member);
     const ManifestMark mark =
         node.manifest.with([](const AcceptedManifest &state) { return state.mark; });
     reply.set_manifest_offset(mark.offset);
@@ -288,20 +290,20 @@
     while (!node.stopped) {
         const Instant now = BootClock::now();
         std::vector<Member> alive;
-        std::optional<Instant> peersHeard;
+        std::optional<Instant> peersAnsweredAt;
         const std::vector<Probe> probes = node.membership.with([&](MembershipState &state) {
             std::vector<Probe> due = tick(state, now);
             alive = aliveMembers(state);
-            peersHeard = zonePeersHeardAt(state, now);
+            peersAnsweredAt = zonePeersAnsweredAt(state, now);
             return due;
         });
-        tellOwnership(node, alive, peersHeard);
+        updateOwnership(node, alive, peersAnsweredAt);
         const bool changed = first
             || !std::equal(alive.begin(), alive.end(), before.begin(), before.end(),
                            [](const Member &a, const Member &b) { return a.vm == b.vm; });
         if (changed) {
             logChanges(before, alive);
-            noteAliveChange(node, alive);
+            applyAliveChange(node, alive);
             before = alive;
             first = false;
         }
@@ -352,15 +354,15 @@
     if (!state.based || state.readThrough <= request.read_through())
         return reply;
     const bool complete = node.history.with([&](const ManifestHistory &history) {
-        // Who has judged nothing has no base to apply records to, however complete they are.
+        // A VM that has judged no record has no base to apply records to, however complete.
         if (request.read_through() == 0 || request.read_through() < history.completeAfter)
             return false;
         for (const ManifestRecord &record : history.records) {
             if (record.offset <= request.read_through())
                 continue;
-            v1::ManifestRecord *told = reply.add_records();
-            told->set_offset(record.offset);
-            told->set_body(record.body);
+            v1::ManifestRecord *added = reply.add_records();
+            added->set_offset(record.offset);
+            added->set_body(record.body);
         }
         return true;
     });
--- a/libs/gateway/src/EndToEndHeaders.cpp
+++ b/libs/gateway/src/EndToEndHeaders.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Headers that concern one connection only; everything else goes through as it is.
+// Headers that concern a single connection are dropped; all others are passed on unchanged.
 bool isPassedOn(const http::fields::value_type &header)
 {
     switch (header.name()) {
@@ -32,17 +32,17 @@
     }
 }
 
-/** Headers between two VMs begin so; they go no further. */
-constexpr std::string_view ownPrefix = "Monsoonbay-";
+/** Prefix of the headers between two VMs, which are not passed on. */
+constexpr std::string_view internalPrefix = "Monsoonbay-";
 
-bool isOwn(std::string_view name)
+bool isInternal(std::string_view name)
 {
-    return name.size() > ownPrefix.size()
-        && beast::iequals(beast::string_view(name.data(), ownPrefix.size()),
-                          beast::string_view(ownPrefix.data(), ownPrefix.size()));
+    return name.size() > internalPrefix.size()
+        && beast::iequals(beast::string_view(name.data(), internalPrefix.size()),
+                          beast::string_view(internalPrefix.data(), internalPrefix.size()));
 }
 
-/** The names that a Connection header lists besides the fixed ones. */
+/** True if the Connection header lists that name as one more that is not passed on. */
 bool isNamedByConnection(std::string_view connection, std::string_view name)
 {
     return http::token_list(beast::string_view(connection.data(), connection.size()))
@@ -60,7 +60,7 @@
         if (!isPassedOn(header))
             continue;
         const std::string name(header.name_string());
-        if (isOwn(name))
+        if (isInternal(name))
             continue;
         if (!connection.empty() && isNamedByConnection(connection, name))
             continue;
