--- a/libs/gateway/src/AnswerHints.cpp
+++ b/libs/gateway/src/AnswerHints.cpp
@@ -22,9 +22,9 @@
 
 // A peer that has not heard of the target's new start yet would otherwise keep it from work for
 // good, and so would all that this VM tells.
-void markLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t born)
+void markLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t startTime)
 {
-    if (recordStartTime(node, target, born) == StartOrder::Older)
+    if (recordStartTime(node, target, startTime) == StartOrder::Older)
         return;
     markLeaving(node, target, "peer");
 }
@@ -32,7 +32,7 @@
 namespace {
 
 // A refusal need not repeat the limit, so only a whole answer without it lifts it.
-void takeLimit(GatewayNode &node, const std::string &target, const AnswerMetadata &answer)
+void applyLimit(GatewayNode &node, const std::string &target, const AnswerMetadata &answer)
 {
     if (!answer.callsPerSecond && !answer.authentic)
         return;
@@ -70,7 +70,7 @@
         return;
     if (answer.leaving)
         markLeaving(node, target, "answer");
-    takeLimit(node, target, answer);
+    applyLimit(node, target, answer);
     if (answer.backoffTime == Duration::zero())
         return;
     TargetRuntime &runtime = runtimeOf(node, target);
--- a/libs/gateway/src/AnswerHints.h
+++ b/libs/gateway/src/AnswerHints.h
@@ -15,8 +15,8 @@
 /** True if the target takes calls of this VM now, by its own words. */
 bool takesCalls(GatewayNode &node, const std::string &target, Instant now);
 
-/** A peer knows that the start `born` of this target is leaving; 0: it does not say which. */
-void markLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t born);
+/** A peer knows that the start `startTime` of this target is leaving; 0: it does not say which. */
+void markLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t startTime);
 
 /** The target leaves, by what `source` says: it gets nothing new until it is started anew. */
 void markLeaving(GatewayNode &node, const std::string &target, std::string_view source);
--- a/libs/gateway/src/ConfigDownload.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -18,15 +18,15 @@
 constexpr Duration partTimeout = std::chrono::milliseconds(500);
 /** After a failed read, and twice that after each further one. */
 constexpr Duration firstRetry = std::chrono::milliseconds(100);
-constexpr int mostRetryDoublings = 4;
+constexpr int maxRetryDoublings = 4;
 /** Before a VM that is still reading is asked for more; it gets some parts in this time. */
-constexpr Duration laterLook = std::chrono::milliseconds(20);
+constexpr Duration sourceRecheckDelay = std::chrono::milliseconds(20);
 /** A VM that has got no more in this time has lost its own source. */
-constexpr Duration growthPatience = std::chrono::milliseconds(300);
+constexpr Duration maxSourceStall = std::chrono::milliseconds(300);
 /** Shorter ones take less of a link than the questions of VMs that would be sent on. */
-constexpr std::uint64_t shortDocument = 4096;
+constexpr std::uint64_t smallDocument = 4096;
 /** Offers wake the loop; this only bounds what a lost one costs. */
-constexpr Duration offerLook = std::chrono::seconds(1);
+constexpr Duration maxOfferWait = std::chrono::seconds(1);
 
 bool offersNewer(const GatewayNode &node, const PeerState &peer)
 {
@@ -34,12 +34,12 @@
 }
 
 /** Mates first, as bytes between zones are paid for; then strong VMs, whose links carry more. */
-bool goesBefore(const GatewayNode &node, const PeerState &left, const PeerState &right)
+bool isPreferredSource(const GatewayNode &node, const PeerState &left, const PeerState &right)
 {
-    const bool leftMate = left.zone == node.settings.zone;
-    const bool rightMate = right.zone == node.settings.zone;
-    if (leftMate != rightMate)
-        return leftMate;
+    const bool leftIsZonePeer = left.zone == node.settings.zone;
+    const bool rightIsZonePeer = right.zone == node.settings.zone;
+    if (leftIsZonePeer != rightIsZonePeer)
+        return leftIsZonePeer;
     if (left.capacity != right.capacity)
         return left.capacity > right.capacity;
     return left.configVersion > right.configVersion;
@@ -47,7 +47,7 @@
 
 Duration untilNextRead(const GatewayNode &node, Instant now)
 {
-    Duration soonest = offerLook;
+    Duration soonest = maxOfferWait;
     if (node.configDownload.decoding)
         return soonest;
     for (const auto &[endpoint, peer] : node.peers) {
@@ -57,7 +57,7 @@
     return soonest;
 }
 
-void noteReadFailed(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
+void recordReadFailure(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
 {
     if (peer.configFailures == 0)
         logEvent(EventId::ConfigUnread,
@@ -68,7 +68,7 @@
                   {"bytesSoFar", std::to_string(node.configDownload.partial.packed.bytes.size())},
                   {"ofBytes", std::to_string(node.configDownload.partial.totalBytes)}});
     peer.configRetryAt =
-        BootClock::now() + firstRetry * (1 << std::min(peer.configFailures, mostRetryDoublings));
+        BootClock::now() + firstRetry * (1 << std::min(peer.configFailures, maxRetryDoublings));
     ++peer.configFailures;
 }
 
@@ -99,16 +99,16 @@
 }
 
 /** The source gives nothing: others are asked, and not to be sent on to one like it again. */
-void giveUpSource(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
+void abandonSource(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
 {
     ConfigDownload &reading = node.configDownload;
     reading.redirectFailed = reading.redirectFailed || reading.expected != 0;
     reading.expected = 0;
-    noteReadFailed(node, peer, why, waited);
+    recordReadFailure(node, peer, why, waited);
 }
 
-void putReadConfigInForce(GatewayNode &node, const Endpoint &source,
-                          std::optional<DecodedConfig> decoded, Instant readAt)
+void applyDownloadedConfig(GatewayNode &node, const Endpoint &source,
+                           std::optional<DecodedConfig> decoded, Instant readAt)
 {
     ConfigDownload &reading = node.configDownload;
     const PackedDocument read = std::move(reading.partial.packed);
@@ -122,7 +122,7 @@
     const std::string from = "peer " + peer.name;
     if (!decoded) {
         logEvent(EventId::DocumentUnreadable, {{"what", "configuration"}, {"source", from}});
-        noteReadFailed(node, peer, "it cannot be read", took);
+        recordReadFailure(node, peer, "it cannot be read", took);
         return;
     }
     applyConfig(node, std::move(*decoded), from);
@@ -136,15 +136,15 @@
               {"decodingMs", std::to_string(toMillis(BootClock::now() - readAt))}});
 }
 
-asio::awaitable<void> decodeRead(GatewayNode &node, Endpoint source, ConfigDecode decode)
+asio::awaitable<void> decodeDownload(GatewayNode &node, Endpoint source, ConfigDecode decode)
 {
     const Instant readAt = BootClock::now();
     std::optional<DecodedConfig> decoded = co_await decodeAside(node, std::move(decode));
-    putReadConfigInForce(node, source, std::move(decoded), readAt);
+    applyDownloadedConfig(node, source, std::move(decoded), readAt);
 }
 
 // The parts stay where they are until it is in force: VMs that read from this one go on meanwhile.
-void decodeReadConfig(GatewayNode &node, const Endpoint &source)
+void startDecoding(GatewayNode &node, const Endpoint &source)
 {
     ConfigDownload &reading = node.configDownload;
     reading.decoding = true;
@@ -153,13 +153,13 @@
         return decodeConfig(*platform, base, packed);
     };
     if (node.decoding)
-        spawn(node, "decode configuration", decodeRead(node, source, std::move(decode)));
+        spawn(node, "decode configuration", decodeDownload(node, source, std::move(decode)));
     else
-        putReadConfigInForce(node, source, decode(), BootClock::now());
+        applyDownloadedConfig(node, source, decode(), BootClock::now());
 }
 
 /** Has the next part asked of the VM that `answer` names. */
-void followTo(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
+void followRedirect(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
 {
     ConfigDownload &reading = node.configDownload;
     const Endpoint other{answer.ask_address(), static_cast<std::uint16_t>(answer.ask_port())};
@@ -177,26 +177,26 @@
 }
 
 /** The store may have given a newer one meanwhile, or another than the changes are of. */
-bool isOfUse(const GatewayNode &node, const PackedDocument &packed)
+bool isUsable(const GatewayNode &node, const PackedDocument &packed)
 {
     const bool fits = packed.baseDigest == 0 || packed.baseDigest == node.config.newest.digest;
     return fits && mayReplace(node.routes->config().version, packed.version);
 }
 
-asio::awaitable<void> readPartFrom(GatewayNode &node, Endpoint source)
+asio::awaitable<void> downloadPart(GatewayNode &node, Endpoint source)
 {
-    const Instant asked = BootClock::now();
+    const Instant requestedAt = BootClock::now();
     ConfigDownload &reading = node.configDownload;
     if (reading.source != source) {
         reading.source = source;
         reading.expected = 0;
-        reading.lastProgressAt = asked;
+        reading.lastProgressAt = requestedAt;
     }
-    if (!isOfUse(node, reading.partial.packed))
+    if (!isUsable(node, reading.partial.packed))
         reading.partial = PartialDocument();
     if (reading.partial.packed.bytes.empty() && reading.expected == 0) {
-        reading.begunAt = asked;
-        reading.lastProgressAt = asked;
+        reading.begunAt = requestedAt;
+        reading.lastProgressAt = requestedAt;
     }
     const auto answer =
         co_await node.peerLinks.readConfig(source, nextConfigRequest(node), partTimeout);
@@ -205,14 +205,14 @@
         co_return;
     if (!answer) {
         shrinkParts(reading.partSize);
-        giveUpSource(node, found->second, "no answer", BootClock::now() - asked);
+        abandonSource(node, found->second, "no answer", BootClock::now() - requestedAt);
         co_return;
     }
     growParts(reading.partSize);
     applyConfigPart(node, found->second, *answer);
     const bool waits = answer->bytes().empty() && answer->ask_address().empty();
     if (waits)
-        co_await pauseFor(node, laterLook);
+        co_await pauseFor(node, sourceRecheckDelay);
 }
 
 } // namespace
@@ -273,16 +273,16 @@
                              std::min<std::size_t>(request.most_bytes(), maxPartBytes),
                              request.base_digest()};
     std::optional<DocumentPart> part = nextPart(node, wanted, now);
-    const bool goesOn = part.has_value();
-    if (!goesOn)
+    const bool continues = part.has_value();
+    if (!continues)
         part = firstPart(node, wanted, request.expected(), now);
     if (!part)
         return {};
-    const ConfigPartRequest ask{decodeEndpoint(request.from()), request.from().zone(),
-                                part->version, request.only_here()};
-    const bool isLong = part->totalBytes > shortDocument;
-    if (!goesOn && isLong) {
-        const std::optional<Endpoint> other = redirectFor(node.configReaders, ask, now);
+    const ConfigPartRequest partRequest{decodeEndpoint(request.from()), request.from().zone(),
+                                        part->version, request.only_here()};
+    const bool isLong = part->totalBytes > smallDocument;
+    if (!continues && isLong) {
+        const std::optional<Endpoint> other = redirectFor(node.configReaders, partRequest, now);
         if (other) {
             v1::ConfigPart answer;
             answer.set_version(part->version);
@@ -292,7 +292,7 @@
         }
     }
     const bool last = part->offset + part->bytes.size() >= part->totalBytes;
-    recordPartSent(node.configReaders, ask, last, now);
+    recordPartSent(node.configReaders, partRequest, last, now);
     return encodePart(std::move(*part));
 }
 
@@ -329,12 +329,12 @@
         return;
     }
     if (!answer.ask_address().empty()) {
-        followTo(node, peer, answer);
+        followRedirect(node, peer, answer);
         return;
     }
     const Instant now = BootClock::now();
     const PartOutcome outcome = appendPart(reading.partial, decodePart(answer));
-    if (outcome == PartOutcome::Whole && !isOfUse(node, reading.partial.packed)) {
+    if (outcome == PartOutcome::Whole && !isUsable(node, reading.partial.packed)) {
         reading.partial = PartialDocument();
         return;
     }
@@ -345,14 +345,14 @@
         return;
     case PartOutcome::Whole:
         peer.configFailures = 0;
-        decodeReadConfig(node, peer.endpoint);
+        startDecoding(node, peer.endpoint);
         return;
     case PartOutcome::Later:
-        if (now - reading.lastProgressAt > growthPatience)
-            giveUpSource(node, peer, "it has no more of it yet", now - reading.lastProgressAt);
+        if (now - reading.lastProgressAt > maxSourceStall)
+            abandonSource(node, peer, "it has no more of it yet", now - reading.lastProgressAt);
         return;
     case PartOutcome::Useless:
-        giveUpSource(node, peer, "its part does not go on where the last one ended", {});
+        abandonSource(node, peer, "its part does not go on where the last one ended", {});
         return;
     }
 }
@@ -367,7 +367,7 @@
             continue;
         if (endpoint == node.configDownload.source)
             return &peer;
-        if (best == nullptr || goesBefore(node, peer, *best))
+        if (best == nullptr || isPreferredSource(node, peer, *best))
             best = &peer;
     }
     return best;
@@ -385,7 +385,7 @@
         const PeerState *source =
             node.configDownload.decoding ? nullptr : chooseConfigSource(node, now);
         if (source != nullptr)
-            co_await readPartFrom(node, source->endpoint);
+            co_await downloadPart(node, source->endpoint);
         else
             co_await node.configOffered.wait(untilNextRead(node, now));
     }
--- a/libs/gateway/src/ConfigReaders.cpp
+++ b/libs/gateway/src/ConfigReaders.cpp
@@ -7,20 +7,20 @@
 namespace {
 
 /** Two make the ways to all VMs of a zone short, and take little of one link at a time. */
-constexpr std::size_t servedAtOnce = 2;
+constexpr std::size_t maxActiveReaders = 2;
 /** A reader that goes on asks within some 100 ms; one that has not in this time reads no more. */
-constexpr Duration readerSilence = std::chrono::milliseconds(1000);
+constexpr Duration readerTimeout = std::chrono::milliseconds(1000);
 
-bool reads(const ConfigReader &reader, Instant now)
+bool isActive(const ConfigReader &reader, Instant now)
 {
-    return !reader.done && now - reader.askedAt <= readerSilence;
+    return !reader.done && now - reader.askedAt <= readerTimeout;
 }
 
-std::size_t readingNow(const ConfigReaders &readers, Instant now)
+std::size_t activeReaders(const ConfigReaders &readers, Instant now)
 {
     return static_cast<std::size_t>(
         std::count_if(readers.served.begin(), readers.served.end(),
-                      [now](const ConfigReader &reader) { return reads(reader, now); }));
+                      [now](const ConfigReader &reader) { return isActive(reader, now); }));
 }
 
 ConfigReader *find(ConfigReaders &readers, const Endpoint &vm)
@@ -31,14 +31,14 @@
 }
 
 /** One that reads here, or has read to the end; nothing if there is none. */
-std::optional<Endpoint> nextToSendTo(ConfigReaders &readers, const ConfigPartRequest &ask,
-                                     Instant now)
+std::optional<Endpoint> nextRedirectTarget(ConfigReaders &readers, const ConfigPartRequest &ask,
+                                           Instant now)
 {
     for (std::size_t tried = 0; tried < readers.served.size(); ++tried) {
         const ConfigReader &next = readers.served[readers.nextRedirect % readers.served.size()];
         ++readers.nextRedirect;
         const bool isOther = next.vm != ask.reader && next.zone == ask.zone;
-        if (isOther && (next.done || reads(next, now)))
+        if (isOther && (next.done || isActive(next, now)))
             return next.vm;
     }
     return std::nullopt;
@@ -54,9 +54,9 @@
         readers.version = ask.version;
     }
     ConfigReader *const known = find(readers, ask.reader);
-    const bool isServed = known != nullptr && reads(*known, now);
-    if (!isServed && !ask.noRedirect && readingNow(readers, now) >= servedAtOnce) {
-        std::optional<Endpoint> other = nextToSendTo(readers, ask, now);
+    const bool isServed = known != nullptr && isActive(*known, now);
+    if (!isServed && !ask.noRedirect && activeReaders(readers, now) >= maxActiveReaders) {
+        std::optional<Endpoint> other = nextRedirectTarget(readers, ask, now);
         if (other)
             return other;
     }
--- a/libs/gateway/src/EngineCommands.cpp
+++ b/libs/gateway/src/EngineCommands.cpp
@@ -15,54 +15,54 @@
 
 namespace v1 = gateway::v1;
 
-constexpr Duration orderTimeout = std::chrono::milliseconds(250);
+constexpr Duration commandTimeout = std::chrono::milliseconds(250);
 constexpr Duration reportTimeout = std::chrono::milliseconds(300);
 /** A load that is not done by then is worth trying elsewhere; the longest take about a second. */
-constexpr Duration loadPatience = std::chrono::milliseconds(800);
+constexpr Duration maxLoadWait = std::chrono::milliseconds(800);
 /** Every slot in use: some call is likely to end within this. */
-constexpr Duration slotPatience = std::chrono::milliseconds(120);
-constexpr Duration slotLook = std::chrono::milliseconds(25);
+constexpr Duration maxSlotWait = std::chrono::milliseconds(120);
+constexpr Duration slotPollInterval = std::chrono::milliseconds(25);
 /** A load whose turn comes before may be given up by its callers. */
-constexpr Duration turnLook = std::chrono::milliseconds(10);
+constexpr Duration turnPollInterval = std::chrono::milliseconds(10);
 /** After a refused order, and twice that after each further one; reports lag by about 100 ms. */
-constexpr Duration afterRefusal = std::chrono::milliseconds(60);
-constexpr int mostDoublings = 3;
-constexpr Duration longestBackOffWait = std::chrono::milliseconds(130);
+constexpr Duration firstBackoff = std::chrono::milliseconds(60);
+constexpr int maxBackoffDoublings = 3;
+constexpr Duration maxBackoffWait = std::chrono::milliseconds(130);
 /**
  * Engines answer an order within a few ms. One that has not by now is likely lost: nothing can be
  * ordered before it is given up and the engine has told what it holds.
  */
-constexpr Duration usualAnswer = std::chrono::milliseconds(60);
+constexpr Duration usualAnswerTime = std::chrono::milliseconds(60);
 /** Reports lag, so a model that has been loaded shows a little later. */
 constexpr Duration modelTimeSlack = std::chrono::milliseconds(150);
-constexpr Duration tendEvery = std::chrono::milliseconds(250);
+constexpr Duration modelCheckInterval = std::chrono::milliseconds(250);
 /** Window in which loads of models from the weight store are bounded. */
 constexpr Duration modelLoadWindow = std::chrono::seconds(5);
 
-HeldEngine &deskOf(GatewayNode &node, const std::string &target)
+HeldEngine &heldEngineOf(GatewayNode &node, const std::string &target)
 {
-    std::unique_ptr<HeldEngine> &scheduler = node.heldEngines[target];
-    if (!scheduler)
-        scheduler = std::make_unique<HeldEngine>(node.context);
-    return *scheduler;
+    std::unique_ptr<HeldEngine> &engine = node.heldEngines[target];
+    if (!engine)
+        engine = std::make_unique<HeldEngine>(node.context);
+    return *engine;
 }
 
 /** An engine that refuses orders is left alone for a while, or all who wait for it would storm it.
  */
-void backOff(HeldEngine &held, Instant now)
+void backOffFrom(HeldEngine &held, Instant now)
 {
-    held.retryAt = now + afterRefusal * (1 << std::min(held.refusals, mostDoublings));
+    held.retryAt = now + firstBackoff * (1 << std::min(held.refusals, maxBackoffDoublings));
     ++held.refusals;
 }
 
 /** Shows what the scheduler holds to this gateway's own choices. */
-void publishDesk(GatewayNode &node, const std::string &target)
+void publishHeldEngine(GatewayNode &node, const std::string &target)
 {
     TargetRuntime &runtime = runtimeOf(node, target);
     ResidentVersions resident;
-    runtime.models = deskOf(node, target).scheduler.models;
+    runtime.models = heldEngineOf(node, target).scheduler.models;
     runtime.incoming = PendingLoads();
-    for (const auto &[adapter, slot] : deskOf(node, target).scheduler.slots) {
+    for (const auto &[adapter, slot] : heldEngineOf(node, target).scheduler.slots) {
         if (slot.loading)
             runtime.incoming.doneAt[adapter] = slot.readyAt;
         else
@@ -81,7 +81,7 @@
 
 asio::awaitable<bool> readReport(GatewayNode &node, std::string target)
 {
-    HeldEngine &held = deskOf(node, target);
+    HeldEngine &held = heldEngineOf(node, target);
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr)
         co_return false;
@@ -92,13 +92,13 @@
     held.commandInFlight = false;
     if (report)
         recordStartTime(node, target, report->startTime);
-    const bool taken = report && applyEngineReport(held.scheduler, *report, BootClock::now());
-    if (taken)
-        publishDesk(node, target);
+    const bool applied = report && applyEngineReport(held.scheduler, *report, BootClock::now());
+    if (applied)
+        publishHeldEngine(node, target);
     else
-        backOff(held, BootClock::now());
+        backOffFrom(held, BootClock::now());
     held.changed.notifyAll();
-    co_return taken;
+    co_return applied;
 }
 
 Duration modelTime(const GatewayNode &node, const TargetEntry &entry)
@@ -109,16 +109,16 @@
 }
 
 /** Gives one order and notes its outcome; the lease is looked at right before it is written. */
-asio::awaitable<CommandOutcome> giveOrder(GatewayNode &node, std::string target,
-                                          EngineCommand order, std::string adapter)
+asio::awaitable<CommandOutcome> sendCommand(GatewayNode &node, std::string target,
+                                            EngineCommand command, std::string adapter)
 {
-    HeldEngine &held = deskOf(node, target);
+    HeldEngine &held = heldEngineOf(node, target);
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr || !mayCommandNow(node, target))
         co_return CommandOutcome::NotSent;
-    order.holder = node.settings.vm;
-    order.token = node.lease.generation;
-    order.expectedSequence = held.scheduler.sequence;
+    command.holder = node.settings.vm;
+    command.token = node.lease.generation;
+    command.expectedSequence = held.scheduler.sequence;
     const EngineAddress address{target, entry->endpoint};
     const LoadEstimate expected =
         estimateLoad(held.scheduler, adapter, loadsUnderWay(node), node.loadEstimator);
@@ -128,60 +128,60 @@
     const Duration unusedFor = slot != held.scheduler.slots.end()
         ? BootClock::now() - slot->second.lastUsedAt
         : Duration::zero();
-    const std::int64_t bornBefore = held.scheduler.startTime;
+    const std::int64_t startBefore = held.scheduler.startTime;
     held.commandInFlight = true;
     held.commandSince = BootClock::now();
     const CommandOutcome outcome =
-        co_await node.platform->order(node.http, address, order, orderTimeout);
+        co_await node.platform->order(node.http, address, command, commandTimeout);
     held.commandInFlight = false;
     const Instant now = BootClock::now();
     // The engine was started anew meanwhile, under the same id: nobody knows which start took the
     // order, if any did. The scheduler is that of the new one, and a report tells what it holds.
-    if (held.scheduler.startTime != bornBefore) {
+    if (held.scheduler.startTime != startBefore) {
         invalidateSequence(held.scheduler);
         held.changed.notifyAll();
         co_return CommandOutcome::Unknown;
     }
     const bool done = outcome == CommandOutcome::Accepted || outcome == CommandOutcome::Holds;
-    const bool ofModel = order.adapter.empty();
-    if (done && ofModel)
+    const bool isModelCommand = command.adapter.empty();
+    if (done && isModelCommand)
         held.scheduler.modelReadyAt = now + expectedForModel;
-    else if (done && order.load)
-        recordLoadAccepted(held.scheduler, adapter, order.version, expected, now);
+    else if (done && command.load)
+        recordLoadAccepted(held.scheduler, adapter, command.version, expected, now);
     else if (outcome == CommandOutcome::Accepted)
         recordDeferredUnload(held.scheduler, adapter);
     else if (done)
         recordUnloaded(held.scheduler, adapter);
-    if (done && !(order.load && outcome == CommandOutcome::Holds))
+    if (done && !(command.load && outcome == CommandOutcome::Holds))
         advanceSequence(held.scheduler, now);
-    const bool deferred = !order.load && outcome == CommandOutcome::Accepted;
+    const bool deferred = !command.load && outcome == CommandOutcome::Accepted;
     if (deferred) {
-        backOff(held, now);
+        backOffFrom(held, now);
         invalidateSequence(held.scheduler);
     } else if (done) {
         held.refusals = 0;
-    } else if (outcome == CommandOutcome::Busy && order.load
+    } else if (outcome == CommandOutcome::Busy && command.load
                && recordBusyRefusal(held.scheduler, node.loadEstimator, now)) {
         // Nothing else is in doubt.
     } else {
         invalidateSequence(held.scheduler);
-        backOff(held, now);
+        backOffFrom(held, now);
     }
     logEvent(
         EventId::OrderGiven,
         {{"target", target},
-         {"operation", order.load ? "load" : "unload"},
+         {"operation", command.load ? "load" : "unload"},
          {"adapter", adapter},
-         {"version", std::to_string(order.version)},
-         {"token", std::to_string(order.token)},
-         {"expected", std::to_string(order.expectedSequence)},
+         {"version", std::to_string(command.version)},
+         {"token", std::to_string(command.token)},
+         {"expected", std::to_string(command.expectedSequence)},
          {"unusedMs", millisText(unusedFor)},
-         {"expectedMs", millisText(order.load ? expected.time : Duration::zero())},
+         {"expectedMs", millisText(command.load ? expected.time : Duration::zero())},
          {"underWay", std::to_string(expected.concurrentLoads)},
          {"copiesKept", std::to_string(static_cast<int>(node.loadEstimator.memory.retainedLoads))},
-         {"fetched", order.load && expected.fetched ? "yes" : "no"},
+         {"fetched", command.load && expected.fetched ? "yes" : "no"},
          {"outcome", std::to_string(static_cast<int>(outcome))}});
-    publishDesk(node, target);
+    publishHeldEngine(node, target);
     held.changed.notifyAll();
     co_return outcome;
 }
@@ -197,9 +197,9 @@
 /** No load is begun now; one could be at `expected`, zero: not known when. */
 v1::LoadReply declineReply(DeclineReason reason, Instant expected = Instant{})
 {
-    const bool mayNotOrder = reason == DeclineReason::NotHolder;
+    const bool notHolder = reason == DeclineReason::NotHolder;
     v1::LoadReply reply =
-        loadReply(mayNotOrder ? v1::LOAD_OUTCOME_NOT_HOLDER : v1::LOAD_OUTCOME_NO_SLOT);
+        loadReply(notHolder ? v1::LOAD_OUTCOME_NOT_HOLDER : v1::LOAD_OUTCOME_NO_SLOT);
     LoadDecline decline;
     decline.reason = reason;
     if (expected != Instant{})
@@ -220,45 +220,45 @@
     return found != scheduler.slots.end() && found->second.loading;
 }
 
-EngineCommand unloadOrder(const std::string &key)
+EngineCommand unloadCommand(const std::string &key)
 {
-    EngineCommand order;
-    order.load = false;
+    EngineCommand command;
+    command.load = false;
     const std::size_t slash = key.find('/');
-    order.model = key.substr(0, slash);
-    order.adapter = key.substr(slash + 1);
-    return order;
+    command.model = key.substr(0, slash);
+    command.adapter = key.substr(slash + 1);
+    return command;
 }
 
 /** True if an order or report that is under way is likely lost. */
 bool isUnanswered(const HeldEngine &held, Instant now)
 {
-    return held.commandInFlight && now - held.commandSince > usualAnswer;
+    return held.commandInFlight && now - held.commandSince > usualAnswerTime;
 }
 
 /** When the engine can be ordered next, as far as can be foreseen. */
-Instant ordersFrom(const HeldEngine &held, Instant now)
+Instant nextCommandTime(const HeldEngine &held, Instant now)
 {
     if (isUnanswered(held, now))
-        return std::max(now, held.commandSince + orderTimeout + afterRefusal);
+        return std::max(now, held.commandSince + commandTimeout + firstBackoff);
     return std::max(now, held.retryAt);
 }
 
 /** A caller's place among those that wait for loads at an engine. */
-class QueuePlace
+class QueueEntry
 {
 public:
-    QueuePlace(LoadQueue &queue, const std::string &adapter, int rank)
+    QueueEntry(LoadQueue &queue, const std::string &adapter, int rank)
         : queue(queue)
         , adapter(adapter)
     {
         joinQueue(this->queue, this->adapter, rank);
     }
 
-    QueuePlace(const QueuePlace &) = delete;
-    QueuePlace &operator=(const QueuePlace &) = delete;
+    QueueEntry(const QueueEntry &) = delete;
+    QueueEntry &operator=(const QueueEntry &) = delete;
 
-    ~QueuePlace()
+    ~QueueEntry()
     {
         leaveQueue(this->queue, this->adapter);
     }
@@ -273,14 +273,14 @@
  * engine at once instead, or is refused while it can still come back. See the test of load_queue
  * for what happens without.
  */
-Instant loadBegin(const GatewayNode &node, const HeldEngine &held, const std::string &key,
-                  Instant now)
+Instant expectedLoadBegin(const GatewayNode &node, const HeldEngine &held, const std::string &key,
+                          Instant now)
 {
     if (held.scheduler.slots.count(key) > 0)
         return now;
     const Duration loadTime = fetchTime(node.loadEstimator.times, loadsUnderWay(node) + 1);
     const int ahead = loadsAhead(held.queue, held.scheduler, key);
-    return expectedBegin(held.scheduler, ahead, loadTime, ordersFrom(held, now));
+    return expectedBegin(held.scheduler, ahead, loadTime, nextCommandTime(held, now));
 }
 
 } // namespace
@@ -292,9 +292,9 @@
 
 bool mayRequestLoad(GatewayNode &node, const std::string &target, Duration begin)
 {
-    const bool heldBack = node.settings.placement.keepDeclines
+    const bool backedOff = node.settings.placement.keepDeclines
         && blocksLoadRequest(runtimeOf(node, target).loadMark, BootClock::now(), begin);
-    return !heldBack && canCommand(node, target);
+    return !backedOff && canCommand(node, target);
 }
 
 std::optional<Duration> loadUnderWay(GatewayNode &node, const std::string &target,
@@ -313,30 +313,30 @@
     const Instant begun = BootClock::now();
     const std::string &target = request.target();
     const std::string key = adapterKey(request.model(), request.adapter());
-    if (request.missed() && !deskOf(node, target).commandInFlight)
-        recordMissing(deskOf(node, target).scheduler, key, node.loadEstimator, begun);
+    if (request.missed() && !heldEngineOf(node, target).commandInFlight)
+        recordMissing(heldEngineOf(node, target).scheduler, key, node.loadEstimator, begun);
     const Duration beginWithin = request.begin_within_ms() > 0
         ? Duration(std::chrono::milliseconds(request.begin_within_ms()))
-        : loadPatience;
-    if (isLoading(deskOf(node, target).scheduler, key))
+        : maxLoadWait;
+    if (isLoading(heldEngineOf(node, target).scheduler, key))
         node.metrics.add(Counter::LoadsJoined);
-    const QueuePlace place(deskOf(node, target).queue, key, decodeRank(request));
-    while (BootClock::now() - begun < loadPatience) {
+    const QueueEntry queueEntry(heldEngineOf(node, target).queue, key, decodeRank(request));
+    while (BootClock::now() - begun < maxLoadWait) {
         const TargetEntry *entry = entryOf(node, target);
         const EngineSpec *spec = entry != nullptr ? specOf(node, *entry) : nullptr;
         if (spec == nullptr || !mayCommandNow(node, target))
             co_return declineReply(DeclineReason::NotHolder);
-        HeldEngine &held = deskOf(node, target);
+        HeldEngine &held = heldEngineOf(node, target);
         const ModelSpec *model = baseModel(*spec);
         held.scheduler.adapterSlots = model != nullptr ? adapterCapacity(*spec, *model) : 0;
-        const Instant begin = loadBegin(node, held, key, BootClock::now());
+        const Instant begin = expectedLoadBegin(node, held, key, BootClock::now());
         if (begin > begun + beginWithin)
             co_return declineReply(isUnanswered(held, BootClock::now())
                                        ? DeclineReason::EngineSilent
                                        : DeclineReason::QueueTooLong,
                                    begin);
         if (held.commandInFlight) {
-            co_await held.changed.wait(orderTimeout);
+            co_await held.changed.wait(commandTimeout);
             continue;
         }
         const Instant now = BootClock::now();
@@ -344,7 +344,7 @@
         if (modelUnderWay)
             co_return declineReply(DeclineReason::ModelMissing, held.scheduler.modelReadyAt);
         // The caller may find another engine sooner than this one takes orders again.
-        if (held.retryAt - now > longestBackOffWait)
+        if (held.retryAt - now > maxBackoffWait)
             co_return declineReply(DeclineReason::EngineSilent, held.retryAt);
         if (now < held.retryAt) {
             co_await held.changed.wait(held.retryAt - now);
@@ -361,15 +361,15 @@
         learnFromLoads(held.scheduler, node.loadEstimator, now);
         extendLoadEstimates(held.scheduler, node.loadEstimator.times);
         if (completeDueLoads(held.scheduler, now))
-            publishDesk(node, target);
+            publishHeldEngine(node, target);
         const SchedulerDecision choice = nextCommand(held.scheduler, key, request.version(), now);
-        const bool orders =
+        const bool needsCommand =
             choice.step == SchedulerStep::Load || choice.step == SchedulerStep::Unload;
-        const bool othersFirst = node.settings.placement.queue && orders
+        const bool othersFirst = node.settings.placement.queue && needsCommand
             && held.scheduler.slots.count(key) == 0
             && loadsAhead(held.queue, held.scheduler, key) > 0;
         if (othersFirst) {
-            co_await held.changed.wait(turnLook);
+            co_await held.changed.wait(turnPollInterval);
             continue;
         }
         switch (choice.step) {
@@ -386,36 +386,37 @@
         case SchedulerStep::Wait: {
             const auto slot = held.scheduler.slots.find(key);
             const Duration rest =
-                slot != held.scheduler.slots.end() ? slot->second.readyAt - now : slotLook;
+                slot != held.scheduler.slots.end() ? slot->second.readyAt - now : slotPollInterval;
             co_await held.changed.wait(std::max(rest, Duration(std::chrono::milliseconds(1))));
             break;
         }
         case SchedulerStep::NoSlot:
-            if (now - begun > std::min(slotPatience, beginWithin))
+            if (now - begun > std::min(maxSlotWait, beginWithin))
                 co_return declineReply(DeclineReason::NoSlot,
                                        nextFreeSlotTime(held.scheduler, now));
-            co_await held.changed.wait(slotLook);
+            co_await held.changed.wait(slotPollInterval);
             break;
         case SchedulerStep::Unload: {
-            EngineCommand order = unloadOrder(choice.victim);
-            co_await giveOrder(node, target, std::move(order), choice.victim);
+            EngineCommand command = unloadCommand(choice.victim);
+            co_await sendCommand(node, target, std::move(command), choice.victim);
             break;
         }
         case SchedulerStep::Load: {
-            EngineCommand order;
-            order.model = request.model();
-            order.adapter = request.adapter();
-            order.version = request.version();
-            const CommandOutcome outcome = co_await giveOrder(node, target, std::move(order), key);
+            EngineCommand command;
+            command.model = request.model();
+            command.adapter = request.adapter();
+            command.version = request.version();
+            const CommandOutcome outcome =
+                co_await sendCommand(node, target, std::move(command), key);
             if (outcome == CommandOutcome::Invalid)
                 co_return loadReply(v1::LOAD_OUTCOME_REFUSED);
             break;
         }
         }
     }
-    v1::LoadReply late = declineReply(DeclineReason::EngineSilent);
-    late.set_outcome(v1::LOAD_OUTCOME_UNKNOWN);
-    co_return late;
+    v1::LoadReply timedOut = declineReply(DeclineReason::EngineSilent);
+    timedOut.set_outcome(v1::LOAD_OUTCOME_UNKNOWN);
+    co_return timedOut;
 }
 
 namespace {
@@ -440,8 +441,8 @@
 }
 
 /** A call got no load there: those that come after it do not ask again before its time. */
-LoadDecline noteDeclined(GatewayNode &node, const std::string &target,
-                         const std::optional<v1::LoadReply> &reply)
+LoadDecline recordDecline(GatewayNode &node, const std::string &target,
+                          const std::optional<v1::LoadReply> &reply)
 {
     LoadDecline decline;
     if (reply)
@@ -463,19 +464,19 @@
                                   std::string adapter, std::int64_t version, bool missed,
                                   LoadLimits limits)
 {
-    const Duration most = std::min(limits.whole, loadPatience);
+    const Duration maxWait = std::min(limits.whole, maxLoadWait);
     const auto key = std::make_pair(target, adapter);
     const auto underWay = node.loadsInFlight.find(key);
     if (underWay != node.loadsInFlight.end()) {
-        const std::shared_ptr<LoadInFlight> other = underWay->second;
-        ++other->waiters;
-        co_await other->done.wait(most);
+        const std::shared_ptr<LoadInFlight> sharedLoad = underWay->second;
+        ++sharedLoad->waiters;
+        co_await sharedLoad->done.wait(maxWait);
         const ResidentVersions &resident = runtimeOf(node, target).resident;
         const auto found = resident.find(adapter);
         co_return found != resident.end() && found->second >= version;
     }
-    const auto ask = std::make_shared<LoadInFlight>(node.context);
-    node.loadsInFlight[key] = ask;
+    const auto pending = std::make_shared<LoadInFlight>(node.context);
+    node.loadsInFlight[key] = pending;
     v1::LoadRequest request;
     request.set_target(target);
     request.set_model(model);
@@ -492,7 +493,7 @@
         const PeerState *holder = holderOf(node, target);
         if (holder != nullptr) {
             const Endpoint peer = holder->endpoint;
-            reply = co_await node.peerLinks.load(peer, request, most);
+            reply = co_await node.peerLinks.load(peer, request, maxWait);
             const auto asked = node.peers.find(peer);
             if (!reply && asked != node.peers.end())
                 asked->second.loadFailedAt = BootClock::now();
@@ -505,15 +506,15 @@
         std::int64_t &known = runtimeOf(node, target).resident[adapter];
         known = std::max(known, reply->version());
         node.metrics.record(Timing::LoadStall, toSeconds(BootClock::now() - begun));
-        if (ask->waiters > 1)
+        if (pending->waiters > 1)
             node.metrics.add(Counter::LoadsShared);
     }
     node.loadsInFlight.erase(key);
-    ask->done.notifyAll();
+    pending->done.notifyAll();
     node.engineChanged.notifyAll();
     if (ready)
         co_return true;
-    const LoadDecline decline = noteDeclined(node, target, reply);
+    const LoadDecline decline = recordDecline(node, target, reply);
     logEvent(EventId::LoadDeclined,
              {{"target", target},
               {"adapter", adapter},
@@ -562,9 +563,9 @@
 }
 
 /** Looks whether loads that are expected to go on for long are done already. */
-asio::awaitable<void> lookAtLoads(GatewayNode &node, std::string target)
+asio::awaitable<void> checkLoads(GatewayNode &node, std::string target)
 {
-    HeldEngine &held = deskOf(node, target);
+    HeldEngine &held = heldEngineOf(node, target);
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr || held.checkingLoads)
         co_return;
@@ -575,14 +576,14 @@
     if (!report
         || !applyCompletedLoads(held.scheduler, *report, node.loadEstimator, BootClock::now()))
         co_return;
-    publishDesk(node, target);
+    publishHeldEngine(node, target);
     held.changed.notifyAll();
 }
 
 /** One step towards an engine that holds its base model. */
-asio::awaitable<void> tendEngine(GatewayNode &node, std::string target)
+asio::awaitable<void> ensureBaseModel(GatewayNode &node, std::string target)
 {
-    HeldEngine &held = deskOf(node, target);
+    HeldEngine &held = heldEngineOf(node, target);
     const TargetEntry *entry = entryOf(node, target);
     const EngineSpec *spec = entry != nullptr ? specOf(node, *entry) : nullptr;
     const ModelSpec *model = spec != nullptr ? baseModel(*spec) : nullptr;
@@ -593,7 +594,7 @@
     held.scheduler.adapterSlots = adapterCapacity(*spec, *model);
     learnFromLoads(held.scheduler, node.loadEstimator, now);
     if (isReportCheckDue(held.scheduler, node.loadEstimator.times, now))
-        spawn(node, "look at loads", lookAtLoads(node, target));
+        spawn(node, "look at loads", checkLoads(node, target));
     if (held.commandInFlight || now < held.retryAt)
         co_return;
     if (now < held.scheduler.modelReadyAt)
@@ -606,9 +607,10 @@
     }
     if (held.scheduler.models.count(model->name) > 0 || !mayLoadModel(node, *spec, now))
         co_return;
-    EngineCommand order;
-    order.model = model->name;
-    const CommandOutcome outcome = co_await giveOrder(node, target, std::move(order), model->name);
+    EngineCommand command;
+    command.model = model->name;
+    const CommandOutcome outcome =
+        co_await sendCommand(node, target, std::move(command), model->name);
     if (outcome == CommandOutcome::Accepted)
         node.modelLoads.push_back(now);
 }
@@ -618,14 +620,14 @@
 asio::awaitable<void> modelLoadLoop(GatewayNode &node)
 {
     while (!node.stopped) {
-        std::vector<std::string> mine;
+        std::vector<std::string> heldTargets;
         for (const auto &[id, record] : node.targetTable.records) {
             if (mayCommandNow(node, id))
-                mine.push_back(id);
+                heldTargets.push_back(id);
         }
-        for (const std::string &id : mine)
-            spawn(node, "tend engine", tendEngine(node, id));
-        co_await pauseFor(node, tendEvery);
+        for (const std::string &id : heldTargets)
+            spawn(node, "tend engine", ensureBaseModel(node, id));
+        co_await pauseFor(node, modelCheckInterval);
     }
 }
 
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 /** Relays of other zones that have to be heard, so that news this VM reads late reaches it. */
-constexpr int backingRelays = 2;
+constexpr int minBackupRelays = 2;
 
 /** An entry without what changes all the time; the holder of an engine tells that. */
 TargetEntry withoutAdapters(TargetEntry entry)
@@ -26,7 +26,7 @@
     return entry;
 }
 
-constexpr Duration sweepEvery = std::chrono::milliseconds(200);
+constexpr Duration sweepInterval = std::chrono::milliseconds(200);
 
 // All VMs of a large zone may hear of the list late at once, and their reads would hold it up more:
 // together they read about as often as one relay does.
@@ -38,7 +38,7 @@
     return now - lastOwn > maxListAge * std::max(countZonePeers(node), 1);
 }
 
-void takeTarget(GatewayNode &node, TargetEntry entry)
+void applyTarget(GatewayNode &node, TargetEntry entry)
 {
     const std::string id = entry.id;
     if (recordStartTime(node, id, entry.startTime) == StartOrder::Older)
@@ -58,8 +58,8 @@
         setResident(node, id, std::move(resident));
         runtime.models = std::set<std::string>(entry.models.begin(), entry.models.end());
     }
-    const bool wasLapsed = !isNew && known->second.expiredAt != Instant{};
-    const bool sameForPeers = !isNew && !wasLapsed && leaving == wasLeaving
+    const bool wasExpired = !isNew && known->second.expiredAt != Instant{};
+    const bool sameForPeers = !isNew && !wasExpired && leaving == wasLeaving
         && withoutAdapters(known->second.entry) == withoutAdapters(entry);
     if (!sameForPeers)
         node.shared.targets.set(id, {entry, false}, node.shared.counter);
@@ -98,15 +98,15 @@
         // Calls that are under way there still hold on to its counts.
         if (runtime != node.targets.end() && runtime->second->ownUsage.runs == 0)
             node.targets.erase(runtime);
-        const auto scheduler = node.heldEngines.find(id);
-        if (scheduler != node.heldEngines.end() && !scheduler->second->commandInFlight)
-            scheduler->second->scheduler = AdapterScheduler();
+        const auto engine = node.heldEngines.find(id);
+        if (engine != node.heldEngines.end() && !engine->second->commandInFlight)
+            engine->second->scheduler = AdapterScheduler();
     }
 }
 
 /** Takes a configuration that was read from the store. */
-asio::awaitable<std::optional<ConfigFacts>> takeStoredConfig(GatewayNode &node,
-                                                             std::string document)
+asio::awaitable<std::optional<ConfigFacts>> applyStoredConfig(GatewayNode &node,
+                                                              std::string document)
 {
     ConfigDecode decode = [platform = node.platform, base = node.config.newest,
                            document = std::move(document)] {
@@ -173,7 +173,7 @@
 void applyPeerTargets(GatewayNode &node, std::vector<TargetEntry> entries)
 {
     for (TargetEntry &entry : entries)
-        takeTarget(node, std::move(entry));
+        applyTarget(node, std::move(entry));
 }
 
 void dropTargetsUnlistedByPeer(GatewayNode &node, const std::set<std::string> &listed)
@@ -201,7 +201,7 @@
 {
     PlatformSink sink;
     sink.config = [&node](std::string document) {
-        return takeStoredConfig(node, std::move(document));
+        return applyStoredConfig(node, std::move(document));
     };
     sink.configConfirmed = [&node](std::int64_t version, Instant readBegan) {
         recordConfirmation(node.confirmations, {version, readBegan});
@@ -217,7 +217,7 @@
         node.started.notifyAll();
     };
     sink.target = [&node](TargetEntry entry) {
-        takeTarget(node, std::move(entry));
+        applyTarget(node, std::move(entry));
     };
     sink.targetRemoved = [&node](const std::string &id) {
         recordRemoved(node.targetTable, id, BootClock::now());
@@ -226,7 +226,7 @@
     sink.wholeList = [&node](std::vector<TargetEntry> entries,
                              const std::vector<std::string> &unreadable) {
         for (const TargetEntry &entry : entries)
-            takeTarget(node, entry);
+            applyTarget(node, entry);
         recordFullList(node.targetTable, std::move(entries), unreadable, BootClock::now());
         sweep(node);
     };
@@ -239,8 +239,8 @@
     sink.peer = [&node](PlatformVm vm) {
         addPeer(node, vm.peers, {std::move(vm.name), std::move(vm.zone), vm.capacity});
     };
-    sink.spendNotes = [&node](std::vector<UsageSnapshot> notes) {
-        applyStoredSnapshots(node, std::move(notes));
+    sink.spendNotes = [&node](std::vector<UsageSnapshot> snapshots) {
+        applyStoredSnapshots(node, std::move(snapshots));
     };
     sink.peersRead = [&node] {
         node.vmListRead = true;
@@ -255,7 +255,7 @@
         const auto zones = std::count_if(
             node.reported.reports.begin(), node.reported.reports.end(),
             [&](const auto &report) { return report.first.starts_with(zoneReporter); });
-        return zones >= backingRelays;
+        return zones >= minBackupRelays;
     };
     sink.ownRecord = [&node](OwnRecord own) {
         node.bootCount = own.bootCount;
@@ -276,7 +276,7 @@
         sweep(node);
         pruneEvidence(node, BootClock::now());
         forgetUnused(node.prefixes.table, BootClock::now());
-        co_await pauseFor(node, sweepEvery);
+        co_await pauseFor(node, sweepInterval);
     }
 }
 
--- a/libs/gateway/src/FleetCount.cpp
+++ b/libs/gateway/src/FleetCount.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /** The store, or a VM that reaches it, was heard within this. */
-constexpr Duration storeHeard = std::chrono::seconds(5);
+constexpr Duration storeFreshness = std::chrono::seconds(5);
 /** When all start at once, they have found each other without the store within this. */
-constexpr Duration othersHeard = std::chrono::seconds(4);
+constexpr Duration discoveryTime = std::chrono::seconds(4);
 
 int namedPeers(const GatewayNode &node)
 {
@@ -29,8 +29,8 @@
 
 int reachableVms(const GatewayNode &node, Instant now)
 {
-    const int below = 1 + vmsReported(node.reported);
-    return isRelayLive(node, now) ? std::max(node.relayState.reachableVms, below) : below;
+    const int reporting = 1 + vmsReported(node.reported);
+    return isRelayLive(node, now) ? std::max(node.relayState.reachableVms, reporting) : reporting;
 }
 
 int knownVms(const GatewayNode &node, Instant now)
@@ -44,8 +44,9 @@
 // only after a while.
 bool knowsFleetSize(const GatewayNode &node, Instant now)
 {
-    const bool heardForLong = node.relayState.at != Instant{} && now - node.bootedAt > othersHeard;
-    return node.vmListRead || heardForLong;
+    const bool hasRelayForLong =
+        node.relayState.at != Instant{} && now - node.bootedAt > discoveryTime;
+    return node.vmListRead || hasRelayForLong;
 }
 
 // Use is told by workspace, so it needs a configuration as well.
@@ -62,7 +63,7 @@
     VmCount count;
     count.reachable = reachableVms(node, now);
     count.listed = 1 + namedPeers(node);
-    count.storeReachable = confirmed && now - *confirmed < storeHeard;
+    count.storeReachable = confirmed && now - *confirmed < storeFreshness;
     updateFleetSize(node.fleet, count, now);
 }
 
--- a/libs/gateway/src/Gateway.cpp
+++ b/libs/gateway/src/Gateway.cpp
@@ -25,10 +25,10 @@
  * New connections go on arriving until the platform has asked twice, once a second, whether this
  * VM is ready; they are served until then.
  */
-constexpr Duration readinessNoticed = std::chrono::milliseconds(2600);
-constexpr Duration shutdownLook = std::chrono::milliseconds(50);
+constexpr Duration readinessDelay = std::chrono::milliseconds(2600);
+constexpr Duration shutdownPollInterval = std::chrono::milliseconds(50);
 /** The release of its engines goes out with the next report to the relay, within some 80 ms. */
-constexpr Duration releaseTold = std::chrono::milliseconds(120);
+constexpr Duration releaseDelay = std::chrono::milliseconds(120);
 
 asio::awaitable<void> answerReadiness(GatewayNode &node, HttpExchange &exchange)
 {
@@ -129,8 +129,8 @@
                   {"connections", std::to_string(this->node.connections)}});
         this->node.reportDue.notifyAll();
         const Instant limit = begun + this->node.settings.shutdownLimit;
-        while (BootClock::now() < begun + readinessNoticed)
-            co_await pauseFor(this->node, shutdownLook);
+        while (BootClock::now() < begun + readinessDelay)
+            co_await pauseFor(this->node, shutdownPollInterval);
         this->front.stopAccepting();
         this->front.closeIdle();
         if (this->forwards) {
@@ -138,10 +138,10 @@
             this->forwards->closeIdle();
         }
         while (this->node.connections > 0 && BootClock::now() < limit)
-            co_await pauseFor(this->node, shutdownLook);
+            co_await pauseFor(this->node, shutdownPollInterval);
         co_await leaveLease(this->node);
         this->node.reportDue.notifyAll();
-        co_await pauseFor(this->node, releaseTold);
+        co_await pauseFor(this->node, releaseDelay);
         this->report.abortedCalls = this->node.callsInFlight;
         logEvent(this->report.abortedCalls == 0 ? EventId::ShutdownDone : EventId::ShutdownCut,
                  {{"requests", std::to_string(this->report.abortedCalls)}});
@@ -156,7 +156,7 @@
     HttpServer operators;
     std::uint16_t peersPort = 0; ///< that is listened on
     GatewayShutdown report;
-    bool shutdownAsked = false;
+    bool shutdownRequested = false;
 };
 
 Gateway::Gateway(const GatewaySettings &settings)
@@ -195,9 +195,9 @@
 void Gateway::requestShutdown()
 {
     asio::post(this->impl->node.context, [this] {
-        if (this->impl->shutdownAsked)
+        if (this->impl->shutdownRequested)
             return;
-        this->impl->shutdownAsked = true;
+        this->impl->shutdownRequested = true;
         spawn(this->impl->node, "shutdown", this->impl->shutDown());
     });
 }
@@ -205,12 +205,12 @@
 void Gateway::reload(const GatewaySettings &settings)
 {
     asio::post(this->impl->node.context, [this, settings] {
-        GatewaySettings &mine = this->impl->node.settings;
-        mine.seeds = settings.seeds;
-        mine.retries = settings.retries;
-        mine.weights = settings.weights;
-        mine.shutdownLimit = settings.shutdownLimit;
-        logEvent(EventId::SettingsReloaded, {{"seeds", std::to_string(mine.seeds.size())}});
+        GatewaySettings &current = this->impl->node.settings;
+        current.seeds = settings.seeds;
+        current.retries = settings.retries;
+        current.weights = settings.weights;
+        current.shutdownLimit = settings.shutdownLimit;
+        logEvent(EventId::SettingsReloaded, {{"seeds", std::to_string(current.seeds.size())}});
     });
 }
 
--- a/libs/gateway/src/GatewayNode.cpp
+++ b/libs/gateway/src/GatewayNode.cpp
@@ -12,30 +12,30 @@
 namespace {
 
 /** VMs that fell silent count on for a while: a cut does not space exchanges more closely. */
-constexpr Duration silentCounts = std::chrono::seconds(15);
+constexpr Duration silentVmsCountFor = std::chrono::seconds(15);
 
 /**
  * Only a relay reads the store; what a VM saw while it relayed is tried anew after this, or when
  * its lease is renewed. In an outage for all it keeps two VMs from relaying by turns.
  */
-constexpr Duration storeFailureCounts = std::chrono::seconds(20);
+constexpr Duration storeFailureValidity = std::chrono::seconds(20);
 
 /**
  * Those that order engines call the store every 0.5 s, and are heard 0.1 s later: a mate that the
  * store has answered this long before this VM's first failure may still reach it.
  */
-constexpr Duration storeCallsApart = std::chrono::milliseconds(600);
+constexpr Duration storeReportLag = std::chrono::milliseconds(600);
 
 // Symptom without this: in a cut zone of 21 VMs each became the relay for a second, in turn, and
 // their calls were refused for 4 s. Sequence: no VM of the zone reaches the store; the relay says
 // so and steps down for the next one, which has not tried yet. Cause: a mate that nothing is known
 // of was taken for one that reaches the store.
-bool mateReachesStore(const GatewayNode &node)
+bool zonePeerReachesStore(const GatewayNode &node)
 {
     return std::any_of(node.peers.begin(), node.peers.end(), [&node](const auto &entry) {
         const PeerState &peer = entry.second;
-        const bool mate = peer.zone == node.settings.zone && peer.storeReachedAt != Instant{};
-        return mate && peer.storeReachedAt + storeCallsApart > node.storeFailingSince;
+        const bool zonePeer = peer.zone == node.settings.zone && peer.storeReachedAt != Instant{};
+        return zonePeer && peer.storeReachedAt + storeReportLag > node.storeFailingSince;
     });
 }
 
@@ -100,12 +100,12 @@
 
 void updateLiveGateways(GatewayNode &node, Instant now)
 {
-    const int above = node.relayState.at == Instant{} ? 0 : node.relayState.vms;
-    const int heard = std::max(1 + vmsReported(node.reported), above);
-    const bool forgotten = now - node.recentVmsAt > silentCounts;
-    if (heard < node.recentVms && !forgotten)
+    const int fromRelay = node.relayState.at == Instant{} ? 0 : node.relayState.vms;
+    const int counted = std::max(1 + vmsReported(node.reported), fromRelay);
+    const bool expired = now - node.recentVmsAt > silentVmsCountFor;
+    if (counted < node.recentVms && !expired)
         return;
-    node.recentVms = heard;
+    node.recentVms = counted;
     node.recentVmsAt = now;
 }
 
@@ -137,10 +137,10 @@
 {
     RelayRank rank;
     const bool failed = node.storeFailedAt != Instant{}
-        && BootClock::now() - node.storeFailedAt < storeFailureCounts;
+        && BootClock::now() - node.storeFailedAt < storeFailureValidity;
     // A VM that is stopping relays only if nobody else can.
     rank.storeUnreachable =
-        node.shuttingDown || (failed && !node.storeUp && mateReachesStore(node));
+        node.shuttingDown || (failed && !node.storeUp && zonePeerReachesStore(node));
     rank.capacity = node.shuttingDown ? 0 : node.settings.capacity;
     rank.hash = stableHash(node.settings.vm);
     return rank;
@@ -172,12 +172,12 @@
 TargetUsage othersUsageAt(const GatewayNode &node, const std::string &target)
 {
     TargetUsage others;
-    const auto below = node.reported.total.find(target);
-    if (below != node.reported.total.end())
-        addUsage(others, below->second);
-    const auto above = node.relayState.others.find(target);
-    if (above != node.relayState.others.end())
-        addUsage(others, above->second);
+    const auto fromReports = node.reported.total.find(target);
+    if (fromReports != node.reported.total.end())
+        addUsage(others, fromReports->second);
+    const auto fromRelay = node.relayState.others.find(target);
+    if (fromRelay != node.relayState.others.end())
+        addUsage(others, fromRelay->second);
     return others;
 }
 
--- a/libs/gateway/src/GatewayPeers.cpp
+++ b/libs/gateway/src/GatewayPeers.cpp
@@ -18,11 +18,11 @@
 
 namespace v1 = gateway::v1;
 
-constexpr int firstReconnectMs = 100;
-constexpr int longestReconnectMs = 500;
+constexpr int minReconnectMs = 100;
+constexpr int maxReconnectMs = 500;
 /** A link on which nothing is acknowledged for this long is given up and made anew. */
-constexpr int silentLinkMs = 1500;
-constexpr auto shutdownPatience = std::chrono::milliseconds(200);
+constexpr int keepaliveMs = 1500;
+constexpr auto shutdownTimeout = std::chrono::milliseconds(200);
 
 class GatewayService final : public v1::Gateway::CallbackService
 {
@@ -138,11 +138,11 @@
         if (stub)
             return stub;
         grpc::ChannelArguments arguments;
-        arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, firstReconnectMs);
-        arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, firstReconnectMs);
-        arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, longestReconnectMs);
-        arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, silentLinkMs);
-        arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, silentLinkMs);
+        arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, minReconnectMs);
+        arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, minReconnectMs);
+        arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, maxReconnectMs);
+        arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, keepaliveMs);
+        arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, keepaliveMs);
         arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
         // A proxy named in the environment must never stand between two VMs.
         arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
@@ -209,7 +209,7 @@
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     // By default a server hangs up on clients that look for a silent link as often as ours do.
     builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS,
-                               silentLinkMs / 2);
+                               keepaliveMs / 2);
     builder.RegisterService(this->impl->service.get());
     this->impl->server = builder.BuildAndStart();
     if (!this->impl->server)
@@ -223,7 +223,7 @@
     if (this->impl->service)
         this->impl->service->calls.endAll();
     if (this->impl->server)
-        this->impl->server->Shutdown(std::chrono::system_clock::now() + shutdownPatience);
+        this->impl->server->Shutdown(std::chrono::system_clock::now() + shutdownTimeout);
     this->impl->server.reset();
     this->impl->service.reset();
     // Callbacks post to the context of the waiting coroutines, so none may come after this.
--- a/libs/gateway/src/GatewaySettings.cpp
+++ b/libs/gateway/src/GatewaySettings.cpp
@@ -17,9 +17,9 @@
     const char *begin = text.data() + (colon == std::string::npos ? text.size() : colon + 1);
     const char *end = text.data() + text.size();
     const auto [parsed, error] = std::from_chars(begin, end, port);
-    const bool sound = colon != std::string::npos && colon > 0 && error == std::errc()
+    const bool valid = colon != std::string::npos && colon > 0 && error == std::errc()
         && parsed == end && port <= 65535;
-    if (!sound) {
+    if (!valid) {
         reader.complain(path, "'" + text + "' is no address", "write IP:PORT");
         return {};
     }
@@ -33,10 +33,10 @@
 }
 
 Duration readMs(JsonReader &reader, const Json &object, const std::string &path, const char *key,
-                Duration fallback, double least, double most)
+                Duration fallback, double minimum, double maximum)
 {
     const double fallbackMs = toSeconds(fallback) * 1000;
-    return fromSeconds(reader.number(object, path, key, fallbackMs, least, most) / 1000);
+    return fromSeconds(reader.number(object, path, key, fallbackMs, minimum, maximum) / 1000);
 }
 
 std::vector<Endpoint> readSeeds(JsonReader &reader, const Json &root, std::uint16_t port)
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -15,14 +15,14 @@
 
 namespace v1 = gateway::v1;
 
-constexpr Duration extendEvery = std::chrono::milliseconds(100);
+constexpr Duration extendInterval = std::chrono::milliseconds(100);
 constexpr Duration renewTimeout = std::chrono::milliseconds(400);
 /** While the store is away: words count for a second, so that one of three may be lost. */
-constexpr Duration wordEvery = std::chrono::milliseconds(250);
-constexpr Duration wordTimeout = std::chrono::milliseconds(600);
-constexpr Duration introduceEvery = std::chrono::milliseconds(500);
+constexpr Duration confirmationInterval = std::chrono::milliseconds(250);
+constexpr Duration confirmationTimeout = std::chrono::milliseconds(600);
+constexpr Duration firstConfirmationInterval = std::chrono::milliseconds(500);
 /** At other times words only show that a mate still lives. */
-constexpr Duration sureEvery = std::chrono::seconds(10);
+constexpr Duration livenessInterval = std::chrono::seconds(10);
 /** A mate that has not answered for this long is gone: cuts of the users' list last 12 s at most.
  */
 constexpr Duration goneAfter = std::chrono::seconds(40);
@@ -31,15 +31,15 @@
  * it was dealt anew and once to say so. Until that has settled all renew this often, or it takes up
  * to three times the time between renewals in which nobody orders: 1.2 s of each deal.
  */
-constexpr Duration dealLook = std::chrono::milliseconds(60);
-constexpr Duration dealSettles = std::chrono::milliseconds(700);
+constexpr Duration settlingRenewInterval = std::chrono::milliseconds(60);
+constexpr Duration settlingTime = std::chrono::milliseconds(700);
 /** Each attempt is a call to the store; the next renewal may tell that it was in vain. */
-constexpr Duration afterFailedNote = std::chrono::milliseconds(300);
+constexpr Duration claimRetryDelay = std::chrono::milliseconds(300);
 /** Renewals in the time that a lease lasts; one may be lost. */
 constexpr int renewalsPerLease = 4;
 
 /** The next holder orders some 4 s after a release; a shorter cut is over before. */
-constexpr Duration ordersKept = std::chrono::milliseconds(2500);
+constexpr Duration leaseKeptTime = std::chrono::milliseconds(2500);
 
 /**
  * A holder that is cut off from the store orders on by the word of the VMs it knows. One that has
@@ -47,9 +47,9 @@
  * its zone that the store names, or until such a cut would have ended; those of the users' list
  * last 12 s at most.
  */
-constexpr Duration newcomerWait = std::chrono::seconds(15);
+constexpr Duration newMemberWait = std::chrono::seconds(15);
 
-bool isForgotten(const PeerState &peer)
+bool isGone(const PeerState &peer)
 {
     return BootClock::now() - std::max(peer.lastHeardAt, peer.leaseConfirmation.askedAt)
         > goneAfter;
@@ -61,7 +61,7 @@
     // its address. They forget a VM only after it has been down for `goneAfter`.
     if (node.heldBefore)
         return false;
-    if (now - node.joinedLeaseAt >= newcomerWait)
+    if (now - node.joinedLeaseAt >= newMemberWait)
         return false;
     for (const auto &[endpoint, peer] : node.peers) {
         if (peer.zone == node.settings.zone && peer.leaseConfirmation.askedAt == Instant{})
@@ -95,16 +95,16 @@
 }
 
 /** Those of the zone that could be dealt what this VM holds. */
-std::vector<PeerLeaseState> wordsOfMates(const GatewayNode &node)
+std::vector<PeerLeaseState> confirmationsOfZonePeers(const GatewayNode &node)
 {
-    std::vector<PeerLeaseState> words;
+    std::vector<PeerLeaseState> confirmations;
     for (const auto &[endpoint, peer] : node.peers) {
-        const bool mate = peer.zone == node.settings.zone && peer.lastHeardAt != Instant{}
+        const bool zonePeer = peer.zone == node.settings.zone && peer.lastHeardAt != Instant{}
             && !peer.leftLeaseGroup;
-        if (mate && !isForgotten(peer))
-            words.push_back(peer.leaseConfirmation.confirmation);
+        if (zonePeer && !isGone(peer))
+            confirmations.push_back(peer.leaseConfirmation.confirmation);
     }
-    return words;
+    return confirmations;
 }
 
 LeaseRenewal renewalOf(const GatewayNode &node)
@@ -117,34 +117,35 @@
     return renewal;
 }
 
-bool isNotedBy(const HolderRecords &notes, const std::string &vm)
+bool isRecordedBy(const HolderRecords &records, const std::string &vm)
 {
-    return std::any_of(notes.byPartition.begin(), notes.byPartition.end(),
-                       [&vm](const auto &note) { return note.second.vm == vm; });
+    return std::any_of(records.byPartition.begin(), records.byPartition.end(),
+                       [&vm](const auto &record) { return record.second.vm == vm; });
 }
 
 /** Notes in the store what this VM is about to order; see claimsToRecord(). */
-asio::awaitable<void> noteOrders(GatewayNode &node)
+asio::awaitable<void> recordClaims(GatewayNode &node)
 {
     node.recordingClaims = true;
-    const auto notes = co_await node.platform->readHolderClaims(node.http, node.settings);
+    const auto records = co_await node.platform->readHolderClaims(node.http, node.settings);
     std::vector<HolderClaim> claims;
-    if (notes) {
-        node.heldBefore = node.heldBefore || isNotedBy(*notes, node.settings.vm);
-        claims = claimsToRecord(node.lease, *notes, node.settings.vm, node.settings.lease,
+    if (records) {
+        node.heldBefore = node.heldBefore || isRecordedBy(*records, node.settings.vm);
+        claims = claimsToRecord(node.lease, *records, node.settings.vm, node.settings.lease,
                                 BootClock::now());
     }
-    node.claimRetryAt = BootClock::now() + afterFailedNote;
+    node.claimRetryAt = BootClock::now() + claimRetryDelay;
     if (claims.empty()) {
         node.recordingClaims = false;
         co_return;
     }
-    HolderClaims told;
-    told.generation = node.lease.generation;
-    told.end = notes->logEnd;
+    HolderClaims claimed;
+    claimed.generation = node.lease.generation;
+    claimed.end = records->logEnd;
     for (const HolderClaim &claim : claims)
-        told.partitions.push_back(claim.partition);
-    const bool added = co_await node.platform->recordHolderClaims(node.http, node.settings, told);
+        claimed.partitions.push_back(claim.partition);
+    const bool added =
+        co_await node.platform->recordHolderClaims(node.http, node.settings, claimed);
     node.recordingClaims = false;
     const Instant now = BootClock::now();
     if (added) {
@@ -154,7 +155,7 @@
     const auto again = std::count_if(claims.begin(), claims.end(),
                                      [](const HolderClaim &claim) { return claim.resumes; });
     logEvent(EventId::OrdersNoted,
-             {{"generation", std::to_string(told.generation)},
+             {{"generation", std::to_string(claimed.generation)},
               {"partitions", std::to_string(claims.size())},
               {"orderedLastByThisVm", std::to_string(again)},
               {"added", added ? "yes" : "no"}});
@@ -168,7 +169,8 @@
     while (!node.stopped) {
         const std::size_t before = node.lease.activeFrom.size();
         if (node.renewalFailing)
-            extendLease(node.lease, wordsOfMates(node), node.settings.lease, BootClock::now());
+            extendLease(node.lease, confirmationsOfZonePeers(node), node.settings.lease,
+                        BootClock::now());
         if (before > 0 && node.lease.activeFrom.empty())
             logEvent(EventId::LeaseChanged,
                      {{"generation", std::to_string(node.lease.generation)},
@@ -176,19 +178,19 @@
                       {"before", std::to_string(before)},
                       {"why", "the store is away, and not all VMs of the zone say so"}});
         const Instant now = BootClock::now();
-        const bool mayNote = !node.recordingClaims && !node.renewalFailing && !node.leftLeaseGroup
+        const bool mayRecord = !node.recordingClaims && !node.renewalFailing && !node.leftLeaseGroup
             && now >= node.claimRetryAt;
-        if (mayNote && isWriteDue(node.lease, now))
-            spawn(node, "note orders", noteOrders(node));
+        if (mayRecord && isWriteDue(node.lease, now))
+            spawn(node, "note orders", recordClaims(node));
         retractEngines(node);
-        co_await pauseFor(node, extendEvery);
+        co_await pauseFor(node, extendInterval);
     }
 }
 
 bool shouldYieldLease(const GatewayNode &node, Instant now)
 {
     const std::optional<Instant> lostSince = engineLinksLostSince(node);
-    if (!lostSince || now - *lostSince < ordersKept)
+    if (!lostSince || now - *lostSince < leaseKeptTime)
         return false;
     const int linked = isRelayLive(node, now) ? node.relayState.linkedZonePeers
                                               : linkedVms(node, node.settings.peers);
@@ -199,7 +201,7 @@
 
 // As before its end, this VM gives no order from here on; those who are dealt its engines wait as
 // long after its release as after any other.
-asio::awaitable<void> yieldOrders(GatewayNode &node)
+asio::awaitable<void> yieldLease(GatewayNode &node)
 {
     const LeaseRenewal renewal = renewalOf(node);
     logEvent(EventId::LeaseChanged,
@@ -220,17 +222,17 @@
 
 asio::awaitable<void> leaseLoop(GatewayNode &node)
 {
-    Instant dealtAt{};
+    Instant assignedAt{};
     while (!node.stopped && !node.leftLeaseGroup) {
         // Without its own record in the store it could not tell its boots apart; see EngineRecord.
         if (!node.mayHoldLease || node.bootCount == 0) {
-            co_await pauseFor(node, extendEvery);
+            co_await pauseFor(node, extendInterval);
             continue;
         }
         if (shouldYieldLease(node, BootClock::now())) {
             if (!node.leaseYielded)
-                co_await yieldOrders(node);
-            co_await pauseFor(node, extendEvery);
+                co_await yieldLease(node);
+            co_await pauseFor(node, extendInterval);
             continue;
         }
         node.leaseYielded = false;
@@ -254,15 +256,16 @@
                           {"before", std::to_string(before)}});
         }
         // What another gateway may have ordered meanwhile is not known here any more.
-        for (const auto &[target, scheduler] : node.heldEngines) {
+        for (const auto &[target, engine] : node.heldEngines) {
             if (!mayCommandNow(node, target))
-                invalidateSequence(scheduler->scheduler);
+                invalidateSequence(engine->scheduler);
         }
         const Instant now = BootClock::now();
         if (grant && grant->generation != renewal.generation)
-            dealtAt = now;
-        const bool settling = now - dealtAt < dealSettles;
-        co_await pauseFor(node, settling ? dealLook : node.settings.lease.ttl / renewalsPerLease);
+            assignedAt = now;
+        const bool settling = now - assignedAt < settlingTime;
+        co_await pauseFor(
+            node, settling ? settlingRenewInterval : node.settings.lease.ttl / renewalsPerLease);
     }
 }
 
@@ -273,24 +276,26 @@
     v1::WordRequest request;
     encodeSelf(node, *request.mutable_from());
     const Instant askedAt = BootClock::now();
-    const auto word =
-        co_await node.peerLinks.askLeaseConfirmation(endpoint, std::move(request), wordTimeout);
+    const auto confirmation = co_await node.peerLinks.askLeaseConfirmation(
+        endpoint, std::move(request), confirmationTimeout);
     const auto found = node.peers.find(endpoint);
-    if (!word || found == node.peers.end())
+    if (!confirmation || found == node.peers.end())
         co_return;
     PeerState &peer = found->second;
     peer.lastHeardAt = BootClock::now();
-    peer.leftLeaseGroup = word->left();
+    peer.leftLeaseGroup = confirmation->left();
     // It counts from the question: the answer may have been under way for long.
     peer.leaseConfirmation.askedAt = askedAt;
-    peer.leaseConfirmation.confirmation = {askedAt, word->generation(), !word->may_hold()};
+    peer.leaseConfirmation.confirmation = {askedAt, confirmation->generation(),
+                                           !confirmation->may_hold()};
 }
 
-Duration wordSpacing(const GatewayNode &node, const PeerState &peer)
+Duration confirmationSpacing(const GatewayNode &node, const PeerState &peer)
 {
     if (node.renewalFailing)
-        return wordEvery;
-    return peer.leaseConfirmation.askedAt == Instant{} ? introduceEvery : sureEvery;
+        return confirmationInterval;
+    return peer.leaseConfirmation.askedAt == Instant{} ? firstConfirmationInterval
+                                                       : livenessInterval;
 }
 
 } // namespace
@@ -301,17 +306,17 @@
         const Instant now = BootClock::now();
         std::vector<Endpoint> due;
         for (auto &[endpoint, peer] : node.peers) {
-            const bool mate = peer.zone == node.settings.zone && !peer.name.empty();
-            if (!mate || node.joinedLeaseAt == Instant{} || node.leftLeaseGroup)
+            const bool zonePeer = peer.zone == node.settings.zone && !peer.name.empty();
+            if (!zonePeer || node.joinedLeaseAt == Instant{} || node.leftLeaseGroup)
                 continue;
-            if (now - peer.leaseConfirmation.triedAt < wordSpacing(node, peer))
+            if (now - peer.leaseConfirmation.triedAt < confirmationSpacing(node, peer))
                 continue;
             peer.leaseConfirmation.triedAt = now;
             due.push_back(endpoint);
         }
         for (const Endpoint &endpoint : due)
             spawn(node, "ask word", askLeaseConfirmation(node, endpoint));
-        co_await pauseFor(node, wordEvery);
+        co_await pauseFor(node, confirmationInterval);
     }
 }
 
@@ -322,13 +327,13 @@
         addPeer(node, asker, decodeVm(request.from()));
         node.peers[asker].lastHeardAt = BootClock::now();
     }
-    v1::Word word;
-    encodeSelf(node, *word.mutable_from());
-    word.set_generation(node.lease.generation);
+    v1::Word confirmation;
+    encodeSelf(node, *confirmation.mutable_from());
+    confirmation.set_generation(node.lease.generation);
     // One that does not take part waits like any other before it orders, should it join.
-    word.set_may_hold(node.leaseRenewed && !node.leftLeaseGroup);
-    word.set_left(node.leftLeaseGroup);
-    return word;
+    confirmation.set_may_hold(node.leaseRenewed && !node.leftLeaseGroup);
+    confirmation.set_left(node.leftLeaseGroup);
+    return confirmation;
 }
 
 // A VM that is asked to end goes on ordering its engines until its last call has ended, which can
--- a/libs/gateway/src/LinkWatch.cpp
+++ b/libs/gateway/src/LinkWatch.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr Duration probeEvery = std::chrono::milliseconds(300);
-constexpr Duration probePatience = std::chrono::milliseconds(250);
-constexpr std::size_t probesAtOnce = 6;
+constexpr Duration probeInterval = std::chrono::milliseconds(300);
+constexpr Duration probeTimeout = std::chrono::milliseconds(250);
+constexpr std::size_t maxConcurrentProbes = 6;
 
 /** Targets that are down for all are looked at no more often. */
-constexpr Duration checkEvery = std::chrono::milliseconds(1000);
+constexpr Duration checkInterval = std::chrono::milliseconds(1000);
 
-bool isAnyLost(const GatewayNode &node)
+bool isAnyServiceLost(const GatewayNode &node)
 {
     return std::any_of(node.serviceLinks.begin(), node.serviceLinks.end(),
                        [](const auto &entry) { return entry.second.lost; });
@@ -45,23 +45,24 @@
         else if (state == LinkState::Failed && othersReach(node, id))
             ++counts.failed;
     }
-    counts.otherServiceLost = isAnyLost(node);
+    counts.otherServiceLost = isAnyServiceLost(node);
     return counts;
 }
 
 /** Some targets of the service that other VMs reach, or that may be so, drawn anew each time. */
-std::vector<TargetEntry> drawTargets(GatewayNode &node, const std::string &service,
-                                     bool othersReachThem)
+std::vector<TargetEntry> sampleTargets(GatewayNode &node, const std::string &service,
+                                       bool othersReachThem)
 {
     std::vector<const TargetRecord *> listed = targetsOf(node, service);
     if (othersReachThem)
         std::erase_if(listed, [&](const TargetRecord *record) {
             return !othersReach(node, record->entry.id);
         });
-    std::vector<const TargetRecord *> drawn;
-    std::sample(listed.begin(), listed.end(), std::back_inserter(drawn), probesAtOnce, node.random);
+    std::vector<const TargetRecord *> chosen;
+    std::sample(listed.begin(), listed.end(), std::back_inserter(chosen), maxConcurrentProbes,
+                node.random);
     std::vector<TargetEntry> entries;
-    for (const TargetRecord *record : drawn)
+    for (const TargetRecord *record : chosen)
         entries.push_back(record->entry);
     return entries;
 }
@@ -81,7 +82,7 @@
 /** Tries to connect; a connection serves a call later. */
 asio::awaitable<void> probe(GatewayNode &node, TargetEntry target, std::shared_ptr<Probing> probing)
 {
-    ConnectResult result = co_await connectTo(node.context, target.endpoint, probePatience);
+    ConnectResult result = co_await connectTo(node.context, target.endpoint, probeTimeout);
     if (result.connection) {
         ++probing->round.reached;
         TargetRuntime &runtime = runtimeOf(node, target.id);
@@ -99,12 +100,12 @@
     for (const TargetEntry &target : targets)
         spawn(node, "probe a target", probe(node, target, probing));
     if (probing->ended < probing->round.tried)
-        co_await probing->done.wait(2 * probePatience);
+        co_await probing->done.wait(2 * probeTimeout);
     co_return probing->round;
 }
 
 /** What was seen of targets while the links were lost tells nothing of the targets. */
-void forgetSights(GatewayNode &node, const std::string &service)
+void resetObservations(GatewayNode &node, const std::string &service)
 {
     for (const TargetRecord *record : targetsOf(node, service)) {
         TargetRuntime &runtime = runtimeOf(node, record->entry.id);
@@ -117,13 +118,13 @@
 asio::awaitable<void> probeLoop(GatewayNode &node, std::string service)
 {
     while (!node.stopped && areLinksLost(node, service)) {
-        co_await pauseFor(node, probeEvery);
-        std::vector<TargetEntry> targets = drawTargets(node, service, false);
+        co_await pauseFor(node, probeInterval);
+        std::vector<TargetEntry> targets = sampleTargets(node, service, false);
         const ProbeRound round = co_await probeAll(node, std::move(targets));
         ServiceLinks &links = node.serviceLinks[service];
         if (!recordProbes(links, round))
             continue;
-        forgetSights(node, service);
+        resetObservations(node, service);
         logEvent(EventId::LinksBack,
                  {{"service", service}, {"lostMs", millisText(BootClock::now() - links.since)}});
         node.reportDue.notifyAll();
@@ -137,7 +138,7 @@
 {
     const Instant now = BootClock::now();
     ServiceLinks &links = node.serviceLinks[service];
-    const bool checked = links.checkedAt != Instant{} && now - links.checkedAt < checkEvery;
+    const bool checked = links.checkedAt != Instant{} && now - links.checkedAt < checkInterval;
     if (links.lost || links.checking || checked)
         return;
     links.checking = true;
@@ -148,7 +149,7 @@
 asio::awaitable<void> checkLinks(GatewayNode &node, std::string service)
 {
     const LinkCounts counts = countLinks(node, service, BootClock::now());
-    std::vector<TargetEntry> targets = drawTargets(node, service, true);
+    std::vector<TargetEntry> targets = sampleTargets(node, service, true);
     const ProbeRound round = co_await probeAll(node, std::move(targets));
     ServiceLinks &links = node.serviceLinks[service];
     links.checking = false;
@@ -207,16 +208,16 @@
     return since;
 }
 
-int linkedVms(const GatewayNode &node, const Endpoint &besides)
+int linkedVms(const GatewayNode &node, const Endpoint &excluded)
 {
     const Instant now = BootClock::now();
     int linked = 0;
-    if (besides != node.settings.peers && !engineLinksLostSince(node))
+    if (excluded != node.settings.peers && !engineLinksLostSince(node))
         ++linked;
     for (const auto &[endpoint, peer] : node.peers) {
-        const bool heard = isZonePeer(node, peer) && !peer.starting && !peer.stopping
+        const bool reporting = isZonePeer(node, peer) && !peer.starting && !peer.stopping
             && now - peer.lastReportAt < reporterTimeout;
-        if (heard && !peer.linksLost && endpoint != besides)
+        if (reporting && !peer.linksLost && endpoint != excluded)
             ++linked;
     }
     return linked;
@@ -232,7 +233,7 @@
 
 bool isObservationDoubtful(const GatewayNode &node, const std::string &target)
 {
-    const TargetEntry *entry = isAnyLost(node) ? entryOf(node, target) : nullptr;
+    const TargetEntry *entry = isAnyServiceLost(node) ? entryOf(node, target) : nullptr;
     return entry != nullptr && areLinksLost(node, entry->service);
 }
 
--- a/libs/gateway/src/LinkWatch.h
+++ b/libs/gateway/src/LinkWatch.h
@@ -26,7 +26,7 @@
 std::optional<Instant> engineLinksLostSince(const GatewayNode &node);
 
 /** VMs of the zone that can be heard and have not lost their links to engines, but for one. */
-int linkedVms(const GatewayNode &node, const Endpoint &besides);
+int linkedVms(const GatewayNode &node, const Endpoint &excluded);
 
 /** True if this VM does not reach the target, though others do. */
 bool isOwnLinkFault(const GatewayNode &node, const std::string &target, Instant now);
--- a/libs/gateway/src/LostCalls.cpp
+++ b/libs/gateway/src/LostCalls.cpp
@@ -12,35 +12,35 @@
 namespace {
 
 /** The calls of one end break off together; the look at the target waits for all of them. */
-constexpr Duration lossGather = std::chrono::milliseconds(20);
+constexpr Duration lossBatchDelay = std::chrono::milliseconds(20);
 
 /** Links within a deployment take a few ms. */
-constexpr Duration lookPatience = std::chrono::milliseconds(250);
+constexpr Duration probeTimeout = std::chrono::milliseconds(250);
 
 /** Within this the looks at other targets that lost calls at the same time are over. */
-constexpr Duration othersLooked = std::chrono::milliseconds(150);
+constexpr Duration otherProbesWait = std::chrono::milliseconds(150);
 
 /** The list tells of a new start, or that the target is gone, within some renewals of its entry. */
-constexpr Duration listPatience = std::chrono::seconds(10);
+constexpr Duration maxListDelay = std::chrono::seconds(10);
 
 /** Lost calls of one target that are kept; as many as engines run at once. */
-constexpr std::size_t mostLostKept = 256;
+constexpr std::size_t maxLostCalls = 256;
 
 /** Calls of an end that a log line names; enough to find one that several ends have in common. */
-constexpr std::size_t mostCallsNamed = 16;
+constexpr std::size_t maxCallsLogged = 16;
 
 std::string callsText(const std::vector<CallIdentity> &calls)
 {
     std::string text;
-    for (std::size_t index = 0; index < std::min(calls.size(), mostCallsNamed); ++index)
+    for (std::size_t index = 0; index < std::min(calls.size(), maxCallsLogged); ++index)
         text += (index == 0 ? "" : " ") + identityText(calls[index]);
     return text;
 }
 
 /** The target ended under what was lost since `from`. `nextStartTime`: its new start; 0: not known.
  */
-void noteEnd(GatewayNode &node, const std::string &target, Instant from, std::int64_t nextStartTime,
-             std::string_view seenBy)
+void recordEnd(GatewayNode &node, const std::string &target, Instant from,
+               std::int64_t nextStartTime, std::string_view seenBy)
 {
     CallEvidence evidence;
     evidence.target = target;
@@ -70,9 +70,10 @@
  * targets seem to end together, so this waits for what the others come to; calls that were lost to
  * the links are no evidence against anything.
  */
-asio::awaitable<void> noteRefused(GatewayNode &node, std::string target, Instant firstLoss)
+asio::awaitable<void> handleRefusedConnection(GatewayNode &node, std::string target,
+                                              Instant firstLoss)
 {
-    co_await pauseFor(node, othersLooked);
+    co_await pauseFor(node, otherProbesWait);
     const auto found = node.targets.find(target);
     if (found == node.targets.end())
         co_return;
@@ -81,14 +82,14 @@
     if (isObservationDoubtful(node, target))
         lost.calls.clear();
     else
-        noteEnd(node, target, firstLoss, 0, "refused connection");
+        recordEnd(node, target, firstLoss, 0, "refused connection");
 }
 
-asio::awaitable<void> lookAt(GatewayNode &node, std::string target, Endpoint endpoint)
+asio::awaitable<void> probeTarget(GatewayNode &node, std::string target, Endpoint endpoint)
 {
-    const Instant firstLoss = BootClock::now() - lossGather;
-    co_await pauseFor(node, lossGather);
-    ConnectResult result = co_await connectTo(node.context, endpoint, lookPatience);
+    const Instant firstLoss = BootClock::now() - lossBatchDelay;
+    co_await pauseFor(node, lossBatchDelay);
+    ConnectResult result = co_await connectTo(node.context, endpoint, probeTimeout);
     const auto found = node.targets.find(target);
     if (found == node.targets.end())
         co_return;
@@ -98,7 +99,7 @@
     else
         recordLinkFailure(node, target);
     if (result.error == asio::error::connection_refused) {
-        co_await noteRefused(node, target, firstLoss);
+        co_await handleRefusedConnection(node, target, firstLoss);
         co_return;
     }
     runtime.lost.checking = false;
@@ -120,7 +121,7 @@
     LostCalls &lost = runtime.lost;
     const Instant now = BootClock::now();
     lost.calls.push_back({identityOf(run), now});
-    while (lost.calls.size() > mostLostKept || now - lost.calls.front().at > listPatience)
+    while (lost.calls.size() > maxLostCalls || now - lost.calls.front().at > maxListDelay)
         lost.calls.pop_front();
     if (lost.checking)
         return;
@@ -131,7 +132,7 @@
         return;
     }
     lost.checking = true;
-    spawn(node, "look at a target", lookAt(node, target, entry->endpoint));
+    spawn(node, "look at a target", probeTarget(node, target, entry->endpoint));
 }
 
 void recordEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime)
@@ -139,7 +140,7 @@
     const auto found = node.targets.find(target);
     if (found == node.targets.end() || found->second->leaving)
         return;
-    noteEnd(node, target, BootClock::now() - listPatience, nextStartTime, "list");
+    recordEnd(node, target, BootClock::now() - maxListDelay, nextStartTime, "list");
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/PeerCodec.cpp
+++ b/libs/gateway/src/PeerCodec.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr int lastRank = 1000;
+constexpr int maxRank = 1000;
 
 /** Longer times than this are not told of loads. */
-constexpr Duration longestTold = std::chrono::seconds(60);
+constexpr Duration maxRetryIn = std::chrono::seconds(60);
 
 std::uint16_t portOf(std::uint32_t port)
 {
@@ -134,74 +134,74 @@
 
 void encodeRank(int rank, v1::LoadRequest &request)
 {
-    request.set_rank(static_cast<std::uint32_t>(std::clamp(rank, 0, lastRank)));
+    request.set_rank(static_cast<std::uint32_t>(std::clamp(rank, 0, maxRank)));
 }
 
 int decodeRank(const v1::LoadRequest &request)
 {
-    return static_cast<int>(std::min<std::uint32_t>(request.rank(), lastRank));
+    return static_cast<int>(std::min<std::uint32_t>(request.rank(), maxRank));
 }
 
 void encodeDecline(const LoadDecline &decline, v1::LoadReply &reply)
 {
     // Rounded up: a holder that is asked a moment too early declines once more.
-    const Duration told = std::clamp(decline.retryIn, Duration::zero(), longestTold);
-    const auto millis = static_cast<std::uint32_t>(toMillis(told));
-    const bool rest = told > std::chrono::milliseconds(millis);
-    reply.set_retry_in_ms(millis + (rest ? 1 : 0));
+    const Duration retryIn = std::clamp(decline.retryIn, Duration::zero(), maxRetryIn);
+    const auto millis = static_cast<std::uint32_t>(toMillis(retryIn));
+    const bool roundedDown = retryIn > std::chrono::milliseconds(millis);
+    reply.set_retry_in_ms(millis + (roundedDown ? 1 : 0));
     reply.set_reason(static_cast<v1::LoadDecline>(decline.reason));
 }
 
 LoadDecline decodeDecline(const v1::LoadReply &reply)
 {
     LoadDecline decline;
-    const auto longest = static_cast<std::uint64_t>(toMillis(longestTold));
+    const auto longest = static_cast<std::uint64_t>(toMillis(maxRetryIn));
     decline.retryIn =
         std::chrono::milliseconds(std::min(std::uint64_t{reply.retry_in_ms()}, longest));
     decline.reason = declineReasonOf(static_cast<std::uint64_t>(reply.reason()));
     return decline;
 }
 
-void encodeUse(const std::string &target, const TargetUsage &use, v1::EngineUse &told)
+void encodeUse(const std::string &target, const TargetUsage &use, v1::EngineUse &message)
 {
-    told.set_target(target);
-    told.set_waiting_tokens(wholeTokens(use.waitingTokens));
-    told.set_held_tokens(wholeTokens(use.heldTokens));
-    told.set_runs(use.runs);
-    told.set_busy_slots(use.busySlots);
-    told.set_faults(static_cast<std::uint32_t>(std::max(use.failures, 0)));
-    told.set_goods(static_cast<std::uint32_t>(std::max(use.successes, 0)));
-    told.set_quick_runs(use.shortObjectiveRuns);
+    message.set_target(target);
+    message.set_waiting_tokens(wholeTokens(use.waitingTokens));
+    message.set_held_tokens(wholeTokens(use.heldTokens));
+    message.set_runs(use.runs);
+    message.set_busy_slots(use.busySlots);
+    message.set_faults(static_cast<std::uint32_t>(std::max(use.failures, 0)));
+    message.set_goods(static_cast<std::uint32_t>(std::max(use.successes, 0)));
+    message.set_quick_runs(use.shortObjectiveRuns);
 }
 
 void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &use,
-                        v1::WorkspaceUse &told)
+                        v1::WorkspaceUse &message)
 {
-    told.set_workspace(workspace);
-    told.set_units(static_cast<std::uint64_t>(std::max<std::int64_t>(use.unitsInWindow, 0)));
-    told.set_asked_per_second(
+    message.set_workspace(workspace);
+    message.set_units(static_cast<std::uint64_t>(std::max<std::int64_t>(use.unitsInWindow, 0)));
+    message.set_asked_per_second(
         static_cast<std::uint64_t>(std::max<std::int64_t>(use.requestedPerSecond, 0)));
-    encodeClassDemand(use, told);
+    encodeClassDemand(use, message);
 }
 
 namespace {
 
-/** False if what `told` says of classes is invalid. */
-bool decodeInto(const v1::WorkspaceUse &told, WorkspaceUse &use)
+/** False if what `message` says of classes is invalid. */
+bool decodeInto(const v1::WorkspaceUse &message, WorkspaceUse &use)
 {
     use.unitsInWindow =
-        static_cast<std::int64_t>(std::min<std::uint64_t>(told.units(), maxReportedNumber));
+        static_cast<std::int64_t>(std::min<std::uint64_t>(message.units(), maxReportedNumber));
     use.requestedPerSecond = static_cast<std::int64_t>(
-        std::min<std::uint64_t>(told.asked_per_second(), maxReportedNumber));
-    return decodeClassDemand(told, use);
+        std::min<std::uint64_t>(message.asked_per_second(), maxReportedNumber));
+    return decodeClassDemand(message, use);
 }
 
 } // namespace
 
-WorkspaceUse decodeWorkspaceUse(const v1::WorkspaceUse &told)
+WorkspaceUse decodeWorkspaceUse(const v1::WorkspaceUse &message)
 {
     WorkspaceUse use;
-    decodeInto(told, use);
+    decodeInto(message, use);
     return use;
 }
 
@@ -210,114 +210,114 @@
 {
     WorkspaceUses uses;
     std::string invalid;
-    for (const v1::WorkspaceUse &told : all) {
+    for (const v1::WorkspaceUse &message : all) {
         WorkspaceUse use;
-        if (!decodeInto(told, use))
-            invalid = told.workspace();
-        uses[told.workspace()] = use;
+        if (!decodeInto(message, use))
+            invalid = message.workspace();
+        uses[message.workspace()] = use;
     }
     if (!invalid.empty())
         logEvent(EventId::UseMalformed, {{"peer", from.name()}, {"workspace", invalid}});
     return uses;
 }
 
-TargetUsage decodeUse(const v1::EngineUse &told)
+TargetUsage decodeUse(const v1::EngineUse &message)
 {
     TargetUsage use;
-    use.waitingTokens = static_cast<double>(told.waiting_tokens());
-    use.heldTokens = static_cast<double>(told.held_tokens());
-    use.runs = told.runs();
-    use.busySlots = told.busy_slots();
-    use.failures = static_cast<int>(told.faults());
-    use.successes = static_cast<int>(told.goods());
-    use.shortObjectiveRuns = told.quick_runs();
+    use.waitingTokens = static_cast<double>(message.waiting_tokens());
+    use.heldTokens = static_cast<double>(message.held_tokens());
+    use.runs = message.runs();
+    use.busySlots = message.busy_slots();
+    use.failures = static_cast<int>(message.faults());
+    use.successes = static_cast<int>(message.goods());
+    use.shortObjectiveRuns = message.quick_runs();
     return use;
 }
 
-void encodeTarget(const std::string &target, const SharedTarget &fact, v1::Target &told)
+void encodeTarget(const std::string &target, const SharedTarget &fact, v1::Target &message)
 {
-    told.set_id(target);
-    told.set_gone(fact.gone);
+    message.set_id(target);
+    message.set_gone(fact.gone);
     if (fact.gone)
         return;
     const TargetEntry &entry = fact.entry;
-    told.set_service(entry.service);
-    told.set_address(entry.endpoint.address);
-    told.set_port(entry.endpoint.port);
-    told.set_zone(entry.zone);
-    told.set_slots(entry.slots);
-    told.set_leaving(entry.leaving);
-    told.set_born(entry.startTime);
-    told.set_software(entry.software);
-    told.set_lapsed(fact.lapsed);
+    message.set_service(entry.service);
+    message.set_address(entry.endpoint.address);
+    message.set_port(entry.endpoint.port);
+    message.set_zone(entry.zone);
+    message.set_slots(entry.slots);
+    message.set_leaving(entry.leaving);
+    message.set_born(entry.startTime);
+    message.set_software(entry.software);
+    message.set_lapsed(fact.lapsed);
     for (const std::string &model : entry.models)
-        told.add_models(model);
+        message.add_models(model);
     for (const HeldAdapter &held : entry.adapters) {
-        v1::Slot *slot = told.add_adapters();
+        v1::Slot *slot = message.add_adapters();
         slot->set_adapter(held.adapter);
         slot->set_version(held.version);
     }
 }
 
-SharedTarget decodeTarget(const v1::Target &told)
+SharedTarget decodeTarget(const v1::Target &message)
 {
     SharedTarget fact;
-    fact.gone = told.gone();
-    fact.lapsed = told.lapsed();
-    fact.entry.id = told.id();
-    fact.entry.service = told.service();
-    fact.entry.endpoint = {told.address(), portOf(told.port())};
-    fact.entry.zone = told.zone();
-    fact.entry.slots = told.slots();
-    fact.entry.leaving = told.leaving();
-    fact.entry.startTime = told.born();
-    fact.entry.software = told.software();
-    fact.entry.models = std::vector<std::string>(told.models().begin(), told.models().end());
-    for (const v1::Slot &slot : told.adapters())
+    fact.gone = message.gone();
+    fact.lapsed = message.lapsed();
+    fact.entry.id = message.id();
+    fact.entry.service = message.service();
+    fact.entry.endpoint = {message.address(), portOf(message.port())};
+    fact.entry.zone = message.zone();
+    fact.entry.slots = message.slots();
+    fact.entry.leaving = message.leaving();
+    fact.entry.startTime = message.born();
+    fact.entry.software = message.software();
+    fact.entry.models = std::vector<std::string>(message.models().begin(), message.models().end());
+    for (const v1::Slot &slot : message.adapters())
         fact.entry.adapters.push_back({slot.adapter(), slot.version()});
     return fact;
 }
 
-void encodeRelease(const PartitionRelease &release, Instant now, v1::Released &told)
+void encodeRelease(const PartitionRelease &release, Instant now, v1::Released &message)
 {
-    told.set_partition(release.partition);
-    told.set_generation(release.generation);
-    told.set_ago_ms(toMillis(now - release.at));
+    message.set_partition(release.partition);
+    message.set_generation(release.generation);
+    message.set_ago_ms(toMillis(now - release.at));
 }
 
 // A message that was long under way makes a release look younger than it is, which only lengthens
 // the wait for it.
-PartitionRelease decodeRelease(const v1::Released &told, Instant now)
+PartitionRelease decodeRelease(const v1::Released &message, Instant now)
 {
     PartitionRelease release;
-    release.partition = told.partition();
-    release.generation = told.generation();
-    release.at = now - std::chrono::milliseconds(told.ago_ms());
+    release.partition = message.partition();
+    release.generation = message.generation();
+    release.at = now - std::chrono::milliseconds(message.ago_ms());
     return release;
 }
 
 void encodeEvidence(std::uint64_t id, const CallEvidence &evidence, Instant now,
-                    v1::CallEvidence &told)
+                    v1::CallEvidence &message)
 {
-    told.set_id(id);
-    told.set_target(evidence.target);
-    told.set_next_born(evidence.nextStartTime);
-    told.set_ago_ms(
+    message.set_id(id);
+    message.set_target(evidence.target);
+    message.set_next_born(evidence.nextStartTime);
+    message.set_ago_ms(
         static_cast<std::uint64_t>(std::max<std::int64_t>(toMillis(now - evidence.at), 0)));
     for (const CallIdentity &call : evidence.calls) {
-        v1::CallId *named = told.add_calls();
+        v1::CallId *named = message.add_calls();
         named->set_content(call.content);
         named->set_caller(call.caller);
     }
 }
 
-CallEvidence decodeEvidence(const v1::CallEvidence &told, Instant now)
+CallEvidence decodeEvidence(const v1::CallEvidence &message, Instant now)
 {
     CallEvidence evidence;
-    evidence.target = told.target();
-    evidence.nextStartTime = told.next_born();
-    evidence.at = now - std::chrono::milliseconds(told.ago_ms());
-    for (const v1::CallId &named : told.calls())
+    evidence.target = message.target();
+    evidence.nextStartTime = message.next_born();
+    evidence.at = now - std::chrono::milliseconds(message.ago_ms());
+    for (const v1::CallId &named : message.calls())
         evidence.calls.push_back({named.content(), named.caller()});
     return evidence;
 }
--- a/libs/gateway/src/PeerCodec.h
+++ b/libs/gateway/src/PeerCodec.h
@@ -34,25 +34,26 @@
 void encodeDecline(const LoadDecline &decline, gateway::v1::LoadReply &reply);
 LoadDecline decodeDecline(const gateway::v1::LoadReply &reply);
 
-void encodeUse(const std::string &target, const TargetUsage &use, gateway::v1::EngineUse &told);
+void encodeUse(const std::string &target, const TargetUsage &use, gateway::v1::EngineUse &message);
 void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &use,
-                        gateway::v1::WorkspaceUse &told);
-WorkspaceUse decodeWorkspaceUse(const gateway::v1::WorkspaceUse &told);
+                        gateway::v1::WorkspaceUse &message);
+WorkspaceUse decodeWorkspaceUse(const gateway::v1::WorkspaceUse &message);
 /** All that one message tells; one event if part of it is invalid. */
 WorkspaceUses
 decodeWorkspaceUses(const google::protobuf::RepeatedPtrField<gateway::v1::WorkspaceUse> &all,
                     const gateway::v1::Vm &from);
 
-TargetUsage decodeUse(const gateway::v1::EngineUse &told);
+TargetUsage decodeUse(const gateway::v1::EngineUse &message);
 
-void encodeTarget(const std::string &target, const SharedTarget &fact, gateway::v1::Target &told);
-SharedTarget decodeTarget(const gateway::v1::Target &told);
+void encodeTarget(const std::string &target, const SharedTarget &fact,
+                  gateway::v1::Target &message);
+SharedTarget decodeTarget(const gateway::v1::Target &message);
 
-void encodeRelease(const PartitionRelease &release, Instant now, gateway::v1::Released &told);
-PartitionRelease decodeRelease(const gateway::v1::Released &told, Instant now);
+void encodeRelease(const PartitionRelease &release, Instant now, gateway::v1::Released &message);
+PartitionRelease decodeRelease(const gateway::v1::Released &message, Instant now);
 
 void encodeEvidence(std::uint64_t id, const CallEvidence &evidence, Instant now,
-                    gateway::v1::CallEvidence &told);
-CallEvidence decodeEvidence(const gateway::v1::CallEvidence &told, Instant now);
+                    gateway::v1::CallEvidence &message);
+CallEvidence decodeEvidence(const gateway::v1::CallEvidence &message, Instant now);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -30,11 +30,11 @@
 constexpr Duration reportTimeout = std::chrono::milliseconds(500);
 /** After a failed exchange, and twice that after each further one. */
 constexpr Duration firstRetry = std::chrono::milliseconds(500);
-constexpr int mostRetryDoublings = 4;
+constexpr int maxRetryDoublings = 4;
 /** VMs of a zone that order engines; each of them calls the store twice a second for its lease. */
 constexpr std::size_t holdersPerZone = 4;
 /** Longest time for which releases are told on; see PartitionLease. */
-constexpr Duration releaseTold = std::chrono::seconds(8);
+constexpr Duration maxReleaseAge = std::chrono::seconds(8);
 
 std::string reporterOf(const GatewayNode &node, const v1::Vm &vm)
 {
@@ -85,21 +85,22 @@
     return vms;
 }
 
-void fillReleases(const GatewayNode &node, Instant now,
-                  google::protobuf::RepeatedPtrField<v1::Released> &told)
+void addReleases(const GatewayNode &node, Instant now,
+                 google::protobuf::RepeatedPtrField<v1::Released> &messages)
 {
     for (const PartitionRelease &release : node.lease.releases)
-        encodeRelease(release, now, *told.Add());
+        encodeRelease(release, now, *messages.Add());
     for (const PartitionRelease &release : node.peerReleases)
-        encodeRelease(release, now, *told.Add());
+        encodeRelease(release, now, *messages.Add());
 }
 
-void takeReleases(GatewayNode &node, const google::protobuf::RepeatedPtrField<v1::Released> &told)
+void applyReleases(GatewayNode &node,
+                   const google::protobuf::RepeatedPtrField<v1::Released> &messages)
 {
     const Instant now = BootClock::now();
     std::erase_if(node.peerReleases,
-                  [now](const PartitionRelease &old) { return now - old.at > releaseTold; });
-    for (const v1::Released &message : told) {
+                  [now](const PartitionRelease &old) { return now - old.at > maxReleaseAge; });
+    for (const v1::Released &message : messages) {
         const PartitionRelease release = decodeRelease(message, now);
         applyRelease(node.lease, release, node.settings.lease);
         const auto same = [&release](const PartitionRelease &known) {
@@ -107,7 +108,7 @@
         };
         const bool known = std::any_of(node.peerReleases.begin(), node.peerReleases.end(), same)
             || std::any_of(node.lease.releases.begin(), node.lease.releases.end(), same);
-        if (!known && now - release.at <= releaseTold)
+        if (!known && now - release.at <= maxReleaseAge)
             node.peerReleases.push_back(release);
     }
 }
@@ -140,14 +141,14 @@
         report->add_engines_wanted(target);
     if (!withUse)
         return report;
-    const bool mate = peer.zone == node.settings.zone;
+    const bool zonePeer = peer.zone == node.settings.zone;
     const Instant now = BootClock::now();
     report->set_carries_use(true);
-    addPrefixesToReport(node, peer, mate, now, *report);
+    addPrefixesToReport(node, peer, zonePeer, now, *report);
     // To a mate, this VM speaks for itself alone. While many start, their views of who relays
     // differ, and two that passed on what they heard would add each other's sums again with each
     // report.
-    const bool wholeZone = !mate && !peer.zone.empty();
+    const bool wholeZone = !zonePeer && !peer.zone.empty();
     report->set_vms(static_cast<std::uint32_t>(wholeZone ? zoneVms(node) : ownVms(node)));
     for (const auto &[target, use] : wholeZone ? zoneUses(node) : ownUses(node))
         encodeUse(target, use, *report->add_uses());
@@ -160,54 +161,54 @@
             entry.value.holderLive && zoneOfTarget(node, target) == node.settings.zone;
         const bool ours =
             entry.value.holder == node.settings.peers || node.reportedEngines.count(target) > 0;
-        if (held && (ours || !mate))
+        if (held && (ours || !zonePeer))
             report->add_holds(target);
     }
-    if (!mate)
+    if (!zonePeer)
         return report;
     // The receiver's boot is not known before its answer; a new one is told all again.
-    const std::uint64_t told = peer.sentBoot == peer.boot ? peer.sentChange : 0;
+    const std::uint64_t lastSent = peer.sentBoot == peer.boot ? peer.sentChange : 0;
     const auto isOurs = [&](const std::string &target, const EngineRecord &record) {
         return record.holder == node.settings.peers || node.reportedEngines.count(target) > 0;
     };
-    std::set<std::string> wholeTold;
+    std::set<std::string> sentWhole;
     for (const std::string &target : peer.requestedEngines) {
         const EngineRecord *record = node.shared.engines.find(target);
         if (record == nullptr || !isOurs(target, *record))
             continue;
         encodeEngine(target, *record, *report->add_engines());
-        wholeTold.insert(target);
+        sentWhole.insert(target);
     }
-    node.shared.engines.since(told, [&](const std::string &target, const EngineRecord &record) {
-        if (isOurs(target, record) && wholeTold.count(target) == 0)
-            encodeChange(target, node.shared.engines.changeSince(target, told),
+    node.shared.engines.since(lastSent, [&](const std::string &target, const EngineRecord &record) {
+        if (isOurs(target, record) && sentWhole.count(target) == 0)
+            encodeChange(target, node.shared.engines.changeSince(target, lastSent),
                          *report->add_engines());
     });
-    node.shared.evidence.since(told, [&](std::uint64_t id, const KnownEvidence &known) {
+    node.shared.evidence.since(lastSent, [&](std::uint64_t id, const KnownEvidence &known) {
         if (known.own)
             encodeEvidence(id, known.evidence, now, *report->add_evidence());
     });
     // The relay may have no other way to learn what a target said to this VM alone.
-    node.shared.targets.since(told, [&](const std::string &target, const SharedTarget &fact) {
+    node.shared.targets.since(lastSent, [&](const std::string &target, const SharedTarget &fact) {
         if (fact.gone || !fact.entry.leaving)
             return;
         v1::Target *leaving = report->add_leaving();
         leaving->set_id(target);
         leaving->set_born(fact.entry.startTime);
     });
-    fillReleases(node, now, *report->mutable_released());
+    addReleases(node, now, *report->mutable_released());
     return report;
 }
 
 namespace {
 
-void noteFailure(PeerState &peer, Instant now)
+void recordFailure(PeerState &peer, Instant now)
 {
-    peer.retryAt = now + firstRetry * (1 << std::min(peer.failures, mostRetryDoublings));
+    peer.retryAt = now + firstRetry * (1 << std::min(peer.failures, maxRetryDoublings));
     ++peer.failures;
 }
 
-void fillUses(GatewayNode &node, const PeerState &asker, v1::Digest &digest)
+void fillUsage(GatewayNode &node, const PeerState &asker, v1::Digest &digest)
 {
     digest.set_carries_use(true);
     TargetUsages others = usagesExcept(node.reported, asker.endpoint.text());
@@ -233,7 +234,7 @@
         + 1;
 }
 
-void takeConfirmation(GatewayNode &node, const v1::Digest &digest, Instant askedAt)
+void applyConfirmation(GatewayNode &node, const v1::Digest &digest, Instant askedAt)
 {
     if (digest.config_confirmed_ago_ms() == 0)
         return;
@@ -244,7 +245,7 @@
 }
 
 /** Notes of which boot a peer's word is; its reports are counted anew in each. */
-void noteBootOf(PeerState &peer, std::uint64_t boot)
+void updateBoot(PeerState &peer, std::uint64_t boot)
 {
     if (peer.boot != boot) {
         peer.sequence = 0;
@@ -306,12 +307,12 @@
         return digest;
     addPeer(node, endpoint, decodeVm(report.from()));
     PeerState &peer = node.peers[endpoint];
-    const bool reborn = peer.boot != report.from().boot();
-    noteBootOf(peer, report.from().boot());
+    const bool restarted = peer.boot != report.from().boot();
+    updateBoot(peer, report.from().boot());
     // An older report that arrives late must not bring back what was under way then.
     if (report.sequence() <= peer.sequence)
         return digest;
-    if (reborn)
+    if (restarted)
         logEvent(EventId::MemberAlive, {{"peer", peer.name}, {"at", endpoint.text()}});
     const Instant now = BootClock::now();
     peer.sequence = report.sequence();
@@ -329,19 +330,19 @@
     recordConfigOffer(node, peer, report.config_version());
     if (report.store_reached_ago_ms() > 0)
         peer.storeReachedAt = now - std::chrono::milliseconds(report.store_reached_ago_ms());
-    const bool mate = report.from().zone() == node.settings.zone;
+    const bool zonePeer = report.from().zone() == node.settings.zone;
     if (report.carries_use()) {
         peer.lastReportAt = now;
         ReporterUsage uses;
         uses.at = now;
         uses.vms = static_cast<int>(report.vms());
-        for (const v1::EngineUse &told : report.uses())
-            uses.targets[told.target()] = decodeUse(told);
+        for (const v1::EngineUse &message : report.uses())
+            uses.targets[message.target()] = decodeUse(message);
         uses.workspaces = decodeWorkspaceUses(report.workspaces(), report.from());
         uses.unitsByAge = decodeUnitsByAge(report);
         // A VM that does not relay hears of the other zones from its relay; twice would count
         // twice.
-        if (mate || node.relaying)
+        if (zonePeer || node.relaying)
             applyReport(node.reported, reporterOf(node, report.from()), std::move(uses));
     }
     std::set<std::string> unknown;
@@ -356,18 +357,18 @@
     for (const v1::Target &leaving : report.leaving())
         markLeavingByPeer(node, leaving.id(), leaving.born());
     applyPeerEvidence(node, report.evidence());
-    if (mate) {
+    if (zonePeer) {
         applyReportedPrefixes(node, report);
-        takeReleases(node, report.released());
+        applyReleases(node, report.released());
     }
 
-    tellNews(node, report, mate, digest);
-    addPrefixesToDigest(node, report, mate, digest);
-    addUsageUpdates(node, report, mate, digest);
-    if (mate)
-        fillReleases(node, now, *digest.mutable_released());
-    if (mate && report.carries_use()) {
-        fillUses(node, peer, digest);
+    tellNews(node, report, zonePeer, digest);
+    addPrefixesToDigest(node, report, zonePeer, digest);
+    addUsageUpdates(node, report, zonePeer, digest);
+    if (zonePeer)
+        addReleases(node, now, *digest.mutable_released());
+    if (zonePeer && report.carries_use()) {
+        fillUsage(node, peer, digest);
         digest.set_may_hold(mayHoldBeside(node, endpoint));
         digest.set_linked_mates(static_cast<std::uint32_t>(linkedVms(node, endpoint)));
     }
@@ -376,7 +377,7 @@
 
 namespace {
 
-void noteZoneRelay(GatewayNode &node, const PeerState &peer, const v1::Digest &digest)
+void recordZoneRelay(GatewayNode &node, const PeerState &peer, const v1::Digest &digest)
 {
     if (digest.relaying())
         node.zoneRelays[peer.zone] = peer.endpoint;
@@ -395,19 +396,19 @@
     const Instant now = BootClock::now();
     addPeer(node, endpoint, decodeVm(digest.from()));
     PeerState &peer = node.peers[endpoint];
-    noteBootOf(peer, digest.from().boot());
+    updateBoot(peer, digest.from().boot());
     peer.lastHeardAt = now;
     peer.failures = 0;
     peer.starting = digest.starting();
     peer.stopping = digest.stopping();
     peer.storeUnreachable = digest.store_away();
     if (peer.zone != node.settings.zone)
-        noteZoneRelay(node, peer, digest);
+        recordZoneRelay(node, peer, digest);
     recordConfigOffer(node, peer, digest.config_version());
     applyDigestPrefixes(node, peer, digest);
     takeNews(node, peer, digest, upstream);
     if (peer.zone == node.settings.zone)
-        takeReleases(node, digest.released());
+        applyReleases(node, digest.released());
     if (!upstream)
         return;
     node.mayHoldLease = node.mayHoldLease || digest.may_hold();
@@ -418,8 +419,8 @@
     node.relayState.vms = static_cast<int>(digest.vms());
     node.relayState.linkedZonePeers = static_cast<int>(digest.linked_mates());
     node.relayState.others.clear();
-    for (const v1::EngineUse &told : digest.others())
-        node.relayState.others[told.target()] = decodeUse(told);
+    for (const v1::EngineUse &message : digest.others())
+        node.relayState.others[message.target()] = decodeUse(message);
     node.relayState.reachableVms = static_cast<int>(digest.vms_in_touch());
     node.relayState.otherWorkspaces = decodeWorkspaceUses(digest.other_workspaces(), digest.from());
 }
@@ -429,11 +430,11 @@
 {
     PeerState &peer = node.peers.at(endpoint);
     peer.exchangeRunning = true;
-    const std::uint64_t told = node.shared.counter.last;
-    const std::uint64_t prefixTold = node.prefixes.log.last;
+    const std::uint64_t lastChange = node.shared.counter.last;
+    const std::uint64_t lastPrefix = node.prefixes.log.last;
     const std::shared_ptr<const v1::Report> report = buildReport(node, peer, withUse);
     countSent(node, peer.zone, bytesOf(*report));
-    const Instant asked = BootClock::now();
+    const Instant sentAt = BootClock::now();
     const auto digest = co_await node.peerLinks.exchange(endpoint, report, reportTimeout);
     const auto found = node.peers.find(endpoint);
     if (found == node.peers.end())
@@ -448,18 +449,18 @@
                      {{"peer", answered.name},
                       {"at", endpoint.text()},
                       {"why", "no answer"},
-                      {"waitedMs", std::to_string(toMillis(now - asked))}});
-        noteFailure(answered, now);
+                      {"waitedMs", std::to_string(toMillis(now - sentAt))}});
+        recordFailure(answered, now);
         co_return false;
     }
     const std::uint64_t bootBefore = answered.boot;
     applyDigest(node, endpoint, *digest, upstream);
-    takeConfirmation(node, *digest, asked);
-    applyUsageUpdates(node, *digest, upstream, asked);
+    applyConfirmation(node, *digest, sentAt);
+    applyUsageUpdates(node, *digest, upstream, sentAt);
     if (withUse && bootBefore == digest->from().boot()) {
         answered.sentBoot = bootBefore;
-        answered.sentChange = told;
-        answered.sentPrefix = prefixTold;
+        answered.sentChange = lastChange;
+        answered.sentPrefix = lastPrefix;
     }
     co_return true;
 }
--- a/libs/gateway/src/PrefixCodec.h
+++ b/libs/gateway/src/PrefixCodec.h
@@ -18,9 +18,9 @@
     auto operator<=>(const PrefixUpdates &) const = default;
 };
 
-gateway::v1::PrefixNews encodePrefixUpdates(const PrefixUpdates &news);
+gateway::v1::PrefixNews encodePrefixUpdates(const PrefixUpdates &update);
 
 /** What is malformed or beyond the bounds of a message is left out. */
-PrefixUpdates decodePrefixUpdates(const gateway::v1::PrefixNews &told);
+PrefixUpdates decodePrefixUpdates(const gateway::v1::PrefixNews &message);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/PrefixSharing.cpp
+++ b/libs/gateway/src/PrefixSharing.cpp
@@ -15,7 +15,7 @@
     return engineKey(target, entry == nullptr ? 0 : entry->startTime);
 }
 
-std::uint64_t tellerOf(const Endpoint &endpoint)
+std::uint64_t reporterHash(const Endpoint &endpoint)
 {
     return stableHash(endpoint.text());
 }
@@ -27,10 +27,10 @@
 {
     if (run.prefixes.empty())
         return 0;
-    PrefixIndex &book = run.node.prefixes.table;
+    PrefixIndex &index = run.node.prefixes.table;
     const std::uint64_t key = engineKey(engine.id, engine.startTime);
-    evictToFit(book, key, prefixCacheCapacity(kvTokens, use.heldTokens));
-    return cachedPrefixTokens(book, key, run.prefixes);
+    evictToFit(index, key, prefixCacheCapacity(kvTokens, use.heldTokens));
+    return cachedPrefixTokens(index, key, run.prefixes);
 }
 
 void dropPrefixesOf(GatewayNode &node, const std::string &target, const std::string &adapter)
@@ -75,51 +75,51 @@
         logPrefix(node.prefixes.log, {this->engine, prefix}, PrefixSource::Own, 0, now);
 }
 
-void addPrefixesToReport(const GatewayNode &node, const PeerState &peer, bool mate, Instant now,
+void addPrefixesToReport(const GatewayNode &node, const PeerState &peer, bool zonePeer, Instant now,
                          v1::Report &report)
 {
-    PrefixUpdates news;
-    news.seen = peer.seenPrefix;
-    if (mate) {
+    PrefixUpdates update;
+    update.seen = peer.seenPrefix;
+    if (zonePeer) {
         PrefixReader reader;
         reader.relay = true;
         reader.seen = peer.sentBoot == peer.boot ? peer.sentPrefix : 0;
-        news.reads = prefixesFor(node.prefixes.log, reader, now);
+        update.reads = prefixesFor(node.prefixes.log, reader, now);
     }
-    if (news != PrefixUpdates())
-        *report.mutable_prefixes() = encodePrefixUpdates(news);
+    if (update != PrefixUpdates())
+        *report.mutable_prefixes() = encodePrefixUpdates(update);
 }
 
-void addPrefixesToDigest(const GatewayNode &node, const v1::Report &report, bool mate,
+void addPrefixesToDigest(const GatewayNode &node, const v1::Report &report, bool zonePeer,
                          v1::Digest &digest)
 {
     const PrefixLog &log = node.prefixes.log;
     if (!report.carries_use() || log.entries.empty())
         return;
     PrefixReader reader;
-    reader.zonePeer = mate;
-    reader.sourceVm = tellerOf(decodeEndpoint(report.from()));
+    reader.zonePeer = zonePeer;
+    reader.sourceVm = reporterHash(decodeEndpoint(report.from()));
     const std::uint64_t seen = report.prefixes().seen();
     // A number that was never given is not of this log.
     if (report.known_boot() == node.boot && seen <= log.last)
         reader.seen = seen;
-    PrefixUpdates news;
-    news.reads = prefixesFor(log, reader, BootClock::now());
-    if (news.reads.empty())
+    PrefixUpdates update;
+    update.reads = prefixesFor(log, reader, BootClock::now());
+    if (update.reads.empty())
         return;
-    news.change = log.last;
-    *digest.mutable_prefixes() = encodePrefixUpdates(news);
+    update.change = log.last;
+    *digest.mutable_prefixes() = encodePrefixUpdates(update);
 }
 
 namespace {
 
-void takeReads(GatewayNode &node, const Endpoint &sourceVm, PrefixSource source,
-               const std::vector<PrefixRead> &reads)
+void applyReads(GatewayNode &node, const Endpoint &sourceVm, PrefixSource source,
+                const std::vector<PrefixRead> &reads)
 {
     if (reads.empty())
         return;
     const Instant now = BootClock::now();
-    const std::uint64_t from = tellerOf(sourceVm);
+    const std::uint64_t from = reporterHash(sourceVm);
     for (const PrefixRead &read : reads) {
         if (recordReported(node.prefixes.table, read.engine, read.prefix, now))
             logPrefix(node.prefixes.log, read, source, from, now);
@@ -130,18 +130,18 @@
 
 void applyReportedPrefixes(GatewayNode &node, const v1::Report &report)
 {
-    takeReads(node, decodeEndpoint(report.from()), PrefixSource::Zone,
-              decodePrefixUpdates(report.prefixes()).reads);
+    applyReads(node, decodeEndpoint(report.from()), PrefixSource::Zone,
+               decodePrefixUpdates(report.prefixes()).reads);
 }
 
 void applyDigestPrefixes(GatewayNode &node, PeerState &peer, const v1::Digest &digest)
 {
     if (peer.seenBoot != digest.from().boot())
         peer.seenPrefix = 0;
-    const PrefixUpdates news = decodePrefixUpdates(digest.prefixes());
-    if (news.change > 0)
-        peer.seenPrefix = news.change;
-    takeReads(node, peer.endpoint, PrefixSource::Elsewhere, news.reads);
+    const PrefixUpdates update = decodePrefixUpdates(digest.prefixes());
+    if (update.change > 0)
+        peer.seenPrefix = update.change;
+    applyReads(node, peer.endpoint, PrefixSource::Elsewhere, update.reads);
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/PrefixSharing.h
+++ b/libs/gateway/src/PrefixSharing.h
@@ -35,11 +35,11 @@
  * Adds to a report how much of the peer's log of prefixes this VM has, and to a mate what own calls
  * have shown since it was told last.
  */
-void addPrefixesToReport(const GatewayNode &node, const PeerState &peer, bool mate, Instant now,
+void addPrefixesToReport(const GatewayNode &node, const PeerState &peer, bool zonePeer, Instant now,
                          gateway::v1::Report &report);
 
-/** Adds to the answer of a report what its sender has not seen. `mate`: it is of this zone. */
-void addPrefixesToDigest(const GatewayNode &node, const gateway::v1::Report &report, bool mate,
+/** Adds to the answer of a report what its sender has not seen. `zonePeer`: it is of this zone. */
+void addPrefixesToDigest(const GatewayNode &node, const gateway::v1::Report &report, bool zonePeer,
                          gateway::v1::Digest &digest);
 
 /** Takes what a mate's calls have shown, and logs what is new for those that ask this VM. */
--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -17,25 +17,25 @@
  * Regular reports carry the load of engines; with older figures gateways pile onto the same one.
  * A relay answers all VMs of its zone, so large zones report a little less often.
  */
-constexpr Duration leastReportSpacing = std::chrono::milliseconds(60);
-constexpr Duration reportSpacingPerMate = std::chrono::milliseconds(8);
+constexpr Duration minReportInterval = std::chrono::milliseconds(60);
+constexpr Duration reportIntervalPerZonePeer = std::chrono::milliseconds(8);
 /** Between the relays of two zones; bytes between zones are paid for, and grow with the VMs. */
-constexpr Duration leastZoneSpacing = std::chrono::milliseconds(60);
-constexpr Duration zoneSpacingPerVm = std::chrono::milliseconds(3);
+constexpr Duration minZoneInterval = std::chrono::milliseconds(60);
+constexpr Duration zoneIntervalPerVm = std::chrono::milliseconds(3);
 /** Reports after a change wait this long for further changes. */
-constexpr Duration reportGather = std::chrono::milliseconds(15);
-constexpr Duration matesLook = std::chrono::milliseconds(250);
+constexpr Duration reportBatchDelay = std::chrono::milliseconds(15);
+constexpr Duration zonePeerCheckInterval = std::chrono::milliseconds(250);
 /** VMs that read the store's list of VMs by now would have been found. */
-constexpr Duration listPatience = std::chrono::milliseconds(1000);
+constexpr Duration listWait = std::chrono::milliseconds(1000);
 /** A peer of which nothing was heard for this long is forgotten; the store's list adds it again. */
 constexpr Duration forgetAfter = std::chrono::seconds(60);
 
 // A VM that has just started waits for the list of VMs, or it would take itself for alone. When
 // all start at once, the list fills while they read it.
-bool knowsMates(const GatewayNode &node, Instant now)
+bool knowsZonePeers(const GatewayNode &node, Instant now)
 {
     const bool listMayGrow = node.settings.firstStart;
-    return (node.vmListRead && !listMayGrow) || now - node.bootedAt > listPatience;
+    return (node.vmListRead && !listMayGrow) || now - node.bootedAt > listWait;
 }
 
 } // namespace
@@ -56,18 +56,18 @@
 
 namespace {
 
-Duration reportSpacing(const GatewayNode &node)
+Duration reportInterval(const GatewayNode &node)
 {
-    return std::max(leastReportSpacing, reportSpacingPerMate * countZonePeers(node));
+    return std::max(minReportInterval, reportIntervalPerZonePeer * countZonePeers(node));
 }
 
-Duration zoneSpacing(const GatewayNode &node)
+Duration zoneInterval(const GatewayNode &node)
 {
-    return std::max(leastZoneSpacing, zoneSpacingPerVm * liveGateways(node));
+    return std::max(minZoneInterval, zoneIntervalPerVm * liveGateways(node));
 }
 
 /** The peers that nothing is known of but their address, when the store's list is not readable. */
-std::vector<Endpoint> strangers(const GatewayNode &node, Instant now)
+std::vector<Endpoint> unidentifiedPeers(const GatewayNode &node, Instant now)
 {
     std::vector<Endpoint> found;
     for (const auto &[endpoint, peer] : node.peers) {
@@ -78,7 +78,7 @@
 }
 
 /** An exchange beside the regular ones with the own relay. */
-asio::awaitable<void> exchangeAside(GatewayNode &node, Endpoint endpoint, bool withUse)
+asio::awaitable<void> extraExchange(GatewayNode &node, Endpoint endpoint, bool withUse)
 {
     const bool answered = co_await exchangeWith(node, endpoint, withUse, false);
     static_cast<void>(answered); // it is noted with the peer
@@ -90,19 +90,20 @@
 // the relays of two zones.
 Duration loadReportAge(const GatewayNode &node)
 {
-    return reportSpacing(node) + zoneSpacing(node) / 2;
+    return reportInterval(node) + zoneInterval(node) / 2;
 }
 
 Duration knownLoadAge(const GatewayNode &node, Instant now)
 {
-    Instant word = node.relayState.at;
+    Instant lastReport = node.relayState.at;
     for (const auto &[reporter, report] : node.reported.reports)
-        word = std::max(word, report.at);
-    const Instant all = node.fleet.seenAt == Instant{} ? node.bootedAt : node.fleet.seenAt;
+        lastReport = std::max(lastReport, report.at);
+    const Instant allReportedAt =
+        node.fleet.seenAt == Instant{} ? node.bootedAt : node.fleet.seenAt;
     UpdateAgeInputs facts;
     facts.regular = loadReportAge(node);
-    facts.sinceLastUpdate = word == Instant{} ? Duration::zero() : now - word;
-    facts.sinceAllReported = now - all;
+    facts.sinceLastUpdate = lastReport == Instant{} ? Duration::zero() : now - lastReport;
+    facts.sinceAllReported = now - allReportedAt;
     facts.vmsReporting = reachableVms(node, now);
     facts.knownVms = knownVms(node, now);
     return updateAge(facts);
@@ -111,7 +112,7 @@
 namespace {
 
 /** The relay has not told all that it knows yet. */
-bool moreToHear(const GatewayNode &node)
+bool relayHasMore(const GatewayNode &node)
 {
     const auto relay = node.peers.find(node.relayState.relay);
     return node.relayState.at != Instant{} && relay != node.peers.end()
@@ -124,8 +125,8 @@
 {
     while (!node.stopped) {
         const Instant now = BootClock::now();
-        if (!knowsMates(node, now)) {
-            co_await pauseFor(node, reportGather);
+        if (!knowsZonePeers(node, now)) {
+            co_await pauseFor(node, reportBatchDelay);
             continue;
         }
         const ZonePeers zone = zonePeersOf(node, node.settings.zone);
@@ -135,7 +136,7 @@
         if (!upstream) {
             node.relayState = RelayState();
             const bool listSettled =
-                !node.settings.firstStart || now - node.bootedAt > 2 * listPatience;
+                !node.settings.firstStart || now - node.bootedAt > 2 * listWait;
             node.mayHoldLease = node.mayHoldLease || listSettled;
         } else if (!zone.peers[*upstream]->exchangeRunning) {
             const Endpoint endpoint = zone.peers[*upstream]->endpoint;
@@ -144,13 +145,13 @@
             const bool answered =
                 co_await exchangeWith(node, endpoint, !node.relaying, !node.relaying);
             if (!answered && !node.stopped) {
-                co_await pauseFor(node, reportGather);
+                co_await pauseFor(node, reportBatchDelay);
                 continue;
             }
         }
-        if (!moreToHear(node))
-            co_await node.reportDue.wait(reportSpacing(node));
-        co_await pauseFor(node, reportGather);
+        if (!relayHasMore(node))
+            co_await node.reportDue.wait(reportInterval(node));
+        co_await pauseFor(node, reportBatchDelay);
     }
 }
 
@@ -193,9 +194,9 @@
             const PeerState *relay = relayOfZone(node, name);
             if (relay == nullptr || relay->exchangeRunning)
                 continue;
-            spawn(node, "exchange with a zone", exchangeAside(node, relay->endpoint, true));
+            spawn(node, "exchange with a zone", extraExchange(node, relay->endpoint, true));
         }
-        co_await pauseFor(node, zoneSpacing(node));
+        co_await pauseFor(node, zoneInterval(node));
     }
 }
 
@@ -214,35 +215,37 @@
         updateLiveGateways(node, now);
         recountVms(node, now);
         const RelayRank self = ownRank(node);
-        std::vector<Endpoint> wanted;
+        std::vector<Endpoint> due;
         for (const auto &[endpoint, peer] : node.peers) {
             if (peer.exchangeRunning || now < peer.retryAt || peer.name.empty())
                 continue;
-            const bool mate = isZonePeer(node, peer);
-            const bool silentBelow = node.relaying && mate && now - peer.lastReportAt > listPatience
-                && now - peer.lastHeardAt > reporterTimeout;
+            const bool zonePeer = isZonePeer(node, peer);
+            const bool silentReporter = node.relaying && zonePeer
+                && now - peer.lastReportAt > listWait && now - peer.lastHeardAt > reporterTimeout;
             const bool failed =
-                peer.failures > 0 && (mate ? ranksBefore(rankOf(peer), self) : node.relaying);
+                peer.failures > 0 && (zonePeer ? ranksBefore(rankOf(peer), self) : node.relaying);
             // Until it has started, this VM reads the store beside it.
-            const bool aboveStarts = node.relaying && mate && peer.starting
-                && ranksBefore(rankOf(peer), self) && now - peer.lastHeardAt > matesLook;
-            const bool maybeBack = mate && (peer.storeUnreachable || peer.stopping || peer.starting)
-                && now - peer.lastHeardAt > listPatience;
-            if (silentBelow || failed || aboveStarts || maybeBack)
-                wanted.push_back(endpoint);
+            const bool betterStarting = node.relaying && zonePeer && peer.starting
+                && ranksBefore(rankOf(peer), self)
+                && now - peer.lastHeardAt > zonePeerCheckInterval;
+            const bool maybeBack = zonePeer
+                && (peer.storeUnreachable || peer.stopping || peer.starting)
+                && now - peer.lastHeardAt > listWait;
+            if (silentReporter || failed || betterStarting || maybeBack)
+                due.push_back(endpoint);
         }
-        if (knowsMates(node, now) && (isStarting(node) || !node.vmListRead)) {
-            for (const Endpoint &stranger : strangers(node, now))
-                wanted.push_back(stranger);
+        if (knowsZonePeers(node, now) && (isStarting(node) || !node.vmListRead)) {
+            for (const Endpoint &unidentified : unidentifiedPeers(node, now))
+                due.push_back(unidentified);
         }
-        for (const Endpoint &endpoint : wanted)
-            spawn(node, "probe", exchangeAside(node, endpoint, false));
+        for (const Endpoint &endpoint : due)
+            spawn(node, "probe", extraExchange(node, endpoint, false));
         std::erase_if(node.peers, [now](const auto &entry) {
             const PeerState &peer = entry.second;
             const Instant last = std::max(peer.lastHeardAt, peer.addedAt);
             return !peer.exchangeRunning && now - last > forgetAfter;
         });
-        co_await pauseFor(node, matesLook);
+        co_await pauseFor(node, zonePeerCheckInterval);
     }
 }
 
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -14,28 +14,29 @@
 
 /** A holder that reports here, every 200 ms or so, and has been silent for this long is taken as
  * dead: calls that wait for its loads would wait for nothing. */
-constexpr Duration holderSilence = std::chrono::milliseconds(1200);
+constexpr Duration holderTimeout = std::chrono::milliseconds(1200);
 
 /** A holder that did not answer is not asked for this long; other engines take its misses. */
-constexpr Duration afterFailedLoad = std::chrono::milliseconds(1000);
+constexpr Duration failedLoadBackoff = std::chrono::milliseconds(1000);
 
 /** Expected times are told in steps of this: each step is news for all VMs. */
-constexpr Duration toldStep = std::chrono::milliseconds(20);
+constexpr Duration publishedStep = std::chrono::milliseconds(20);
 
 /** An expected time is told anew when it is off by this share: all engines of a holder share it,
  * and each time that is told is news of all of them. */
-constexpr double toldAnewShare = 0.1;
+constexpr double republishThreshold = 0.1;
 
-double inSteps(Duration time)
+double roundedToStep(Duration time)
 {
-    return static_cast<double>(toMillis((time + toldStep / 2) / toldStep * toldStep));
+    return static_cast<double>(
+        toMillis((time + publishedStep / 2) / publishedStep * publishedStep));
 }
 
-/** What is to be told of an expected time, ms, if `told` was told of it last. */
-double steadyTime(double told, Duration time)
+/** What is to be told of an expected time, ms, if `published` was told of it last. */
+double timeToPublish(double published, Duration time)
 {
-    const double now = inSteps(time);
-    return std::abs(now - told) <= toldAnewShare * told ? told : now;
+    const double now = roundedToStep(time);
+    return std::abs(now - published) <= republishThreshold * published ? published : now;
 }
 
 } // namespace
@@ -100,10 +101,10 @@
     record.loading = fetchesUnderWay(scheduler);
     const LoadEstimator &estimator = node.loadEstimator;
     const EngineRecord *known = node.shared.engines.find(target);
-    const bool told = known != nullptr && known->holder == record.holder;
-    record.fetchMs =
-        steadyTime(told ? known->fetchMs : 0, fetchTime(estimator.times, loadsUnderWay(node) + 1));
-    record.copyMs = steadyTime(told ? known->copyMs : 0, hostCopyTime(estimator.times));
+    const bool published = known != nullptr && known->holder == record.holder;
+    record.fetchMs = timeToPublish(published ? known->fetchMs : 0,
+                                   fetchTime(estimator.times, loadsUnderWay(node) + 1));
+    record.copyMs = timeToPublish(published ? known->copyMs : 0, hostCopyTime(estimator.times));
     record.copiesKept = std::exp2(std::floor(2 * std::log2(estimator.memory.retainedLoads)) / 2);
     for (const auto &[adapter, slot] : scheduler.slots) {
         if (slot.loading)
@@ -153,7 +154,7 @@
 }
 
 /** True if the VM that may order an engine can be reached, as far as this relay has heard. */
-bool isHolderHeard(const GatewayNode &node, const std::string &target, const EngineRecord &record,
+bool isHolderAlive(const GatewayNode &node, const std::string &target, const EngineRecord &record,
                    Instant now)
 {
     const TargetEntry *entry = entryOf(node, target);
@@ -162,7 +163,7 @@
     if (entry->zone != node.settings.zone)
         return node.reported.reports.count(zoneReporterName(entry->zone)) > 0;
     const auto peer = node.peers.find(record.holder);
-    return peer != node.peers.end() && now - peer->second.lastHeardAt < holderSilence;
+    return peer != node.peers.end() && now - peer->second.lastHeardAt < holderTimeout;
 }
 
 } // namespace
@@ -175,7 +176,7 @@
         return;
     std::vector<std::string> silent;
     for (const auto &[target, entry] : node.shared.engines.all()) {
-        if (entry.value.holderLive && !isHolderHeard(node, target, entry.value, now))
+        if (entry.value.holderLive && !isHolderAlive(node, target, entry.value, now))
             silent.push_back(target);
     }
     for (const std::string &target : silent)
@@ -211,7 +212,7 @@
     if (peer == node.peers.end() || peer->second.leftLeaseGroup)
         return nullptr;
     const Instant failed = peer->second.loadFailedAt;
-    if (failed != Instant{} && BootClock::now() - failed < afterFailedLoad)
+    if (failed != Instant{} && BootClock::now() - failed < failedLoadBackoff)
         return nullptr;
     return &peer->second;
 }
--- a/libs/gateway/src/StateUpdates.cpp
+++ b/libs/gateway/src/StateUpdates.cpp
@@ -24,13 +24,13 @@
  * with 36 adapters an engine takes 0.9 KB, so that an answer has 270 KB at most, which 10 Mbit/s
  * carry in 0.2 s.
  */
-constexpr std::size_t mostChangesTold = 300;
+constexpr std::size_t maxChangesPerAnswer = 300;
 
 /** An answer was under way for this long at most, so what it tells may be older by that. */
-constexpr Duration answerUnderWay = std::chrono::milliseconds(500);
+constexpr Duration maxAnswerTransit = std::chrono::milliseconds(500);
 
 /** The last change that is told of those after `seen`. */
-std::uint64_t lastTold(const SharedState &facts, std::uint64_t seen)
+std::uint64_t lastChangeToSend(const SharedState &facts, std::uint64_t seen)
 {
     std::vector<std::uint64_t> numbers;
     facts.engines.numbersSince(seen, numbers);
@@ -38,14 +38,14 @@
     facts.adapterVersions.numbersSince(seen, numbers);
     facts.vms.numbersSince(seen, numbers);
     facts.evidence.numbersSince(seen, numbers);
-    if (numbers.size() <= mostChangesTold)
+    if (numbers.size() <= maxChangesPerAnswer)
         return facts.counter.last;
-    const auto last = numbers.begin() + (mostChangesTold - 1);
+    const auto last = numbers.begin() + (maxChangesPerAnswer - 1);
     std::nth_element(numbers.begin(), last, numbers.end());
     return *last;
 }
 
-void tellListAge(const GatewayNode &node, v1::Digest &digest)
+void addListAge(const GatewayNode &node, v1::Digest &digest)
 {
     const Instant now = BootClock::now();
     // Who has only a part of the list must not take it for the list.
@@ -56,7 +56,7 @@
         digest.set_list_failing_ms(toMillis(now - node.targetTable.failingSince));
 }
 
-void takeVms(GatewayNode &node, const v1::Digest &digest)
+void applyVms(GatewayNode &node, const v1::Digest &digest)
 {
     for (const v1::Vm &vm : digest.known())
         addPeer(node, decodeEndpoint(vm), decodeVm(vm));
@@ -68,13 +68,13 @@
 }
 
 // A relay that has just come back may not have read yet of a target that this VM has read of.
-bool tellsNewerList(const GatewayNode &node, const v1::Digest &digest)
+bool hasNewerList(const GatewayNode &node, const v1::Digest &digest)
 {
     return digest.list_known()
-        && listReadAt(digest) > node.targetTable.lastOwnReadAt + answerUnderWay;
+        && listReadAt(digest) > node.targetTable.lastOwnReadAt + maxAnswerTransit;
 }
 
-void takeListAge(GatewayNode &node, const v1::Digest &digest)
+void applyListAge(GatewayNode &node, const v1::Digest &digest)
 {
     if (!digest.list_known())
         return;
@@ -84,16 +84,16 @@
 
 // The relay reads the list itself; what another VM says of it is only taken for what the relay
 // cannot have seen, or when it cannot read.
-void takeTargets(GatewayNode &node, PeerState &peer, const v1::Digest &digest, bool ownRelay)
+void applyTargets(GatewayNode &node, PeerState &peer, const v1::Digest &digest, bool ownRelay)
 {
-    const bool follows = !node.relaying || !node.storeUp;
+    const bool appliesList = !node.relaying || !node.storeUp;
     std::vector<TargetEntry> listed;
-    for (const v1::Target &told : digest.targets()) {
-        SharedTarget fact = decodeTarget(told);
+    for (const v1::Target &message : digest.targets()) {
+        SharedTarget fact = decodeTarget(message);
         if (fact.gone) {
-            peer.fullSyncTargets.erase(told.id());
-            if (follows)
-                dropTargetByPeer(node, told.id(), ownRelay);
+            peer.fullSyncTargets.erase(message.id());
+            if (appliesList)
+                dropTargetByPeer(node, message.id(), ownRelay);
             continue;
         }
         if (fact.entry.leaving)
@@ -101,19 +101,19 @@
         if (digest.complete())
             peer.fullSyncTargets.insert(fact.entry.id);
         // It is gone, by what this VM has heard, and the peer only waits whether it comes back.
-        const bool keepOut = fact.lapsed && wasDropped(node.targetTable, fact.entry.id);
-        if (follows && !keepOut)
+        const bool isDropped = fact.lapsed && wasDropped(node.targetTable, fact.entry.id);
+        if (appliesList && !isDropped)
             listed.push_back(std::move(fact.entry));
     }
-    if (!follows)
+    if (!appliesList)
         return;
     applyPeerTargets(node, std::move(listed));
-    const bool allTold = digest.complete() && !digest.more();
-    if (allTold && ownRelay && tellsNewerList(node, digest)) {
+    const bool allReceived = digest.complete() && !digest.more();
+    if (allReceived && ownRelay && hasNewerList(node, digest)) {
         dropTargetsUnlistedByPeer(node, peer.fullSyncTargets);
         node.listSource = {peer.endpoint, digest.from().boot()};
     }
-    takeListAge(node, digest);
+    applyListAge(node, digest);
     node.started.notifyAll();
 }
 
@@ -121,57 +121,57 @@
 
 // Symptom without a bound: where the news are long (3.3 MB of 12,000 engines) and the link is weak,
 // an answer with all of them is cut off by the time that an exchange may take, and begun anew.
-void tellNews(const GatewayNode &node, const v1::Report &report, bool mate, v1::Digest &digest)
+void tellNews(const GatewayNode &node, const v1::Report &report, bool zonePeer, v1::Digest &digest)
 {
-    const bool fromTheBeginning = report.known_boot() != node.boot;
-    const std::uint64_t seen = fromTheBeginning ? 0 : report.known_change();
-    const std::uint64_t through = lastTold(node.shared, seen);
-    digest.set_complete(fromTheBeginning || report.in_whole());
+    const bool isFirstSync = report.known_boot() != node.boot;
+    const std::uint64_t seen = isFirstSync ? 0 : report.known_change();
+    const std::uint64_t through = lastChangeToSend(node.shared, seen);
+    digest.set_complete(isFirstSync || report.in_whole());
     digest.set_change(through);
     digest.set_more(through < node.shared.counter.last);
     // Who is being told all of it has not heard of each engine up to `seen`.
     const std::uint64_t known = digest.complete() ? 0 : seen;
-    std::set<std::string> told;
-    const auto tellEngine = [&](const std::string &target, std::uint64_t heard) {
-        const bool wanted = mate || zoneOfTarget(node, target) == node.settings.zone;
-        if (wanted && told.insert(target).second)
-            encodeChange(target, node.shared.engines.changeSince(target, heard),
+    std::set<std::string> sentEngines;
+    const auto addEngine = [&](const std::string &target, std::uint64_t received) {
+        const bool wanted = zonePeer || zoneOfTarget(node, target) == node.settings.zone;
+        if (wanted && sentEngines.insert(target).second)
+            encodeChange(target, node.shared.engines.changeSince(target, received),
                          *digest.add_engines());
     };
     for (const std::string &target : report.engines_wanted()) {
         if (node.shared.engines.find(target) != nullptr)
-            tellEngine(target, 0);
+            addEngine(target, 0);
     }
     node.shared.engines.between(
         seen, through,
-        [&](const std::string &target, const EngineRecord &) { tellEngine(target, known); });
+        [&](const std::string &target, const EngineRecord &) { addEngine(target, known); });
     node.shared.vms.between(seen, through, [&](const Endpoint &known, const SharedVm &fact) {
         encodeVm(fact.name, known, 0, fact, *digest.add_known());
     });
     node.shared.adapterVersions.between(seen, through,
                                         [&](const std::string &adapter, std::int64_t version) {
-                                            v1::AdapterVersion *told = digest.add_versions();
-                                            told->set_adapter(adapter);
-                                            told->set_version(version);
+                                            v1::AdapterVersion *message = digest.add_versions();
+                                            message->set_adapter(adapter);
+                                            message->set_version(version);
                                         });
     node.shared.targets.between(seen, through,
                                 [&](const std::string &target, const SharedTarget &fact) {
-                                    const bool neverTold = fromTheBeginning && fact.gone;
-                                    if (!neverTold)
+                                    const bool neverSent = isFirstSync && fact.gone;
+                                    if (!neverSent)
                                         encodeTarget(target, fact, *digest.add_targets());
                                 });
     const Instant now = BootClock::now();
     node.shared.evidence.between(seen, through, [&](std::uint64_t id, const KnownEvidence &known) {
         encodeEvidence(id, known.evidence, now, *digest.add_evidence());
     });
-    tellListAge(node, digest);
+    addListAge(node, digest);
 }
 
 namespace {
 
 // What a peer told before it was the relay was not taken as the list, and meanwhile this VM may
 // have heard of targets by another that this one never had: it would never say that they are gone.
-void hearInWhole(PeerState &peer)
+void restartFullSync(PeerState &peer)
 {
     peer.seenBoot = 0;
     peer.seenChange = 0;
@@ -186,9 +186,9 @@
 {
     if (peer.seenBoot != digest.from().boot() || !digest.complete())
         peer.fullSyncTargets.clear();
-    for (const v1::AdapterVersion &told : digest.versions())
-        applyAdapterVersion(node, told.adapter(), told.version());
-    takeTargets(node, peer, digest, ownRelay);
+    for (const v1::AdapterVersion &message : digest.versions())
+        applyAdapterVersion(node, message.adapter(), message.version());
+    applyTargets(node, peer, digest, ownRelay);
     // This digest answers a report that asked for these.
     peer.missingEngines.clear();
     for (const v1::EngineState &state : digest.engines())
@@ -202,17 +202,17 @@
     if (!peer.fullSyncRunning)
         peer.fullSyncTargets.clear();
     const ListSource source{peer.endpoint, digest.from().boot()};
-    if (ownRelay && tellsNewerList(node, digest) && node.listSource != source)
-        hearInWhole(peer);
-    takeVms(node, digest);
+    if (ownRelay && hasNewerList(node, digest) && node.listSource != source)
+        restartFullSync(peer);
+    applyVms(node, digest);
     applyPeerEvidence(node, digest.evidence());
 }
 
 void applyPeerEvidence(GatewayNode &node,
-                       const google::protobuf::RepeatedPtrField<v1::CallEvidence> &told)
+                       const google::protobuf::RepeatedPtrField<v1::CallEvidence> &messages)
 {
     const Instant now = BootClock::now();
-    for (const v1::CallEvidence &item : told)
+    for (const v1::CallEvidence &item : messages)
         addReceivedEvidence(node, item.id(), decodeEvidence(item, now));
     evaluateEvidence(node);
 }
--- a/libs/gateway/src/TargetRestarts.cpp
+++ b/libs/gateway/src/TargetRestarts.cpp
@@ -24,12 +24,12 @@
     runtime.loadMark = LoadBackoff();
 }
 
-void forgetEngine(GatewayNode &node, const std::string &target, std::int64_t born)
+void forgetEngine(GatewayNode &node, const std::string &target, std::int64_t startTime)
 {
     node.reportedRuns.erase(target);
     const auto held = node.heldEngines.find(target);
     if (held != node.heldEngines.end()) {
-        resetScheduler(held->second->scheduler, born);
+        resetScheduler(held->second->scheduler, startTime);
         held->second->retryAt = Instant{};
         held->second->refusals = 0;
         held->second->changed.notifyAll();
@@ -38,7 +38,7 @@
     if (known == nullptr)
         return;
     EngineRecord record = *known;
-    record.startTime = born;
+    record.startTime = startTime;
     record.resident.clear();
     record.models.clear();
     record.loading = 0;
@@ -50,25 +50,25 @@
 // Without this, a target that came back under its id would be taken to hold what its former start
 // held: calls for those adapters bounce, its holder's orders are refused for the former count, and
 // one that said it was leaving would get nothing for ever.
-StartOrder recordStartTime(GatewayNode &node, const std::string &target, std::int64_t born)
+StartOrder recordStartTime(GatewayNode &node, const std::string &target, std::int64_t startTime)
 {
     const auto found = node.targetTable.records.find(target);
     if (found == node.targetTable.records.end())
         return StartOrder::Same;
     TargetRecord &record = found->second;
-    const StartOrder age = compareStarts(record.entry.startTime, born);
+    const StartOrder age = compareStarts(record.entry.startTime, startTime);
     if (age == StartOrder::Same && record.entry.startTime == 0)
-        record.entry.startTime = born;
+        record.entry.startTime = startTime;
     if (age != StartOrder::Newer)
         return age;
     logEvent(EventId::TargetRestarted,
              {{"target", target},
               {"address", record.entry.endpoint.text()},
               {"bornBefore", std::to_string(record.entry.startTime)},
-              {"born", std::to_string(born)}});
-    recordEndByList(node, target, born);
+              {"born", std::to_string(startTime)}});
+    recordEndByList(node, target, startTime);
     forgetEngine(node.prefixes.table, engineKey(target, record.entry.startTime));
-    record.entry.startTime = born;
+    record.entry.startTime = startTime;
     record.entry.leaving = false;
     record.entry.software.clear(); // it may have come back as another version
     record.entry.models.clear();
@@ -77,7 +77,7 @@
     record.expiredAt = Instant{};
     node.shared.targets.set(target, {record.entry, false}, node.shared.counter);
     forgetTarget(runtimeOf(node, target));
-    forgetEngine(node, target, born);
+    forgetEngine(node, target, startTime);
     node.engineChanged.notifyAll();
     node.reportDue.notifyAll();
     return age;
--- a/libs/gateway/src/UpdateBytes.cpp
+++ b/libs/gateway/src/UpdateBytes.cpp
@@ -12,12 +12,12 @@
 
 namespace v1 = gateway::v1;
 
-constexpr Duration logEvery = std::chrono::seconds(5);
+constexpr Duration logInterval = std::chrono::seconds(5);
 
-constexpr std::array<std::string_view, updateKinds> matesFields{
+constexpr std::array<std::string_view, updateKinds> zonePeerFields{
     "matesUses",     "matesEngines", "matesTargets", "matesWorkspaces",
     "matesPrefixes", "matesConfig",  "matesRest"};
-constexpr std::array<std::string_view, updateKinds> zonesFields{
+constexpr std::array<std::string_view, updateKinds> otherZoneFields{
     "zonesUses",     "zonesEngines", "zonesTargets", "zonesWorkspaces",
     "zonesPrefixes", "zonesConfig",  "zonesRest"};
 
@@ -45,9 +45,9 @@
     return bytes;
 }
 
-Counter counterOf(UpdateKind kind, bool mate)
+Counter counterOf(UpdateKind kind, bool zonePeer)
 {
-    const Counter first = mate ? Counter::NewsToMatesUses : Counter::NewsToZonesUses;
+    const Counter first = zonePeer ? Counter::NewsToMatesUses : Counter::NewsToZonesUses;
     return static_cast<Counter>(static_cast<std::size_t>(first) + static_cast<std::size_t>(kind));
 }
 
@@ -89,21 +89,22 @@
 
 void countSent(GatewayNode &node, const std::string &receiverZone, const UpdateBytes &bytes)
 {
-    const bool mate = receiverZone == node.settings.zone;
+    const bool zonePeer = receiverZone == node.settings.zone;
     for (std::size_t kind = 0; kind < updateKinds; ++kind) {
         if (bytes.byKind[kind] > 0)
-            node.metrics.add(counterOf(static_cast<UpdateKind>(kind), mate), bytes.byKind[kind]);
+            node.metrics.add(counterOf(static_cast<UpdateKind>(kind), zonePeer),
+                             bytes.byKind[kind]);
     }
 }
 
 namespace {
 
 /** All news sent so far to mates, or to VMs of other zones. */
-UpdateBytes sentSoFar(const GatewayNode &node, bool mates)
+UpdateBytes sentSoFar(const GatewayNode &node, bool zonePeers)
 {
     UpdateBytes sent;
     for (std::size_t kind = 0; kind < updateKinds; ++kind)
-        sent.byKind[kind] = node.metrics.value(counterOf(static_cast<UpdateKind>(kind), mates));
+        sent.byKind[kind] = node.metrics.value(counterOf(static_cast<UpdateKind>(kind), zonePeers));
     return sent;
 }
 
@@ -118,20 +119,20 @@
 
 asio::awaitable<void> updateLogLoop(GatewayNode &node)
 {
-    UpdateBytes matesBefore;
-    UpdateBytes zonesBefore;
+    UpdateBytes zonePeersBefore;
+    UpdateBytes otherZonesBefore;
     while (!node.stopped) {
-        co_await pauseFor(node, logEvery);
-        const UpdateBytes mates = sentSoFar(node, true);
-        const UpdateBytes zones = sentSoFar(node, false);
+        co_await pauseFor(node, logInterval);
+        const UpdateBytes zonePeers = sentSoFar(node, true);
+        const UpdateBytes otherZones = sentSoFar(node, false);
         if (node.relaying) {
             std::vector<EventField> fields;
-            addFields(matesFields, mates, matesBefore, fields);
-            addFields(zonesFields, zones, zonesBefore, fields);
+            addFields(zonePeerFields, zonePeers, zonePeersBefore, fields);
+            addFields(otherZoneFields, otherZones, otherZonesBefore, fields);
             logEvent(EventId::NewsSent, fields);
         }
-        matesBefore = mates;
-        zonesBefore = zones;
+        zonePeersBefore = zonePeers;
+        otherZonesBefore = otherZones;
     }
 }
 
--- a/libs/gateway/src/UsageReports.cpp
+++ b/libs/gateway/src/UsageReports.cpp
@@ -13,52 +13,53 @@
 namespace v1 = gateway::v1;
 
 /** Changes of this long go together; a load takes forty times as long. */
-constexpr Duration noteGather = std::chrono::milliseconds(5);
-constexpr Duration noteTimeout = std::chrono::milliseconds(400);
+constexpr Duration batchDelay = std::chrono::milliseconds(5);
+constexpr Duration reportTimeout = std::chrono::milliseconds(400);
 /** All own calls are told again this often, for holders that are new and notes that were lost. */
-constexpr Duration tellAgain = std::chrono::milliseconds(1000);
+constexpr Duration fullReportInterval = std::chrono::milliseconds(1000);
 /** A VM that has not told for this long has ended, and its calls with it, or is cut off. */
-constexpr Duration toldHolds = std::chrono::milliseconds(3500);
+constexpr Duration reportValidity = std::chrono::milliseconds(3500);
 
 v1::EngineRuns runsAt(const GatewayNode &node, const std::string &target)
 {
-    v1::EngineRuns told;
-    told.set_target(target);
+    v1::EngineRuns engine;
+    engine.set_target(target);
     const auto runtime = node.targets.find(target);
     if (runtime == node.targets.end())
-        return told;
+        return engine;
     for (const auto &[adapter, runs] : runtime->second->ownAdapterRuns) {
-        v1::AdapterUse *use = told.add_adapters();
+        v1::AdapterUse *use = engine.add_adapters();
         use->set_adapter(adapter);
         use->set_runs(runs);
     }
-    return told;
+    return engine;
 }
 
-asio::awaitable<void> tellHolder(GatewayNode &node, Endpoint holder, v1::UseNote note)
+asio::awaitable<void> sendUsageReport(GatewayNode &node, Endpoint holder, v1::UseNote report)
 {
-    const auto noted = co_await node.peerLinks.reportUsage(holder, std::move(note), noteTimeout);
-    static_cast<void>(noted); // a lost note is made good by the next one
+    const auto reply =
+        co_await node.peerLinks.reportUsage(holder, std::move(report), reportTimeout);
+    static_cast<void>(reply); // a lost note is made good by the next one
 }
 
-void tellHolders(GatewayNode &node)
+void sendUsageReports(GatewayNode &node)
 {
-    std::map<Endpoint, v1::UseNote> notes;
+    std::map<Endpoint, v1::UseNote> reports;
     for (const std::string &target : node.runsChanged) {
-        const auto scheduler = node.heldEngines.find(target);
-        if (scheduler != node.heldEngines.end())
-            scheduler->second->changed.notifyAll();
+        const auto engine = node.heldEngines.find(target);
+        if (engine != node.heldEngines.end())
+            engine->second->changed.notifyAll();
         // Also one that did not answer lately: it may still give slots away.
         const EngineRecord *record = node.shared.engines.find(target);
         if (record == nullptr || !record->holderLive || record->holder == node.settings.peers)
             continue;
-        *notes[record->holder].add_engines() = runsAt(node, target);
+        *reports[record->holder].add_engines() = runsAt(node, target);
     }
     node.runsChanged.clear();
-    for (auto &[holder, note] : notes) {
-        encodeSelf(node, *note.mutable_from());
-        note.set_sequence(++node.usageSequence);
-        spawn(node, "tell holder", tellHolder(node, holder, std::move(note)));
+    for (auto &[holder, report] : reports) {
+        encodeSelf(node, *report.mutable_from());
+        report.set_sequence(++node.usageSequence);
+        spawn(node, "tell holder", sendUsageReport(node, holder, std::move(report)));
     }
 }
 
@@ -70,12 +71,12 @@
     const auto runtime = node.targets.find(target);
     if (runtime != node.targets.end())
         total = runtime->second->ownAdapterRuns;
-    const auto told = node.reportedRuns.find(target);
-    if (told == node.reportedRuns.end())
+    const auto reported = node.reportedRuns.find(target);
+    if (reported == node.reportedRuns.end())
         return total;
     const Instant now = BootClock::now();
-    for (const auto &[vm, runs] : told->second) {
-        if (now - runs.at > toldHolds)
+    for (const auto &[vm, runs] : reported->second) {
+        if (now - runs.at > reportValidity)
             continue;
         for (const auto &[adapter, count] : runs.byAdapter)
             total[adapter] += count;
@@ -101,23 +102,23 @@
     node.runsDue.notifyAll();
 }
 
-v1::UseNoted applyUsageReport(GatewayNode &node, const v1::UseNote &note)
+v1::UseNoted applyUsageReport(GatewayNode &node, const v1::UseNote &report)
 {
-    const Endpoint from = decodeEndpoint(note.from());
+    const Endpoint from = decodeEndpoint(report.from());
     const Instant now = BootClock::now();
-    for (const v1::EngineRuns &told : note.engines()) {
-        ReportedRuns &runs = node.reportedRuns[told.target()][from];
+    for (const v1::EngineRuns &engine : report.engines()) {
+        ReportedRuns &runs = node.reportedRuns[engine.target()][from];
         // Notes overtake one another; each tells of other engines, so each counts for its own.
-        const bool older = runs.boot == note.from().boot() && note.sequence() <= runs.sequence;
+        const bool older = runs.boot == report.from().boot() && report.sequence() <= runs.sequence;
         if (older)
             continue;
-        runs.boot = note.from().boot();
-        runs.sequence = note.sequence();
+        runs.boot = report.from().boot();
+        runs.sequence = report.sequence();
         runs.at = now;
         runs.byAdapter.clear();
-        for (const v1::AdapterUse &use : told.adapters())
+        for (const v1::AdapterUse &use : engine.adapters())
             runs.byAdapter[use.adapter()] = use.runs();
-        const auto held = node.heldEngines.find(told.target());
+        const auto held = node.heldEngines.find(engine.target());
         if (held != node.heldEngines.end())
             held->second->changed.notifyAll();
     }
@@ -126,20 +127,20 @@
 
 asio::awaitable<void> usageReportLoop(GatewayNode &node)
 {
-    Instant allTold{};
+    Instant allReportedAt{};
     while (!node.stopped) {
         const Instant now = BootClock::now();
-        if (now - allTold >= tellAgain) {
-            allTold = now;
+        if (now - allReportedAt >= fullReportInterval) {
+            allReportedAt = now;
             for (const auto &[target, runtime] : node.targets) {
                 if (!runtime->ownAdapterRuns.empty())
                     node.runsChanged.insert(target);
             }
         }
         if (!node.runsChanged.empty())
-            tellHolders(node);
-        co_await node.runsDue.wait(tellAgain);
-        co_await pauseFor(node, noteGather);
+            sendUsageReports(node);
+        co_await node.runsDue.wait(fullReportInterval);
+        co_await pauseFor(node, batchDelay);
     }
 }
 
--- a/libs/gateway/src/UsageReports.h
+++ b/libs/gateway/src/UsageReports.h
@@ -25,7 +25,7 @@
 void markRunsChanged(GatewayNode &node, const std::string &target);
 
 /** Takes another VM's word. */
-gateway::v1::UseNoted applyUsageReport(GatewayNode &node, const gateway::v1::UseNote &note);
+gateway::v1::UseNoted applyUsageReport(GatewayNode &node, const gateway::v1::UseNote &report);
 
 /** Tells holders of own calls for as long as the gateway runs. */
 asio::awaitable<void> usageReportLoop(GatewayNode &node);
--- a/libs/gateway/src/UsageSnapshots.cpp
+++ b/libs/gateway/src/UsageSnapshots.cpp
@@ -13,8 +13,8 @@
 
 namespace v1 = gateway::v1;
 
-constexpr Duration wantedLook = std::chrono::milliseconds(50);
-constexpr Duration unlimitedLook = std::chrono::milliseconds(250);
+constexpr Duration checkInterval = std::chrono::milliseconds(50);
+constexpr Duration idleCheckInterval = std::chrono::milliseconds(250);
 
 bool isLimitedWorkspace(const Workspace &workspace)
 {
@@ -22,25 +22,25 @@
 }
 
 /** A percentage as another VM told it. */
-int decodePercent(std::uint32_t told)
+int decodePercent(std::uint32_t percent)
 {
-    return static_cast<int>(std::min<std::uint32_t>(told, allPercent));
+    return static_cast<int>(std::min<std::uint32_t>(percent, allPercent));
 }
 
-UnitsByAge decodeUnits(const google::protobuf::RepeatedField<std::uint64_t> &told)
+UnitsByAge decodeUnits(const google::protobuf::RepeatedField<std::uint64_t> &encoded)
 {
     UnitsByAge units{};
-    const std::size_t count = std::min(units.size(), static_cast<std::size_t>(told.size()));
+    const std::size_t count = std::min(units.size(), static_cast<std::size_t>(encoded.size()));
     for (std::size_t age = 0; age < count; ++age)
         units[age] =
-            static_cast<std::int64_t>(std::min(told[static_cast<int>(age)], maxReportedNumber));
+            static_cast<std::int64_t>(std::min(encoded[static_cast<int>(age)], maxReportedNumber));
     return units;
 }
 
-void encodeUnits(const UnitsByAge &units, google::protobuf::RepeatedField<std::uint64_t> &told)
+void encodeUnits(const UnitsByAge &units, google::protobuf::RepeatedField<std::uint64_t> &encoded)
 {
     for (const std::int64_t unit : units)
-        told.Add(static_cast<std::uint64_t>(std::max<std::int64_t>(unit, 0)));
+        encoded.Add(static_cast<std::uint64_t>(std::max<std::int64_t>(unit, 0)));
 }
 
 enum class UnitsOf : std::uint8_t {
@@ -49,7 +49,7 @@
     AllZones, ///< and the zones that do
 };
 
-UnitsByAge unitsHeard(GatewayNode &node, const std::string &workspace, UnitsOf scope, Instant now)
+UnitsByAge unitsKnown(GatewayNode &node, const std::string &workspace, UnitsOf scope, Instant now)
 {
     const QuotaPolicy &policy = node.settings.quota;
     UnitsByAge units{};
@@ -63,11 +63,11 @@
     if (scope == UnitsOf::ThisVm)
         return units;
     for (const auto &[reporter, report] : node.reported.reports) {
-        const auto told = report.unitsByAge.find(workspace);
-        if (told == report.unitsByAge.end())
+        const auto found = report.unitsByAge.find(workspace);
+        if (found == report.unitsByAge.end())
             continue;
         if (scope == UnitsOf::AllZones || !reporter.starts_with(zoneReporter))
-            addUnits(units, told->second, policy, now - report.at);
+            addUnits(units, found->second, policy, now - report.at);
     }
     return units;
 }
@@ -99,8 +99,8 @@
 void logCounted(const GatewayNode &node, const char *source)
 {
     std::size_t named = 0;
-    for (const UsageSnapshot &note : node.spend.atStart.zones)
-        named += note.size();
+    for (const UsageSnapshot &snapshot : node.spend.atStart.zones)
+        named += snapshot.size();
     logEvent(EventId::UseCountedAtStart,
              {{"source", source},
               {"zones", std::to_string(node.spend.atStart.zones.size())},
@@ -108,16 +108,16 @@
               {"upMs", std::to_string(toMillis(BootClock::now() - node.bootedAt))}});
 }
 
-asio::awaitable<void> writeNote(GatewayNode &node)
+asio::awaitable<void> writeZoneSnapshot(GatewayNode &node)
 {
     const Instant began = BootClock::now();
-    UsageSnapshot note;
+    UsageSnapshot snapshot;
     for (const auto &[workspace, percent] : beginSnapshot(node.spend.noting, began))
-        note[workspace] = {percent, unitsHeard(node, workspace, UnitsOf::AllZones, began)};
+        snapshot[workspace] = {percent, unitsKnown(node, workspace, UnitsOf::AllZones, began)};
     node.spend.permits = permitsOf(node.spend.noting);
-    const std::string named = std::to_string(note.size());
+    const std::string named = std::to_string(snapshot.size());
     const bool done =
-        co_await node.platform->writeUsageSnapshot(node.http, node.settings, std::move(note));
+        co_await node.platform->writeUsageSnapshot(node.http, node.settings, std::move(snapshot));
     endSnapshot(node.spend.noting, done);
     // Another VM may relay by now, and its permits have come.
     if (node.relaying)
@@ -148,12 +148,12 @@
 }
 
 // Notes that another VM told are of before this one's start and stay.
-void applyStoredSnapshots(GatewayNode &node, std::vector<UsageSnapshot> notes)
+void applyStoredSnapshots(GatewayNode &node, std::vector<UsageSnapshot> snapshots)
 {
     const Instant now = BootClock::now();
     if (node.spend.atStart.wereRead || node.settings.firstStart)
         return;
-    node.spend.atStart = {true, now, std::move(notes)};
+    node.spend.atStart = {true, now, std::move(snapshots)};
     if (!node.spend.atStart.zones.empty())
         logCounted(node, "store");
 }
@@ -165,35 +165,35 @@
     const Instant now = BootClock::now();
     const UnitsOf scope = wholeZone ? UnitsOf::Zone : UnitsOf::ThisVm;
     const UsagePercents wanted = percentsWanted(node, now);
-    for (v1::WorkspaceUse &told : *report.mutable_workspaces()) {
-        if (wanted.count(told.workspace()) > 0)
-            encodeUnits(unitsHeard(node, told.workspace(), scope, now),
-                        *told.mutable_units_by_age());
+    for (v1::WorkspaceUse &message : *report.mutable_workspaces()) {
+        if (wanted.count(message.workspace()) > 0)
+            encodeUnits(unitsKnown(node, message.workspace(), scope, now),
+                        *message.mutable_units_by_age());
     }
 }
 
 WorkspaceUnits decodeUnitsByAge(const v1::Report &report)
 {
     WorkspaceUnits units;
-    for (const v1::WorkspaceUse &told : report.workspaces()) {
-        if (told.units_by_age_size() > 0)
-            units[told.workspace()] = decodeUnits(told.units_by_age());
+    for (const v1::WorkspaceUse &message : report.workspaces()) {
+        if (message.units_by_age_size() > 0)
+            units[message.workspace()] = decodeUnits(message.units_by_age());
     }
     return units;
 }
 
-void addUsageUpdates(const GatewayNode &node, const v1::Report &report, bool mate,
+void addUsageUpdates(const GatewayNode &node, const v1::Report &report, bool zonePeer,
                      v1::Digest &digest)
 {
     if (!keepsUsageSnapshots(node))
         return;
     const Instant now = BootClock::now();
     const UsagePermits &permits = node.spend.permits;
-    if (mate && node.spend.writes && !permits.percents.empty()) {
+    if (zonePeer && node.spend.writes && !permits.percents.empty()) {
         for (const auto &[workspace, percent] : permits.percents) {
-            v1::NotedSpend *told = digest.mutable_spend()->add_noted_workspaces();
-            told->set_workspace(workspace);
-            told->set_percent(static_cast<std::uint32_t>(percent));
+            v1::NotedSpend *message = digest.mutable_spend()->add_noted_workspaces();
+            message->set_workspace(workspace);
+            message->set_percent(static_cast<std::uint32_t>(percent));
         }
         digest.mutable_spend()->set_noted_ago_ms(
             static_cast<std::uint64_t>(toMillis(now - permits.writtenAt)) + 1);
@@ -205,13 +205,13 @@
     const Duration readAgo = now - node.spend.atStart.readAt;
     digest.mutable_spend()->set_notes_read_ago_ms(static_cast<std::uint64_t>(toMillis(readAgo))
                                                   + 1);
-    for (const UsageSnapshot &note : node.spend.atStart.zones) {
-        v1::ZoneNote *told = digest.mutable_spend()->add_notes_at_start();
-        for (const auto &[workspace, noted] : note) {
-            v1::NotedSpend *entry = told->add_workspaces();
+    for (const UsageSnapshot &snapshot : node.spend.atStart.zones) {
+        v1::ZoneNote *message = digest.mutable_spend()->add_notes_at_start();
+        for (const auto &[workspace, usage] : snapshot) {
+            v1::NotedSpend *entry = message->add_workspaces();
             entry->set_workspace(workspace);
-            entry->set_percent(static_cast<std::uint32_t>(noted.percent));
-            encodeUnits(noted.units, *entry->mutable_units_by_age());
+            entry->set_percent(static_cast<std::uint32_t>(usage.percent));
+            encodeUnits(usage.units, *entry->mutable_units_by_age());
         }
     }
 }
@@ -219,22 +219,22 @@
 namespace {
 
 // A message that was long under way makes notes look younger than they are, so that more counts.
-void takeNotesTold(GatewayNode &node, const v1::SpendNews &news)
+void applyReceivedSnapshots(GatewayNode &node, const v1::SpendNews &news)
 {
     if (news.notes_read_ago_ms() == 0 || node.settings.firstStart)
         return;
     const Instant now = BootClock::now();
-    StartupSnapshots told;
-    told.wereRead = true;
-    told.readAt = now - std::chrono::milliseconds(news.notes_read_ago_ms() - 1);
-    for (const v1::ZoneNote &note : news.notes_at_start()) {
-        UsageSnapshot &zone = told.zones.emplace_back();
-        for (const v1::NotedSpend &entry : note.workspaces())
+    StartupSnapshots received;
+    received.wereRead = true;
+    received.readAt = now - std::chrono::milliseconds(news.notes_read_ago_ms() - 1);
+    for (const v1::ZoneNote &snapshot : news.notes_at_start()) {
+        UsageSnapshot &zone = received.zones.emplace_back();
+        for (const v1::NotedSpend &entry : snapshot.workspaces())
             zone[entry.workspace()] = {decodePercent(entry.percent()),
                                        decodeUnits(entry.units_by_age())};
     }
     const StartupSnapshots before = node.spend.atStart;
-    adoptSnapshots(node.spend.atStart, told, node.settings.quota, now);
+    adoptSnapshots(node.spend.atStart, received, node.settings.quota, now);
     if (node.spend.atStart != before)
         logCounted(node, "another VM");
 }
@@ -244,14 +244,14 @@
 void applyUsageUpdates(GatewayNode &node, const v1::Digest &digest, bool ownRelay, Instant askedAt)
 {
     if (BootClock::now() - node.bootedAt < node.settings.quota.window)
-        takeNotesTold(node, digest.spend());
+        applyReceivedSnapshots(node, digest.spend());
     if (!ownRelay)
         return;
     const v1::SpendNews &news = digest.spend();
     UsagePermits permits;
     permits.writtenAt = askedAt - std::chrono::milliseconds(news.noted_ago_ms());
-    for (const v1::NotedSpend &told : news.noted_workspaces())
-        permits.percents[told.workspace()] = decodePercent(told.percent());
+    for (const v1::NotedSpend &message : news.noted_workspaces())
+        permits.percents[message.workspace()] = decodePercent(message.percent());
     if (!permits.percents.empty())
         node.metrics.record(Timing::NoteAge, toSeconds(BootClock::now() - permits.writtenAt));
     node.spend.permits = std::move(permits);
@@ -260,11 +260,11 @@
 asio::awaitable<void> usageSnapshotLoop(GatewayNode &node)
 {
     while (!node.stopped) {
-        const bool notes = keepsUsageSnapshots(node);
+        const bool enabled = keepsUsageSnapshots(node);
         const Instant now = BootClock::now();
-        if (!notes || !node.relaying || !knowsFleetSize(node, now)) {
+        if (!enabled || !node.relaying || !knowsFleetSize(node, now)) {
             node.spend.writes = false;
-            co_await pauseFor(node, notes ? wantedLook : unlimitedLook);
+            co_await pauseFor(node, enabled ? checkInterval : idleCheckInterval);
             continue;
         }
         if (!node.spend.writes)
@@ -274,8 +274,8 @@
         updateWantedPercents(node.spend.noting, percentsWanted(node, now), now);
         node.spend.permits = permitsOf(node.spend.noting);
         if (isWriteDue(node.spend.noting, now))
-            co_await writeNote(node);
-        co_await pauseFor(node, wantedLook);
+            co_await writeZoneSnapshot(node);
+        co_await pauseFor(node, checkInterval);
     }
 }
 
--- a/libs/gateway/src/UsageSnapshots.h
+++ b/libs/gateway/src/UsageSnapshots.h
@@ -14,15 +14,15 @@
 double allowedShare(const GatewayNode &node, const std::string &workspace, Instant now);
 
 /** What the store held when this VM read its list of VMs first. */
-void applyStoredSnapshots(GatewayNode &node, std::vector<UsageSnapshot> notes);
+void applyStoredSnapshots(GatewayNode &node, std::vector<UsageSnapshot> snapshots);
 
 /** Adds the units by age of workspaces whose use is to be noted. */
 void fillUnitsByAge(GatewayNode &node, bool wholeZone, gateway::v1::Report &report);
 
 WorkspaceUnits decodeUnitsByAge(const gateway::v1::Report &report);
 
-/** `mate`: the asker is of this VM's zone. */
-void addUsageUpdates(const GatewayNode &node, const gateway::v1::Report &report, bool mate,
+/** `zonePeer`: the asker is of this VM's zone. */
+void addUsageUpdates(const GatewayNode &node, const gateway::v1::Report &report, bool zonePeer,
                      gateway::v1::Digest &digest);
 
 /** `ownRelay`: the digest is of the VM that this one reports to. */
--- a/libs/gateway/src/ZonePeers.cpp
+++ b/libs/gateway/src/ZonePeers.cpp
@@ -37,13 +37,13 @@
     for (auto &[endpoint, peer] : node.peers) {
         if (peer.zone != zone || peer.name.empty())
             continue;
-        ZonePeer mate;
-        mate.rank = rankOf(peer);
-        mate.reachable = isReachable(peer, now);
-        mate.starting = peer.starting;
-        mate.leaseHolder = peer.leaseHolder;
-        mate.linksLost = peer.linksLost;
-        found.mates.push_back(mate);
+        ZonePeer candidate;
+        candidate.rank = rankOf(peer);
+        candidate.reachable = isReachable(peer, now);
+        candidate.starting = peer.starting;
+        candidate.leaseHolder = peer.leaseHolder;
+        candidate.linksLost = peer.linksLost;
+        found.mates.push_back(candidate);
         found.peers.push_back(&peer);
     }
     return found;
