--- a/libs/gateway/tests/ConfigDownloads.cpp
+++ b/libs/gateway/tests/ConfigDownloads.cpp
@@ -53,7 +53,8 @@
     cr_assert(applyPackedConfig(node, packDocument(version, document), "test"));
 }
 
-PeerState &addMate(GatewayNode &node, const std::string &vm, double capacity, std::int64_t version)
+PeerState &addZonePeer(GatewayNode &node, const std::string &vm, double capacity,
+                       std::int64_t version)
 {
     const Endpoint endpoint{vm, 7380};
     addPeer(node, endpoint, {vm, "zone-a", capacity});
@@ -101,19 +102,19 @@
 Test(config_reading, what_has_come_stays_when_another_mate_goes_on)
 {
     GatewayNode relay(settingsOf("relay"));
-    GatewayNode mate(settingsOf("mate"));
+    GatewayNode zonePeer(settingsOf("mate"));
     GatewayNode reader(settingsOf("reader"));
     const std::string document = longDocument(4, 200000);
     putInForce(relay, document);
-    putInForce(mate, document);
-    PeerState &first = addMate(reader, "relay", 2, 4);
-    PeerState &second = addMate(reader, "mate", 1, 4);
+    putInForce(zonePeer, document);
+    PeerState &first = addZonePeer(reader, "relay", 2, 4);
+    PeerState &second = addZonePeer(reader, "mate", 1, 4);
     int parts = 0;
     for (; parts < 5; ++parts)
         applyConfigPart(reader, first, answerConfigRequest(relay, nextConfigRequest(reader)));
     cr_assert_eq(versionOf(reader), 0);
     for (; versionOf(reader) == 0; ++parts)
-        applyConfigPart(reader, second, answerConfigRequest(mate, nextConfigRequest(reader)));
+        applyConfigPart(reader, second, answerConfigRequest(zonePeer, nextConfigRequest(reader)));
     cr_assert_eq(versionOf(reader), 4);
     cr_assert_leq(parts, static_cast<int>(200000 / maxPartBytes) + 2);
 }
@@ -121,20 +122,20 @@
 // Symptom would be a VM that asks a mate for ever that was started anew and knows nothing yet.
 Test(config_reading, a_mate_that_knows_less_than_it_told_is_not_asked_again)
 {
-    GatewayNode reborn(settingsOf("reborn"));
+    GatewayNode restarted(settingsOf("reborn"));
     GatewayNode reader(settingsOf("reader"));
-    PeerState &peer = addMate(reader, "reborn", 1, 9);
+    PeerState &peer = addZonePeer(reader, "reborn", 1, 9);
     cr_assert_not_null(chooseConfigSource(reader, BootClock::now()));
-    applyConfigPart(reader, peer, answerConfigRequest(reborn, nextConfigRequest(reader)));
+    applyConfigPart(reader, peer, answerConfigRequest(restarted, nextConfigRequest(reader)));
     cr_assert_null(chooseConfigSource(reader, BootClock::now()));
 }
 
 Test(config_reading, the_strongest_mate_goes_first_and_one_that_failed_waits)
 {
     GatewayNode reader(settingsOf("reader"));
-    addMate(reader, "weak", 0.1, 9);
-    PeerState &strong = addMate(reader, "strong", 2, 9);
-    addMate(reader, "behind", 4, 0);
+    addZonePeer(reader, "weak", 0.1, 9);
+    PeerState &strong = addZonePeer(reader, "strong", 2, 9);
+    addZonePeer(reader, "behind", 4, 0);
     const Instant now = BootClock::now();
     cr_assert_eq(chooseConfigSource(reader, now)->name, "strong");
     strong.configRetryAt = now + std::chrono::seconds(1);
@@ -148,7 +149,7 @@
     GatewayNode relay(settingsOf("relay"));
     GatewayNode reader(settingsOf("reader"));
     putInForce(relay, longDocument(1, 100000));
-    PeerState &peer = addMate(reader, "relay", 1, 1);
+    PeerState &peer = addZonePeer(reader, "relay", 1, 1);
     applyConfigPart(reader, peer, answerConfigRequest(relay, nextConfigRequest(reader)));
     putInForce(relay, longDocument(2, 100000));
     recordConfigOffer(reader, peer, 2);
@@ -167,7 +168,7 @@
     GatewayNode reader(settingsOf("reader"));
     putInForce(behind, longDocument(3, 100));
     putInForce(reader, longDocument(5, 100));
-    PeerState &peer = addMate(reader, "behind", 1, 8);
+    PeerState &peer = addZonePeer(reader, "behind", 1, 8);
     applyConfigPart(reader, peer, answerConfigRequest(behind, nextConfigRequest(reader)));
     cr_assert_eq(versionOf(reader), 5);
     cr_assert_null(chooseConfigSource(reader, BootClock::now()));
@@ -177,16 +178,16 @@
 Test(config_reading, a_route_is_not_called_unknown_while_another_vm_has_a_newer_configuration)
 {
     GatewayNode relay(settingsOf("relay"));
-    GatewayNode mate(settingsOf("mate"));
+    GatewayNode zonePeer(settingsOf("mate"));
     putInForce(relay, longDocument(2, 100));
-    putInForce(mate, longDocument(1, 100));
-    cr_assert_eq(refusalWithoutRoute(mate).status, 404);
-    PeerState &peer = addMate(mate, "relay", 1, 2);
-    const LocalReply refusal = refusalWithoutRoute(mate);
+    putInForce(zonePeer, longDocument(1, 100));
+    cr_assert_eq(refusalWithoutRoute(zonePeer).status, 404);
+    PeerState &peer = addZonePeer(zonePeer, "relay", 1, 2);
+    const LocalReply refusal = refusalWithoutRoute(zonePeer);
     cr_assert_eq(refusal.status, 503);
     cr_assert_gt(refusal.retryAfter, Duration::zero());
-    applyConfigPart(mate, peer, answerConfigRequest(relay, nextConfigRequest(mate)));
-    cr_assert_eq(refusalWithoutRoute(mate).status, 404);
+    applyConfigPart(zonePeer, peer, answerConfigRequest(relay, nextConfigRequest(zonePeer)));
+    cr_assert_eq(refusalWithoutRoute(zonePeer).status, 404);
 }
 
 // Guards against VMs that begin anew, or stand still, where a mate passes on what it still reads.
@@ -196,8 +197,8 @@
     GatewayNode first(settingsOf("first"));
     GatewayNode second(settingsOf("second"));
     putInForce(relay, longDocument(1, 100000));
-    PeerState &relayOfFirst = addMate(first, "relay", 1, 1);
-    PeerState &firstOfSecond = addMate(second, "first", 1, 1);
+    PeerState &relayOfFirst = addZonePeer(first, "relay", 1, 1);
+    PeerState &firstOfSecond = addZonePeer(second, "first", 1, 1);
     for (int turn = 0; versionOf(second) == 0 && turn < 40; ++turn) {
         applyConfigPart(second, firstOfSecond,
                         answerConfigRequest(first, nextConfigRequest(second)));
@@ -213,13 +214,13 @@
 {
     GatewayNode relay(settingsOf("relay"));
     putInForce(relay, longDocument(1, 100000));
-    GatewayNode reborn(settingsOf("vm-1"));
+    GatewayNode restarted(settingsOf("vm-1"));
     for (const std::string vm : {"vm-1", "vm-2"}) {
         GatewayNode reader(settingsOf(vm));
         answerConfigRequest(relay, nextConfigRequest(reader));
     }
     GatewayNode third(settingsOf("vm-3"));
-    PeerState &peer = addMate(third, "relay", 1, 1);
+    PeerState &peer = addZonePeer(third, "relay", 1, 1);
     applyConfigPart(third, peer, answerConfigRequest(relay, nextConfigRequest(third)));
     const PeerState *source = chooseConfigSource(third, BootClock::now());
     cr_assert_str_eq(source->endpoint.address.c_str(), "vm-1");
@@ -227,9 +228,9 @@
         third.configDownload.lastProgressAt = Instant{};
         source = chooseConfigSource(third, BootClock::now());
         cr_assert_not_null(source);
-        GatewayNode &giver = source->endpoint.address == "relay" ? relay : reborn;
+        GatewayNode &sender = source->endpoint.address == "relay" ? relay : restarted;
         applyConfigPart(third, third.peers.at(source->endpoint),
-                        answerConfigRequest(giver, nextConfigRequest(third)));
+                        answerConfigRequest(sender, nextConfigRequest(third)));
     }
     cr_assert_eq(versionOf(third), 1);
 }
--- a/libs/gateway/tests/ConfigReaders.cpp
+++ b/libs/gateway/tests/ConfigReaders.cpp
@@ -17,7 +17,7 @@
     return {"10.0.0." + std::to_string(number), 7380};
 }
 
-ConfigPartRequest askOf(int number, const std::string &zone = "zone-a")
+ConfigPartRequest requestOf(int number, const std::string &zone = "zone-a")
 {
     return {vm(number), zone, version, false};
 }
@@ -28,20 +28,20 @@
 Test(config_readers, seventy_mates_read_from_many_and_not_from_one)
 {
     std::map<Endpoint, ConfigReaders> vms;
-    std::map<Endpoint, int> given;
+    std::map<Endpoint, int> served;
     std::size_t longest = 0;
     for (int reader = 1; reader <= 70; ++reader) {
         Endpoint source = vm(0);
         std::size_t steps = 0;
-        for (auto other = redirectFor(vms[source], askOf(reader), begin); other;
-             other = redirectFor(vms[source], askOf(reader), begin)) {
+        for (auto other = redirectFor(vms[source], requestOf(reader), begin); other;
+             other = redirectFor(vms[source], requestOf(reader), begin)) {
             source = *other;
             ++steps;
         }
-        ++given[source];
+        ++served[source];
         longest = std::max(longest, steps);
     }
-    for (const auto &[source, readers] : given)
+    for (const auto &[source, readers] : served)
         cr_assert_leq(readers, 2, "%s gives to %d", source.address.c_str(), readers);
     cr_assert_leq(longest, 8, "a way of %zu steps", longest);
 }
@@ -51,11 +51,11 @@
 {
     ConfigReaders readers;
     for (int number = 1; number <= 2; ++number)
-        cr_assert(!redirectFor(readers, askOf(number), begin));
-    ConfigPartRequest ask = askOf(3);
-    cr_assert(redirectFor(readers, ask, begin).has_value());
-    ask.noRedirect = true;
-    cr_assert(!redirectFor(readers, ask, begin));
+        cr_assert(!redirectFor(readers, requestOf(number), begin));
+    ConfigPartRequest request = requestOf(3);
+    cr_assert(redirectFor(readers, request, begin).has_value());
+    request.noRedirect = true;
+    cr_assert(!redirectFor(readers, request, begin));
 }
 
 // Guards against waiting for readers that have ended in the middle of it.
@@ -63,11 +63,11 @@
 {
     ConfigReaders readers;
     for (int number = 1; number <= 2; ++number)
-        cr_assert(!redirectFor(readers, askOf(number), begin));
+        cr_assert(!redirectFor(readers, requestOf(number), begin));
     const Instant later = begin + std::chrono::seconds(3);
-    cr_assert(!redirectFor(readers, askOf(3), later));
-    cr_assert(!redirectFor(readers, askOf(4), later));
-    const std::optional<Endpoint> other = redirectFor(readers, askOf(5), later);
+    cr_assert(!redirectFor(readers, requestOf(3), later));
+    cr_assert(!redirectFor(readers, requestOf(4), later));
+    const std::optional<Endpoint> other = redirectFor(readers, requestOf(5), later);
     cr_assert(other == vm(3) || other == vm(4));
 }
 
@@ -76,8 +76,8 @@
 {
     ConfigReaders readers;
     for (int number = 1; number <= 2; ++number)
-        cr_assert(!redirectFor(readers, askOf(number, "zone-b"), begin));
-    cr_assert(!redirectFor(readers, askOf(3), begin));
-    recordPartSent(readers, askOf(3), true, begin);
-    cr_assert_eq(redirectFor(readers, askOf(4), begin).value(), vm(3));
+        cr_assert(!redirectFor(readers, requestOf(number, "zone-b"), begin));
+    cr_assert(!redirectFor(readers, requestOf(3), begin));
+    recordPartSent(readers, requestOf(3), true, begin);
+    cr_assert_eq(redirectFor(readers, requestOf(4), begin).value(), vm(3));
 }
--- a/libs/gateway/tests/LinkWatches.cpp
+++ b/libs/gateway/tests/LinkWatches.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/** A VM with these targets of one service; `goods`: good answers that others tell of each. */
-void listTargets(GatewayNode &node, int targets, int goods)
+/** A VM with these targets of one service; `goodAnswers`: good answers that others tell of each. */
+void listTargets(GatewayNode &node, int targets, int goodAnswers)
 {
     node.targetTable.lastReadAt = BootClock::now();
     for (int index = 0; index < targets; ++index) {
@@ -22,7 +22,7 @@
         entry.service = "engines";
         entry.endpoint = {"127.0.0.1", 1}; // nobody listens there
         recordListed(node.targetTable, entry);
-        node.relayState.others[entry.id].successes = goods;
+        node.relayState.others[entry.id].successes = goodAnswers;
     }
 }
 
@@ -97,10 +97,10 @@
 namespace {
 
 /** Ends of targets that a VM tells of after it has lost calls at two that refuse connections. */
-std::size_t endsTold(int othersGood)
+std::size_t reportedEnds(int goodAnswers)
 {
     GatewayNode node((GatewaySettings()));
-    listTargets(node, 5, othersGood);
+    listTargets(node, 5, goodAnswers);
     boost::beast::tcp_stream caller(node.context);
     ActiveCall run(node, caller, HttpRequest());
     recordLostCall(run, "t0");
@@ -114,8 +114,8 @@
 // Guards against calls that all VMs refuse as harmful, because a cut VM lost them at its own links.
 Test(link_watch, calls_lost_at_cut_links_are_no_evidence_against_them)
 {
-    cr_assert_eq(endsTold(30), 0);
-    cr_assert_eq(endsTold(0), 2, "targets that fail for all have ended");
+    cr_assert_eq(reportedEnds(30), 0);
+    cr_assert_eq(reportedEnds(0), 2, "targets that fail for all have ended");
 }
 
 namespace {
@@ -147,7 +147,7 @@
         return made;
     }
 
-    void hearMate(bool linksLost)
+    void receiveReport(bool linksLost)
     {
         gateway::v1::Report report;
         report.mutable_from()->set_name("vm-2");
@@ -158,11 +158,11 @@
         report.set_carries_use(true);
         report.set_sequence(++this->sequence);
         report.set_links_lost(linksLost);
-        this->told = answerReport(this->node, report);
+        this->digest = answerReport(this->node, report);
     }
 
     GatewayNode node;
-    gateway::v1::Digest told;
+    gateway::v1::Digest digest;
     std::uint64_t sequence = 0;
 };
 
@@ -173,13 +173,13 @@
 {
     CutHolder holder;
     cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "nobody else is heard");
-    holder.hearMate(true);
+    holder.receiveReport(true);
     cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "the mate is cut off as well");
-    holder.hearMate(false);
+    holder.receiveReport(false);
     cr_assert(shouldYieldLease(holder.node, BootClock::now()));
-    cr_assert_eq(holder.told.linked_mates(), 0, "this VM is no help to the mate");
+    cr_assert_eq(holder.digest.linked_mates(), 0, "this VM is no help to the mate");
     holder.node.serviceLinks["engines"].lost = false;
     cr_assert(!shouldYieldLease(holder.node, BootClock::now()));
-    holder.hearMate(false);
-    cr_assert_eq(holder.told.linked_mates(), 1);
+    holder.receiveReport(false);
+    cr_assert_eq(holder.digest.linked_mates(), 1);
 }
--- a/libs/gateway/tests/LoadReplies.cpp
+++ b/libs/gateway/tests/LoadReplies.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-template <typename Message> Message overTheWire(const Message &message)
+template <typename Message> Message roundTrip(const Message &message)
 {
     Message read;
     cr_assert(read.ParseFromString(message.SerializeAsString()));
@@ -36,14 +36,14 @@
     gateway::v1::LoadReply reply;
     reply.set_outcome(gateway::v1::LOAD_OUTCOME_NO_SLOT);
     encodeDecline(decline, reply);
-    const gateway::v1::LoadReply read = overTheWire(reply);
+    const gateway::v1::LoadReply read = roundTrip(reply);
     cr_assert(read.outcome() == gateway::v1::LOAD_OUTCOME_NO_SLOT);
-    const LoadDecline told = decodeDecline(read);
-    cr_assert(told.reason == DeclineReason::QueueTooLong);
-    cr_assert(told.retryIn == 143ms, "rounded up");
-    const LoadDecline former = decodeDecline(overTheWire(gateway::v1::LoadReply()));
-    cr_assert(former == LoadDecline());
-    cr_assert(backoffAfter(former, Instant{} + 1s).until > Instant{} + 1s);
+    const LoadDecline decoded = decodeDecline(read);
+    cr_assert(decoded.reason == DeclineReason::QueueTooLong);
+    cr_assert(decoded.retryIn == 143ms, "rounded up");
+    const LoadDecline previous = decodeDecline(roundTrip(gateway::v1::LoadReply()));
+    cr_assert(previous == LoadDecline());
+    cr_assert(backoffAfter(previous, Instant{} + 1s).until > Instant{} + 1s);
 }
 
 // Guards against a rank that gets lost on its way to the holder, which orders loads by it.
@@ -51,7 +51,7 @@
 {
     gateway::v1::LoadRequest request;
     encodeRank(2, request);
-    cr_assert_eq(decodeRank(overTheWire(request)), 2);
+    cr_assert_eq(decodeRank(roundTrip(request)), 2);
     cr_assert_eq(decodeRank(gateway::v1::LoadRequest()), 0);
 }
 
@@ -89,7 +89,7 @@
     record.incoming = {"m/a", "m/b"};
     gateway::v1::EngineState state;
     encodeEngine("e", record, state);
-    const EngineRecord read = decodeEngine(overTheWire(state));
+    const EngineRecord read = decodeEngine(roundTrip(state));
     cr_assert(read == record);
     cr_assert(!loadUnderWay(node, "e", "m/a", 300ms));
     addPeer(node, record.holder, {"vm-2", "zone-a", 1});
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -253,10 +253,10 @@
     GatewayNode asker(settingsOfVm7());
     std::uint64_t sequence = 0;
     cr_assert(exchangeOnce(asker, *relay, ++sequence));
-    GatewayNode reborn(settingsOfVm1());
-    recordListRead(reborn.targetTable, BootClock::now());
-    applyPeerTargets(reborn, {listedTarget("only", false)});
-    cr_assert(!exchangeOnce(asker, reborn, ++sequence));
+    GatewayNode restarted(settingsOfVm1());
+    recordListRead(restarted.targetTable, BootClock::now());
+    applyPeerTargets(restarted, {listedTarget("only", false)});
+    cr_assert(!exchangeOnce(asker, restarted, ++sequence));
     cr_assert_eq(asker.targetTable.records.size(), 1);
     cr_assert_not_null(entryOf(asker, "only"));
 }
@@ -264,7 +264,7 @@
 namespace {
 
 /** A VM that has read the list, with just one target in it. */
-std::unique_ptr<GatewayNode> relayThatLists(const std::string &target)
+std::unique_ptr<GatewayNode> relayWithTarget(const std::string &target)
 {
     auto relay = std::make_unique<GatewayNode>(settingsOfVm1());
     recordListRead(relay->targetTable, BootClock::now());
@@ -278,7 +278,7 @@
 // regular reports.
 Test(peers, what_a_relay_told_before_it_was_the_relay_is_heard_in_whole_again)
 {
-    const auto relay = relayThatLists("stays");
+    const auto relay = relayWithTarget("stays");
     GatewayNode asker(settingsOfVm7());
     applyPeerTargets(asker, {listedTarget("stays", false), listedTarget("left", false)});
     std::uint64_t sequence = 0;
@@ -291,17 +291,17 @@
 // Guards against calls to a target that came and left while another VM was the relay.
 Test(peers, a_relay_that_comes_back_is_heard_in_whole)
 {
-    const auto relay = relayThatLists("stays");
+    const auto relay = relayWithTarget("stays");
     GatewaySettings settings = settingsOfVm1();
     settings.vm = "vm-2";
     settings.peers = {"10.0.0.2", 7380};
-    GatewayNode between(settings);
-    recordListRead(between.targetTable, BootClock::now());
-    applyPeerTargets(between, {listedTarget("stays", false), listedTarget("left", false)});
+    GatewayNode secondRelay(settings);
+    recordListRead(secondRelay.targetTable, BootClock::now());
+    applyPeerTargets(secondRelay, {listedTarget("stays", false), listedTarget("left", false)});
     GatewayNode asker(settingsOfVm7());
     std::uint64_t sequence = 0;
     while (exchangeOnce(asker, *relay, ++sequence)) { }
-    while (exchangeOnce(asker, between, ++sequence)) { }
+    while (exchangeOnce(asker, secondRelay, ++sequence)) { }
     cr_assert_not_null(entryOf(asker, "left"));
     while (exchangeOnce(asker, *relay, ++sequence)) { }
     cr_assert_null(entryOf(asker, "left"));
@@ -311,7 +311,7 @@
 // came back, which has not yet.
 Test(peers, a_list_that_is_older_than_the_own_read_drops_nothing)
 {
-    const auto relay = relayThatLists("stays");
+    const auto relay = relayWithTarget("stays");
     GatewayNode asker(settingsOfVm7());
     applyPeerTargets(asker, {listedTarget("stays", false), listedTarget("new", false)});
     recordListRead(asker.targetTable, BootClock::now());
@@ -328,15 +328,15 @@
 // own, still waits whether the target is listed again.
 Test(peers, a_dropped_target_does_not_come_back_by_one_that_waits_for_it)
 {
-    const auto relay = relayThatLists("left");
+    const auto relay = relayWithTarget("left");
     recordListFailure(relay->targetTable, BootClock::now() - std::chrono::seconds(4));
     recordListRead(relay->targetTable, BootClock::now());
     dropTargetByPeer(*relay, "left", false);
     cr_assert_not_null(entryOf(*relay, "left"), "it waits");
-    GatewayNode starter(settingsOfVm7());
+    GatewayNode startingVm(settingsOfVm7());
     std::uint64_t sequence = 0;
-    while (exchangeOnce(starter, *relay, ++sequence)) { }
-    cr_assert_not_null(entryOf(starter, "left"), "one that knows nothing waits, too");
+    while (exchangeOnce(startingVm, *relay, ++sequence)) { }
+    cr_assert_not_null(entryOf(startingVm, "left"), "one that knows nothing waits, too");
     GatewayNode asker(settingsOfVm7());
     applyPeerTargets(asker, {listedTarget("left", false)});
     dropTargetByPeer(asker, "left", true);
--- a/libs/gateway/tests/Prefixes.cpp
+++ b/libs/gateway/tests/Prefixes.cpp
@@ -28,8 +28,8 @@
 }
 
 /** Time to a first event when most of the prompt is cached, and when none of it is. */
-constexpr Duration soon = std::chrono::milliseconds(80);
-constexpr Duration wholeReading = std::chrono::milliseconds(300);
+constexpr Duration cachedPrefillTime = std::chrono::milliseconds(80);
+constexpr Duration fullPrefillTime = std::chrono::milliseconds(300);
 
 /** A VM that knows one engine. */
 struct Vm
@@ -52,12 +52,12 @@
         run.facts.prompt = {{"shared", 6300}, {"own", 2890}};
         run.prefixes = promptPrefixes("m/a", run.facts.prompt, run.facts.promptTokens);
         const TargetEntry &engine = *entryOf(this->node, "engine-1");
-        const double chosenBy = cachedInEngine(run, engine, TargetUsage(), 232'000);
+        const double atPlacement = cachedInEngine(run, engine, TargetUsage(), 232'000);
         const Instant now = BootClock::now();
         PrefillObservation reading(run, "engine-1", now);
         if (untilFirst)
             reading.noteFirstEvent(now + *untilFirst);
-        cr_assert_eq(run.cachedTokens, chosenBy, "the choice and the count of what waits");
+        cr_assert_eq(run.cachedTokens, atPlacement, "the choice and the count of what waits");
         return run.cachedTokens;
     }
 
@@ -81,16 +81,16 @@
     const PeerState &peer = from.node.peers[to.node.settings.peers];
     report.set_known_boot(peer.seenBoot);
     report.set_known_change(peer.seenChange);
-    const bool mate = from.node.settings.zone == to.node.settings.zone;
-    addPrefixesToReport(from.node, peer, mate, BootClock::now(), report);
+    const bool zonePeer = from.node.settings.zone == to.node.settings.zone;
+    addPrefixesToReport(from.node, peer, zonePeer, BootClock::now(), report);
     return report;
 }
 
 v1::Digest exchange(Vm &from, Vm &to)
 {
-    const bool mate = from.node.settings.zone == to.node.settings.zone;
+    const bool zonePeer = from.node.settings.zone == to.node.settings.zone;
     const v1::Digest digest = answerReport(to.node, reportOf(from, to));
-    applyDigest(from.node, to.node.settings.peers, digest, mate);
+    applyDigest(from.node, to.node.settings.peers, digest, zonePeer);
     return digest;
 }
 
@@ -102,24 +102,24 @@
 {
     Vm first("zone-a", 1);
     Vm relay("zone-a", 2);
-    Vm mate("zone-a", 3);
-    Vm farRelay("zone-b", 4);
-    Vm far("zone-b", 5);
+    Vm zonePeer("zone-a", 3);
+    Vm otherZoneRelay("zone-b", 4);
+    Vm otherZoneVm("zone-b", 5);
     cr_assert_eq(first.believed(), 0);
     cr_assert_eq(first.believed(), 0, "a call that was sent shows nothing");
     exchange(first, relay);
     cr_assert_eq(relay.believed(), 0);
-    first.call(soon);
-    const v1::Digest echo = exchange(first, relay);
-    cr_assert(decodePrefixUpdates(echo.prefixes()).reads.empty(), "not told back");
+    first.call(cachedPrefillTime);
+    const v1::Digest digest = exchange(first, relay);
+    cr_assert(decodePrefixUpdates(digest.prefixes()).reads.empty(), "not told back");
     cr_assert_eq(relay.believed(), 6300);
-    exchange(mate, relay);
-    cr_assert_eq(mate.believed(), 6300);
-    exchange(farRelay, relay);
-    exchange(far, farRelay);
-    cr_assert_eq(far.believed(), 6300);
-    cr_assert(decodePrefixUpdates(exchange(mate, relay).prefixes()).reads.empty(), "told once");
-    cr_assert(decodePrefixUpdates(exchange(relay, farRelay).prefixes()).reads.empty(),
+    exchange(zonePeer, relay);
+    cr_assert_eq(zonePeer.believed(), 6300);
+    exchange(otherZoneRelay, relay);
+    exchange(otherZoneVm, otherZoneRelay);
+    cr_assert_eq(otherZoneVm.believed(), 6300);
+    cr_assert(decodePrefixUpdates(exchange(zonePeer, relay).prefixes()).reads.empty(), "told once");
+    cr_assert(decodePrefixUpdates(exchange(relay, otherZoneRelay).prefixes()).reads.empty(),
               "not told round");
 }
 
@@ -130,15 +130,15 @@
     Vm vm("zone-a", 1);
     Vm late("zone-a", 2);
     setResident(vm.node, "engine-1", {{"m/a", 1}, {"m/b", 1}});
-    vm.call(soon);
+    vm.call(cachedPrefillTime);
     setResident(vm.node, "engine-1", {{"m/a", 1}});
     cr_assert_eq(vm.believed(), 6300, "another adapter was unloaded");
     setResident(vm.node, "engine-1", {{"m/a", 2}});
     cr_assert_eq(vm.believed(), 0, "it was replaced");
-    vm.call(soon);
+    vm.call(cachedPrefillTime);
     setResident(vm.node, "engine-1", {});
     cr_assert_eq(vm.believed(), 0, "it was unloaded");
-    late.call(soon);
+    late.call(cachedPrefillTime);
     recordStartTime(vm.node, "engine-1", 2);
     exchange(late, vm);
     cr_assert_eq(vm.believed(), 0, "told of the former start");
@@ -150,13 +150,13 @@
 {
     Vm first("zone-a", 1);
     Vm relay("zone-a", 2);
-    first.call(soon);
+    first.call(cachedPrefillTime);
     exchange(first, relay);
     const std::uint64_t logged = first.node.prefixes.log.last;
-    cr_assert_eq(first.call(wholeReading), 6300);
+    cr_assert_eq(first.call(fullPrefillTime), 6300);
     cr_assert_eq(first.node.metrics.value(Counter::PrefixesMissing), 1);
     cr_assert_eq(first.believed(), 0);
-    first.call(soon);
+    first.call(cachedPrefillTime);
     cr_assert_eq(first.believed(), 0, "not for a while");
     cr_assert_eq(first.node.prefixes.log.last, logged);
     logPrefix(relay.node.prefixes.log, relay.node.prefixes.log.entries.back().read,
@@ -171,52 +171,52 @@
 {
     Vm first("zone-a", 1);
     Vm relay("zone-a", 2);
-    Vm mate("zone-a", 3);
-    first.call(soon);
+    Vm zonePeer("zone-a", 3);
+    first.call(cachedPrefillTime);
     reportOf(first, relay); // lost
     answerReport(relay.node, reportOf(first, relay)); // its answer is lost
-    const v1::Report early = reportOf(mate, relay);
-    exchange(mate, relay);
-    cr_assert_eq(mate.believed(), 6300);
+    const v1::Report early = reportOf(zonePeer, relay);
+    exchange(zonePeer, relay);
+    cr_assert_eq(zonePeer.believed(), 6300);
     answerReport(relay.node, early); // an older one comes late
-    PeerState &known = mate.node.peers[relay.node.settings.peers];
+    PeerState &known = zonePeer.node.peers[relay.node.settings.peers];
     known.seenPrefix = 1'000'000; // of a log that the relay never had
     recordRead(relay.node.prefixes.table, 7, {{42, 5000}}, BootClock::now());
     logPrefix(relay.node.prefixes.log, {7, {42, 5000}}, PrefixSource::Own, 0, BootClock::now());
-    exchange(mate, relay);
-    cr_assert_eq(cachedPrefixTokens(mate.node.prefixes.table, 7, {{42, 5000}}), 5000);
-    Vm reborn("zone-a", 2);
-    exchange(mate, reborn);
+    exchange(zonePeer, relay);
+    cr_assert_eq(cachedPrefixTokens(zonePeer.node.prefixes.table, 7, {{42, 5000}}), 5000);
+    Vm restarted("zone-a", 2);
+    exchange(zonePeer, restarted);
     cr_assert_eq(known.seenPrefix, 0, "the numbers of the former boot say nothing");
-    reborn.call(soon);
-    exchange(mate, reborn);
-    cr_assert_eq(known.seenPrefix, reborn.node.prefixes.log.last);
+    restarted.call(cachedPrefillTime);
+    exchange(zonePeer, restarted);
+    cr_assert_eq(known.seenPrefix, restarted.node.prefixes.log.last);
 }
 
 // Guards against bad values on the wire that are believed, or that end the VM.
 Test(prefixes, bad_values_are_left_out)
 {
-    PrefixUpdates news;
-    news.reads = {{1, {10, 999}}, {1, {11, 1000}}, {1, {12, 2'000'000'000}}, {2, {13, 5000}}};
-    const v1::PrefixNews told = encodePrefixUpdates(news);
-    const PrefixUpdates taken = decodePrefixUpdates(told);
-    cr_assert_eq(taken.reads.size(), 2);
-    cr_assert_eq(taken.reads[0].prefix.hash, 11);
-    cr_assert_eq(taken.reads[1].engine, 2);
-    news.reads.assign(1000, {3, {14, 5000}});
-    cr_assert_eq(decodePrefixUpdates(encodePrefixUpdates(news)).reads.size(),
+    PrefixUpdates update;
+    update.reads = {{1, {10, 999}}, {1, {11, 1000}}, {1, {12, 2'000'000'000}}, {2, {13, 5000}}};
+    const v1::PrefixNews message = encodePrefixUpdates(update);
+    const PrefixUpdates decoded = decodePrefixUpdates(message);
+    cr_assert_eq(decoded.reads.size(), 2);
+    cr_assert_eq(decoded.reads[0].prefix.hash, 11);
+    cr_assert_eq(decoded.reads[1].engine, 2);
+    update.reads.assign(1000, {3, {14, 5000}});
+    cr_assert_eq(decodePrefixUpdates(encodePrefixUpdates(update)).reads.size(),
                  maxPrefixesPerMessage);
     // Every way of cutting or changing a message can be read.
-    const std::string sound = told.SerializeAsString();
+    const std::string valid = message.SerializeAsString();
     std::mt19937 random(7);
     for (int round = 0; round < 5000; ++round) {
-        std::string bytes = sound.substr(0, random() % (sound.size() + 1));
+        std::string bytes = valid.substr(0, random() % (valid.size() + 1));
         if (!bytes.empty())
             bytes[random() % bytes.size()] = static_cast<char>(random());
-        v1::PrefixNews spoiled;
+        v1::PrefixNews corrupted;
         // What was read before the damage is kept.
-        static_cast<void>(spoiled.ParseFromString(bytes));
-        for (const PrefixRead &read : decodePrefixUpdates(spoiled).reads)
+        static_cast<void>(corrupted.ParseFromString(bytes));
+        for (const PrefixRead &read : decodePrefixUpdates(corrupted).reads)
             cr_assert(read.prefix.tokens >= minReportedTokens);
     }
 }
@@ -241,10 +241,10 @@
             logPrefix(log, {engine, {random(), 6300}}, PrefixSource::Elsewhere, 9, now);
         }
         v1::Digest digest;
-        PrefixUpdates news;
-        news.reads = prefixesFor(log, reader, now);
-        news.change = log.last;
-        *digest.mutable_prefixes() = encodePrefixUpdates(news);
+        PrefixUpdates update;
+        update.reads = prefixesFor(log, reader, now);
+        update.change = log.last;
+        *digest.mutable_prefixes() = encodePrefixUpdates(update);
         bytes += digest.ByteSizeLong();
         reader.seen = log.last;
     }
--- a/libs/gateway/tests/UsageUpdates.cpp
+++ b/libs/gateway/tests/UsageUpdates.cpp
@@ -23,7 +23,7 @@
 }
 
 const GatewaySettings relaySettings = settingsOf("vm-1", {"10.0.0.1", 7380});
-const GatewaySettings mateSettings = settingsOf("vm-2", {"10.0.0.2", 7380});
+const GatewaySettings zonePeerSettings = settingsOf("vm-2", {"10.0.0.2", 7380});
 
 void configure(GatewayNode &node, double ratePerSecond)
 {
@@ -36,7 +36,7 @@
     node.routes = std::make_shared<RouteTable>(std::move(config));
 }
 
-v1::Report reportOfMate(std::uint64_t sequence)
+v1::Report zonePeerReport(std::uint64_t sequence)
 {
     v1::Report report;
     report.mutable_from()->set_name("vm-2");
@@ -48,12 +48,12 @@
     return report;
 }
 
-UsageSnapshot noteOf(int percent)
+UsageSnapshot snapshotOf(int percent)
 {
-    SnapshotEntry noted;
-    noted.percent = percent;
-    noted.units[3] = 700;
-    return {{"ferry", noted}};
+    SnapshotEntry usage;
+    usage.percent = percent;
+    usage.units[3] = 700;
+    return {{"ferry", usage}};
 }
 
 } // namespace
@@ -66,16 +66,16 @@
     relay.spend.writes = true;
     const Instant now = BootClock::now();
     relay.spend.permits = {{{"ferry", 80}}, now - 1s};
-    const v1::Digest digest = answerReport(relay, reportOfMate(1));
-    GatewayNode mate(mateSettings);
-    configure(mate, 1000);
-    cr_assert_eq(allowedShare(mate, "ferry", now), shareWithoutSnapshot);
-    applyUsageUpdates(mate, digest, false, now);
-    cr_assert_eq(allowedShare(mate, "ferry", now), shareWithoutSnapshot,
+    const v1::Digest digest = answerReport(relay, zonePeerReport(1));
+    GatewayNode zonePeer(zonePeerSettings);
+    configure(zonePeer, 1000);
+    cr_assert_eq(allowedShare(zonePeer, "ferry", now), shareWithoutSnapshot);
+    applyUsageUpdates(zonePeer, digest, false, now);
+    cr_assert_eq(allowedShare(zonePeer, "ferry", now), shareWithoutSnapshot,
                  "it is not of its own relay");
-    applyUsageUpdates(mate, digest, true, now);
-    cr_assert_eq(allowedShare(mate, "ferry", now), 0.8);
-    cr_assert_eq(allowedShare(mate, "ferry", now + 1s), shareWithoutSnapshot);
+    applyUsageUpdates(zonePeer, digest, true, now);
+    cr_assert_eq(allowedShare(zonePeer, "ferry", now), 0.8);
+    cr_assert_eq(allowedShare(zonePeer, "ferry", now + 1s), shareWithoutSnapshot);
 }
 
 // Guards against a VM that starts late in a restart of all and counts what the others' new notes
@@ -84,15 +84,15 @@
 {
     GatewayNode first(relaySettings);
     configure(first, 1000);
-    applyStoredSnapshots(first, {noteOf(60)});
-    const v1::Digest digest = answerReport(first, reportOfMate(1));
-    GatewayNode second(mateSettings);
+    applyStoredSnapshots(first, {snapshotOf(60)});
+    const v1::Digest digest = answerReport(first, zonePeerReport(1));
+    GatewayNode second(zonePeerSettings);
     configure(second, 1000);
-    applyStoredSnapshots(second, {noteOf(100)});
+    applyStoredSnapshots(second, {snapshotOf(100)});
     second.spend.atStart.readAt += 500ms;
     applyUsageUpdates(second, digest, false, BootClock::now());
-    cr_assert_eq(second.spend.atStart.zones, std::vector<UsageSnapshot>{noteOf(60)});
-    v1::Report later = reportOfMate(2);
+    cr_assert_eq(second.spend.atStart.zones, std::vector<UsageSnapshot>{snapshotOf(60)});
+    v1::Report later = zonePeerReport(2);
     later.set_known_boot(first.boot);
     cr_assert_not(answerReport(first, later).has_spend(), "told once");
 }
@@ -102,9 +102,9 @@
 {
     GatewayNode node(relaySettings);
     configure(node, 0);
-    applyStoredSnapshots(node, {noteOf(60)});
+    applyStoredSnapshots(node, {snapshotOf(60)});
     node.spend.writes = true;
     node.spend.permits = {{{"ferry", 80}}, BootClock::now()};
-    cr_assert_not(answerReport(node, reportOfMate(1)).has_spend());
+    cr_assert_not(answerReport(node, zonePeerReport(1)).has_spend());
     cr_assert_eq(allowedShare(node, "ferry", BootClock::now()), 1.0);
 }
