--- a/libs/config/include/config/JsonReader.h
+++ b/libs/config/include/config/JsonReader.h
@@ -31,7 +31,7 @@
     std::string optionalText(const Json &object, const std::string &path, const char *key);
     std::vector<std::string> texts(const Json &object, const std::string &path, const char *key);
     double number(const Json &object, const std::string &path, const char *key, double fallback,
-                  double least, double most);
+                  double minimum, double maximum);
     bool boolean(const Json &object, const std::string &path, const char *key, bool fallback);
 
     /** Reads an array of objects under `key`; an absent key is an empty array. */
--- a/libs/config/src/Acceptance.cpp
+++ b/libs/config/src/Acceptance.cpp
@@ -69,8 +69,8 @@
     return dropped;
 }
 
-void complainOfDangers(const Manifest &before, const Manifest &after, std::size_t dropped,
-                       const Publication &publication, std::vector<Problem> &problems)
+void reportDangerousChanges(const Manifest &before, const Manifest &after, std::size_t dropped,
+                            const Publication &publication, std::vector<Problem> &problems)
 {
     const auto sizeBefore = static_cast<double>(before.adapters.size());
     const bool tooMany =
@@ -91,16 +91,16 @@
     }
 }
 
-void judgePublication(AcceptedManifest &state, const ManifestRecord &record,
-                      const Publication &publication, JudgedRecord &judged)
+void evaluatePublication(AcceptedManifest &state, const ManifestRecord &record,
+                         const Publication &publication, JudgedRecord &judged)
 {
     const std::uint64_t bodyHash = stableHash(record.body);
     if (publication.base != state.mark) {
         // An append whose answer was lost is sent again by the pipeline: the same body right after
         // it was accepted is the same publication, not a race of operators.
-        const bool again = bodyHash == state.lastBodyHash;
-        judged.verdict = again ? RecordVerdict::Duplicate : RecordVerdict::Conflict;
-        if (!again)
+        const bool isRepeat = bodyHash == state.lastBodyHash;
+        judged.verdict = isRepeat ? RecordVerdict::Duplicate : RecordVerdict::Conflict;
+        if (!isRepeat)
             judged.problems.push_back(
                 {"/base",
                  "was made from offset " + std::to_string(publication.base.offset)
@@ -130,7 +130,7 @@
     judged.verdict = RecordVerdict::Invalid;
     if (!next.ok())
         return;
-    complainOfDangers(state.manifest, next.value, dropped, publication, judged.problems);
+    reportDangerousChanges(state.manifest, next.value, dropped, publication, judged.problems);
     judged.verdict = RecordVerdict::Dangerous;
     if (!judged.problems.empty())
         return;
@@ -179,7 +179,7 @@
     judged.problems = reader.problems;
     judged.verdict = RecordVerdict::Invalid;
     if (judged.problems.empty())
-        judgePublication(state, record, publication, judged);
+        evaluatePublication(state, record, publication, judged);
     state.readThrough = record.offset;
     judged.mark = state.mark;
     return judged;
--- a/libs/config/src/JsonReader.cpp
+++ b/libs/config/src/JsonReader.cpp
@@ -121,17 +121,17 @@
 }
 
 double JsonReader::number(const Json &object, const std::string &path, const char *key,
-                          double fallback, double least, double most)
+                          double fallback, double minimum, double maximum)
 {
     if (!object.contains(key))
         return fallback;
     const Json &value = object[key];
     const bool inRange =
-        value.is_number() && value.get<double>() >= least && value.get<double>() <= most;
+        value.is_number() && value.get<double>() >= minimum && value.get<double>() <= maximum;
     if (inRange)
         return value.get<double>();
-    const Json low = least;
-    const Json high = most;
+    const Json low = minimum;
+    const Json high = maximum;
     this->complain(path + "/" + key, "is not a number from " + low.dump() + " to " + high.dump(),
                    "give a number in that range");
     return fallback;
--- a/libs/config/src/Manifest.cpp
+++ b/libs/config/src/Manifest.cpp
@@ -96,7 +96,7 @@
 }
 
 template <typename T>
-void complainOfTwins(JsonReader &reader, const std::vector<T> &items, const std::string &path)
+void reportDuplicates(JsonReader &reader, const std::vector<T> &items, const std::string &path)
 {
     std::set<std::string> seen;
     for (std::size_t index = 0; index < items.size(); ++index) {
@@ -124,15 +124,15 @@
         head.baseModels = reader.texts(root, "", "baseModels");
     if (root.contains("services")) {
         head.services = reader.items<Service>(root, "services", readService);
-        complainOfTwins(reader, head.services, "/services");
+        reportDuplicates(reader, head.services, "/services");
     }
     if (root.contains("plainServices")) {
         head.plainServices = reader.items<PlainService>(root, "plainServices", readPlainService);
-        complainOfTwins(reader, head.plainServices, "/plainServices");
+        reportDuplicates(reader, head.plainServices, "/plainServices");
     }
     if (root.contains("targets")) {
         head.targets = reader.items<TargetDeclaration>(root, "targets", readTarget);
-        complainOfTwins(reader, head.targets, "/targets");
+        reportDuplicates(reader, head.targets, "/targets");
     }
     if (root.contains("weights") && reader.isObject(root["weights"], "/weights"))
         head.weights = readWeights(reader, root["weights"], "/weights");
@@ -172,8 +172,8 @@
 
 // Two names with one 64-bit id would let a request reach its neighbour's adapter. It is rare
 // beyond seeing, so it is refused here rather than guarded everywhere.
-void complainOfCollisions(JsonReader &reader, const std::vector<AdapterEntry> &entries,
-                          const std::string &path)
+void reportIdCollisions(JsonReader &reader, const std::vector<AdapterEntry> &entries,
+                        const std::string &path)
 {
     std::unordered_set<AdapterId> seen;
     seen.reserve(entries.size());
@@ -186,8 +186,8 @@
     }
 }
 
-void complainOfBaseModels(JsonReader &reader, const std::vector<AdapterEntry> &entries,
-                          const std::string &path, const ManifestHead &head)
+void reportUnknownBaseModels(JsonReader &reader, const std::vector<AdapterEntry> &entries,
+                             const std::string &path, const ManifestHead &head)
 {
     for (std::size_t index = 0; index < entries.size(); ++index) {
         const std::string &model = entries[index].baseModel;
@@ -274,8 +274,8 @@
         readHeadParts(reader, root, parsed.value.head);
         checkHead(reader, parsed.value.head);
         const auto adapters = reader.items<AdapterEntry>(root, "adapters", readAdapter);
-        complainOfCollisions(reader, adapters, "/adapters");
-        complainOfBaseModels(reader, adapters, "/adapters", parsed.value.head);
+        reportIdCollisions(reader, adapters, "/adapters");
+        reportUnknownBaseModels(reader, adapters, "/adapters", parsed.value.head);
         if (reader.problems.empty())
             parsed.value.adapters = AdapterTable::of(adapters);
     }
@@ -291,7 +291,7 @@
     if (reader.problems.empty()) {
         reader.onlyKeys(root, "", {"putAdapters", "removeAdapters", "head"});
         parsed.value.put = reader.items<AdapterEntry>(root, "putAdapters", readAdapter);
-        complainOfCollisions(reader, parsed.value.put, "/putAdapters");
+        reportIdCollisions(reader, parsed.value.put, "/putAdapters");
         const std::vector<std::string> removed = reader.texts(root, "", "removeAdapters");
         for (std::size_t index = 0; index < removed.size(); ++index) {
             AdapterRef ref = parseAdapterRef(removed[index]);
@@ -320,18 +320,18 @@
                          "loadsPerSecond", "maxDroppedAdapterShare"});
         readHeadParts(reader, patch, changed.head);
         checkHead(reader, changed.head);
-        const bool dropsModel =
+        const bool removesModel =
             std::any_of(manifest.head.baseModels.begin(), manifest.head.baseModels.end(),
                         [&changed](const std::string &model) {
                             return std::find(changed.head.baseModels.begin(),
                                              changed.head.baseModels.end(), model)
                                 == changed.head.baseModels.end();
                         });
-        if (dropsModel)
+        if (removesModel)
             reader.complain("/head/baseModels", "drops a base model",
                             "publish a whole manifest to drop a base model");
     }
-    complainOfBaseModels(reader, delta.put, "/putAdapters", changed.head);
+    reportUnknownBaseModels(reader, delta.put, "/putAdapters", changed.head);
     for (std::size_t index = 0; index < delta.remove.size(); ++index) {
         const AdapterId id = delta.remove[index].id();
         if (changed.adapters.find(id) == nullptr) {
@@ -343,10 +343,10 @@
         changed.adapters = changed.adapters.without(id);
     }
     for (const AdapterEntry &entry : delta.put) {
-        const AdapterEntry *twin = changed.adapters.find(entry.ref.id());
-        if (twin != nullptr && twin->ref != entry.ref)
+        const AdapterEntry *existing = changed.adapters.find(entry.ref.id());
+        if (existing != nullptr && existing->ref != entry.ref)
             reader.complain("/putAdapters",
-                            "'" + entry.ref.text() + "' shares its id with '" + twin->ref.text()
+                            "'" + entry.ref.text() + "' shares its id with '" + existing->ref.text()
                                 + "'",
                             "rename it");
         changed.adapters = changed.adapters.with(entry);
--- a/libs/config/src/Settings.cpp
+++ b/libs/config/src/Settings.cpp
@@ -24,10 +24,10 @@
     return endpoint;
 }
 
-int readInt(JsonReader &reader, const Json &root, const char *key, int fallback, int least,
-            int most)
+int readInt(JsonReader &reader, const Json &root, const char *key, int fallback, int minimum,
+            int maximum)
 {
-    return static_cast<int>(reader.number(root, "", key, fallback, least, most));
+    return static_cast<int>(reader.number(root, "", key, fallback, minimum, maximum));
 }
 
 std::string readChoice(JsonReader &reader, const Json &root, const char *key,
