--- a/libs/observe/src/Metrics.cpp
+++ b/libs/observe/src/Metrics.cpp
@@ -19,11 +19,11 @@
 constexpr std::size_t timingCount = static_cast<std::size_t>(Timing::Count);
 constexpr std::size_t counterCount = static_cast<std::size_t>(Counter::Count);
 constexpr unsigned binCount = 96;
-constexpr double leastSeconds = 1e-5;
-constexpr double mostSeconds = 1e3;
+constexpr double minSeconds = 1e-5;
+constexpr double maxSeconds = 1e3;
 
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
-using Histogram = decltype(bh::make_histogram(Axis(binCount, leastSeconds, mostSeconds)));
+using Histogram = decltype(bh::make_histogram(Axis(binCount, minSeconds, maxSeconds)));
 
 constexpr std::array<std::string_view, counterCount> counterNames{"requests_received",
                                                                   "requests_answered",
@@ -96,7 +96,7 @@
 
 struct Merged
 {
-    Histogram histogram = bh::make_histogram(Axis(binCount, leastSeconds, mostSeconds));
+    Histogram histogram = bh::make_histogram(Axis(binCount, minSeconds, maxSeconds));
     double sum = 0;
 };
 
@@ -107,12 +107,12 @@
 
 double quantile(const Histogram &histogram, double share)
 {
-    const double wanted = share * static_cast<double>(countOf(histogram));
+    const double rank = share * static_cast<double>(countOf(histogram));
     double seen = 0;
     for (auto &&cell : bh::indexed(histogram, bh::coverage::all)) {
         seen += static_cast<double>(*cell);
-        if (seen >= wanted && seen > 0)
-            return std::isfinite(cell.bin(0).upper()) ? cell.bin(0).upper() : mostSeconds;
+        if (seen >= rank && seen > 0)
+            return std::isfinite(cell.bin(0).upper()) ? cell.bin(0).upper() : maxSeconds;
     }
     return 0;
 }
@@ -140,8 +140,7 @@
 {
     for (Shard &shard : this->impl->shards) {
         for (std::size_t timing = 0; timing < timingCount; ++timing)
-            shard.histograms.push_back(
-                bh::make_histogram(Axis(binCount, leastSeconds, mostSeconds)));
+            shard.histograms.push_back(bh::make_histogram(Axis(binCount, minSeconds, maxSeconds)));
     }
 }
 
