--- a/libs/gateway/include/gateway/Gateway.h
+++ b/libs/gateway/include/gateway/Gateway.h
@@ -10,12 +10,12 @@
 /** How a graceful shutdown ended. */
 struct GatewayShutdown
 {
-    int abortedCalls = 0; ///< ended by the limit of the shutdown
+    int abortedCalls = 0; ///< still running when the shutdown limit was reached
 
     bool operator==(const GatewayShutdown &) const = default;
 };
 
-/** Ports in use; they differ from the settings where those asked for port 0. */
+/** Ports that the gateway listens on; they differ from the settings where those name port 0. */
 struct GatewayPorts
 {
     std::uint16_t callers = 0;
@@ -26,11 +26,11 @@
     auto operator<=>(const GatewayPorts &) const = default;
 };
 
-/** One gateway: takes callers' calls and sends each to a target that can run it. */
+/** Accepts calls from callers and sends each one to a target that can serve it. */
 class Gateway
 {
 public:
-    /** Throws std::system_error if an address cannot be listened on. */
+    /** Throws std::system_error if it cannot listen on an address. */
     explicit Gateway(const GatewaySettings &settings);
     ~Gateway();
 
@@ -39,13 +39,13 @@
 
     GatewayPorts ports() const;
 
-    /** Serves on the calling thread until a shutdown has ended. */
+    /** Serves on the calling thread until a shutdown is complete. */
     GatewayShutdown run();
 
-    /** Thread-safe. Refuses new work, finishes what runs, then ends run(). */
+    /** Thread-safe. Finishes calls in flight, refuses new ones, then makes run() return. */
     void requestShutdown();
 
-    /** Thread-safe. Takes settings that may change while it runs; the addresses stay. */
+    /** Thread-safe. Applies the settings that may change at run time; addresses do not change. */
     void reload(const GatewaySettings &settings);
 
 private:
--- a/libs/gateway/include/gateway/GatewaySettings.h
+++ b/libs/gateway/include/gateway/GatewaySettings.h
@@ -16,42 +16,46 @@
 
 namespace monsoonbay {
 
-/** Settings of a daemon that serves as a gateway on a platform with a metadata store. */
+/** Settings of a gateway daemon on a platform that has a metadata store. */
 struct GatewaySettings
 {
     std::string vm;
     std::string zone;
-    double capacity = 1; ///< cores of this VM; the strongest VM of a zone relays
-    std::string platform; ///< name of the plug-in that speaks the platform's protocols
+    double capacity = 1; ///< cores of this VM; the VM with the most cores is its zone's relay
+    std::string platform; ///< name of the plug-in that implements the platform's protocols
     Endpoint callers;
     Endpoint readiness;
     Endpoint operators;
-    Endpoint peers; ///< where other VMs reach this one
-    std::optional<Endpoint> peersListen; ///< where it listens for them, if not there
-    /** Where it takes calls that other VMs forward; these do so at the same port. Nothing: none. */
+    Endpoint peers; ///< address at which other VMs reach this one
+    std::optional<Endpoint> peersListen; ///< listening address, where it differs from `peers`
+    /**
+     * Listening address for calls that other VMs forward; all VMs use the same port. Nothing: this
+     * VM takes no forwarded calls.
+     */
     std::optional<Endpoint> forwards;
     bool firstStart = false; ///< the whole system starts for the first time
-    std::vector<Endpoint> seeds; ///< peers to begin with
+    std::vector<Endpoint> seeds; ///< peers known at the start
     Endpoint store; ///< the platform's metadata store
-    int partitions = 12; ///< of a topic of the store
-    Duration heartbeat = std::chrono::milliseconds(1200); ///< of targets in the list
+    int partitions = 12; ///< partitions of a topic of the store
+    Duration heartbeat = std::chrono::milliseconds(1200); ///< interval of the targets' heartbeats
     Duration shutdownLimit = std::chrono::seconds(7);
     RetryPolicy retries;
     AccessPolicy access;
     QuotaPolicy quota;
-    bool quotaGiven = false; ///< then use is noted in the store; see quota/UsageSnapshot.h
+    bool quotaGiven =
+        false; ///< then usage snapshots are kept in the store; see quota/UsageSnapshot.h
     LeaseTiming lease;
     EngineWeights weights;
     PlacementSettings placement;
-    int logLinesPerSecond = 40; ///< of one kind of event
+    int logLinesPerSecond = 40; ///< limit for each kind of event
 
     bool operator==(const GatewaySettings &) const = default;
 };
 
-/** Reads settings; unknown keys are problems that name the nearest known one. */
+/** Parses settings; each unknown key is a problem that names the most similar known key. */
 Parsed<GatewaySettings> parseGatewaySettings(std::string_view json);
 
-/** True if the text is settings of a gateway rather than of an entry VM with owners. */
+/** True if the text holds settings of a gateway, not those of the daemon with adapter owners. */
 bool isGatewaySettings(std::string_view json);
 
 } // namespace monsoonbay
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -26,7 +26,7 @@
 using RequestHead = boost::beast::http::request_header<>;
 using ResponseHead = boost::beast::http::response_header<>;
 
-/** Another VM of the system, as it made itself known in the store. */
+/** Another VM of the system, as it is registered in the store. */
 struct PlatformVm
 {
     std::string name;
@@ -37,62 +37,63 @@
     auto operator<=>(const PlatformVm &) const = default;
 };
 
-/** What a VM keeps in the store for its next boot. */
+/** What a VM persists in the store for its next boot. */
 struct OwnRecord
 {
-    std::int64_t bootCount = 0; ///< boots so far
+    std::int64_t bootCount = 0; ///< number of boots so far
 
     auto operator<=>(const OwnRecord &) const = default;
 };
 
-/** What a configuration document holds, as far as it matters to whoever reads the store. */
+/** Properties of a configuration document that the reader of the store needs. */
 struct ConfigFacts
 {
     std::int64_t version = 0;
-    bool hasKeys = false; ///< calls need keys
+    bool hasKeys = false; ///< calls need API keys
 
     auto operator<=>(const ConfigFacts &) const = default;
 };
 
-/** What the platform's feeds tell the gateway. All are called on the gateway's thread. */
+/** Callbacks for what the platform's feeds deliver. All run on the gateway's thread. */
 struct PlatformSink
 {
-    /** A configuration document; nothing if it cannot be read. */
+    /** A configuration document was read; returns nothing if it cannot be parsed. */
     std::function<asio::awaitable<std::optional<ConfigFacts>>(std::string document)> config;
-    /** A read that began then found no configuration newer than that version. */
+    /** A read that began at `readBegan` found no configuration newer than `version`. */
     std::function<void(std::int64_t version, Instant readBegan)> configConfirmed;
     std::function<void(std::string adapter, std::int64_t version)> adapterVersion;
-    std::function<void()> listRead; ///< before the changes of each read of the list
+    std::function<void()> listRead; ///< the target list was read; its changes follow
     std::function<void(TargetEntry)> target;
     std::function<void(std::string id)> targetRemoved;
-    /** Also the ids whose entries cannot be read: these are there, but tell nothing. */
+    /** The complete list, and the ids whose entries exist but cannot be parsed. */
     std::function<void(std::vector<TargetEntry>, const std::vector<std::string> &)> wholeList;
-    /** A document that is not as the platform writes it; `key` names it. */
+    /** The document stored under `key` does not have the platform's format. */
     std::function<void(std::string_view what, const std::string &key)> unreadable;
     std::function<void()> listFailed; ///< an attempt to read the list failed
     std::function<void(PlatformVm)> peer; ///< another VM of the system
-    /** Before the first `peersRead`, unless a note cannot be read. */
+    /** Usage snapshots; called before the first `peersRead` unless one cannot be read. */
     std::function<void(std::vector<UsageSnapshot>)> spendNotes;
-    std::function<void()> peersRead; ///< all VMs in the store's list have been told
-    /** True while this VM is to read configuration and targets. */
+    std::function<void()> peersRead; ///< `peer` was called for all VMs in the store's list
+    /** True while this VM should read the configuration and the target list. */
     std::function<bool()> isReading;
-    /** The same for the list of targets, which a VM also reads that is told of it late. */
+    /** The same for the target list alone; a VM also reads it when its relay reports it late. */
     std::function<bool()> isReadingList;
-    /** True if relays of other zones are heard who would tell what this VM reads late. */
+    /** True if relays of other zones are reachable, which report what this VM reads late. */
     std::function<bool()> hasBackupRelays;
-    /** What this VM has noted in the store, this boot counted. */
+    /** This VM's own record in the store; its boot count includes the current boot. */
     std::function<void(OwnRecord)> ownRecord;
     std::function<void(bool reachable, std::string why)> storeReachable;
 };
 
-/** An order to load or unload an adapter. */
+/** A command to load or unload an adapter or, without an adapter, a base model. */
 struct EngineCommand
 {
     bool load = true;
     std::string model;
     std::string adapter; ///< name without the model
     std::int64_t version = 0; ///< to load; 0: the newest
-    std::int64_t expectedSequence = -1; ///< refused if the engine counts otherwise; below 0: any
+    /** The engine refuses the command if its sequence differs; below 0: not checked. */
+    std::int64_t expectedSequence = -1;
     std::string holder;
     std::int64_t token = 0;
 
@@ -100,17 +101,17 @@
 };
 
 enum class CommandOutcome : std::uint8_t {
-    Accepted, ///< it is being carried out
-    Holds, ///< it was so already, or was done at once
-    Busy, ///< another order is in progress, or the sequence differs
-    Stale, ///< the engine knows a newer holder
+    Accepted, ///< the engine is executing it
+    Holds, ///< there was nothing to do, or it was done at once
+    Busy, ///< another command is in progress, or the sequence differs
+    Stale, ///< the engine has seen the token of a newer lease holder
     Invalid, ///< there is no such model, adapter or version
-    Gone, ///< another target has the address
-    NotSent, ///< certainly not received
-    Unknown, ///< may be carried out, now or seconds later
+    Gone, ///< another target uses the address
+    NotSent, ///< certainly not received by the engine
+    Unknown, ///< may be executed, now or seconds later
 };
 
-/** Where an engine is reached. */
+/** Network address of an engine. */
 struct EngineAddress
 {
     std::string id;
@@ -119,7 +120,7 @@
     auto operator<=>(const EngineAddress &) const = default;
 };
 
-/** Renewal of a lease: no grant if the store did not answer it. */
+/** Request to renew a lease; there is no grant if the store does not answer it. */
 struct LeaseRenewal
 {
     std::string group;
@@ -130,27 +131,27 @@
     auto operator<=>(const LeaseRenewal &) const = default;
 };
 
-/** Partitions that this VM notes it orders. */
+/** Partitions for which this VM records in the store that it is the lease holder. */
 struct HolderClaims
 {
     std::vector<int> partitions;
     std::int64_t generation = 0;
-    std::uint64_t end = 0; ///< of the read that they rest on
+    std::uint64_t end = 0; ///< position of the read that they are based on
 
     auto operator<=>(const HolderClaims &) const = default;
 };
 
-/** All that the gateway needs of a platform; a plug-in fills it in. */
+/** The interface to a platform, implemented by a plug-in. */
 struct PlatformPort
 {
     std::string_view name;
 
-    // What callers and targets speak.
+    // Headers of calls and answers.
     CallMetadata (*readCall)(const RequestHead &);
     void (*writeSend)(RequestHead &, const SendMetadata &);
     AnswerMetadata (*readAnswer)(int status, const ResponseHead &);
 
-    // Feeds; each runs until the context stops.
+    // Feeds; `follow` runs until the context stops.
     asio::awaitable<void> (*follow)(HttpClient &, const GatewaySettings &, PlatformSink);
     bool (*readConfig)(std::string_view document, ServingConfig &);
 
@@ -162,19 +163,22 @@
     asio::awaitable<std::optional<LeaseGrant>> (*renew)(HttpClient &, const GatewaySettings &,
                                                         LeaseRenewal, Duration);
     asio::awaitable<void> (*leave)(HttpClient &, const GatewaySettings &, LeaseRenewal, Duration);
-    /** Reads who noted last, by partition of the zone, that it orders the engines there. */
+    /** Reads, for each partition of the zone, which VM recorded itself last as lease holder. */
     asio::awaitable<std::optional<HolderRecords>> (*readHolderClaims)(HttpClient &,
                                                                       const GatewaySettings &);
-    /** Notes that this VM does; only if no note was added since that read. True if it was added. */
+    /**
+     * Records this VM as lease holder, unless another record was added since that read. True if it
+     * was added.
+     */
     asio::awaitable<bool> (*recordHolderClaims)(HttpClient &, const GatewaySettings &,
                                                 HolderClaims);
 
-    /** Replaces the spend note of this VM's zone; true if the store acknowledged it. */
+    /** Replaces the usage snapshot of this VM's zone; true if the store acknowledged it. */
     asio::awaitable<bool> (*writeUsageSnapshot)(HttpClient &, const GatewaySettings &,
                                                 UsageSnapshot);
 };
 
-/** Makes a platform known under its name; called by plug-ins before main. */
+/** Registers a platform under its name; called by plug-ins before main. */
 void registerPlatform(const PlatformPort &port);
 
 /** Null if no platform has that name. */
--- a/libs/gateway/src/ConfigDecoding.cpp
+++ b/libs/gateway/src/ConfigDecoding.cpp
@@ -49,7 +49,7 @@
     if (!decoded.routes)
         return std::nullopt;
     const std::int64_t version = decoded.routes->config().version;
-    // It is not put in force, and packing takes as long as reading.
+    // An old version is not applied; packing it would cost as much time as parsing.
     if (version <= base.version)
         return decoded;
     decoded.whole = packDocument(version, document);
@@ -58,8 +58,8 @@
     return decoded;
 }
 
-// A document of 1 MB takes 0.3 s of a VM with an eighth of a core. Decoded on the gateway's thread,
-// it keeps callers and other VMs waiting for all of that time.
+// Decoding a document of 1 MB takes 0.3 s on a VM with an eighth of a core. On the gateway's thread
+// it would block callers and other VMs for all of that time.
 asio::awaitable<std::optional<DecodedConfig>> decodeAside(GatewayNode &node, ConfigDecode decode)
 {
     if (!node.decoding)
--- a/libs/gateway/src/ConfigDownload.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -14,18 +14,18 @@
 
 namespace v1 = gateway::v1;
 
-/** For a part: 16 KB come in 13 ms over 10 Mbit/s, and within this over 0.3 Mbit/s. */
+/** For one part: 16 KB take 13 ms over 10 Mbit/s, and arrive in this time over 0.3 Mbit/s. */
 constexpr Duration partTimeout = std::chrono::milliseconds(500);
-/** After a failed read, and twice that after each further one. */
+/** Delay after a failed read; it doubles with each further failure. */
 constexpr Duration firstRetry = std::chrono::milliseconds(100);
 constexpr int maxRetryDoublings = 4;
-/** Before a VM that is still reading is asked for more; it gets some parts in this time. */
+/** Delay before asking a VM again that is still downloading; it receives some parts meanwhile. */
 constexpr Duration sourceRecheckDelay = std::chrono::milliseconds(20);
-/** A VM that has got no more in this time has lost its own source. */
+/** A source that has received nothing more in this time has lost its own source. */
 constexpr Duration maxSourceStall = std::chrono::milliseconds(300);
-/** Shorter ones take less of a link than the questions of VMs that would be sent on. */
+/** A document up to this size costs less bandwidth than the requests of redirected VMs. */
 constexpr std::uint64_t smallDocument = 4096;
-/** Offers wake the loop; this only bounds what a lost one costs. */
+/** The loop is woken by offers; this limits the delay when an offer is lost. */
 constexpr Duration maxOfferWait = std::chrono::seconds(1);
 
 bool offersNewer(const GatewayNode &node, const PeerState &peer)
@@ -33,7 +33,10 @@
     return mayReplace(node.routes->config().version, peer.configVersion);
 }
 
-/** Mates first, as bytes between zones are paid for; then strong VMs, whose links carry more. */
+/**
+ * Zone peers come first, as traffic between zones is charged; then VMs with more cores, whose links
+ * have more bandwidth.
+ */
 bool isPreferredSource(const GatewayNode &node, const PeerState &left, const PeerState &right)
 {
     const bool leftIsZonePeer = left.zone == node.settings.zone;
@@ -98,7 +101,10 @@
     return message;
 }
 
-/** The source gives nothing: others are asked, and not to be sent on to one like it again. */
+/**
+ * The source sends nothing: backs off from it. If it was reached by a redirect, other peers are
+ * asked not to redirect again.
+ */
 void abandonSource(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
 {
     ConfigDownload &reading = node.configDownload;
@@ -122,7 +128,7 @@
     const std::string from = "peer " + peer.name;
     if (!decoded) {
         logEvent(EventId::DocumentUnreadable, {{"what", "configuration"}, {"source", from}});
-        recordReadFailure(node, peer, "it cannot be read", took);
+        recordReadFailure(node, peer, "it cannot be decoded", took);
         return;
     }
     applyConfig(node, std::move(*decoded), from);
@@ -143,7 +149,8 @@
     applyDownloadedConfig(node, source, std::move(decoded), readAt);
 }
 
-// The parts stay where they are until it is in force: VMs that read from this one go on meanwhile.
+// The parts are kept until the configuration is in force, as VMs that download from this one still
+// read them.
 void startDecoding(GatewayNode &node, const Endpoint &source)
 {
     ConfigDownload &reading = node.configDownload;
@@ -158,7 +165,7 @@
         applyDownloadedConfig(node, source, decode(), BootClock::now());
 }
 
-/** Has the next part asked of the VM that `answer` names. */
+/** Follows a redirect: the next part is requested from the VM that `answer` names. */
 void followRedirect(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
 {
     ConfigDownload &reading = node.configDownload;
@@ -176,7 +183,10 @@
     reading.lastProgressAt = BootClock::now();
 }
 
-/** The store may have given a newer one meanwhile, or another than the changes are of. */
+/**
+ * False if the configuration in force is as new by now, or is not the one that the delta is based
+ * on: the store may have delivered another one meanwhile.
+ */
 bool isUsable(const GatewayNode &node, const PackedDocument &packed)
 {
     const bool fits = packed.baseDigest == 0 || packed.baseDigest == node.config.newest.digest;
@@ -225,7 +235,7 @@
 
 namespace {
 
-/** What this VM has of the configuration that the asker has a part of. */
+/** The next part of the configuration that the asker has begun to download. */
 std::optional<DocumentPart> nextPart(GatewayNode &node, const PartRequest &wanted, Instant now)
 {
     if (wanted.version == 0)
@@ -240,7 +250,10 @@
     return partOf(soFar, wanted.offset, wanted.maxBytes);
 }
 
-/** The first part of the newest that this VM has, or is reading; nothing: the asker can't use it.*/
+/**
+ * The first part of the newest configuration that this VM has or is downloading; nothing: it is a
+ * delta to a configuration that the asker does not have.
+ */
 std::optional<DocumentPart> firstPart(GatewayNode &node, const PartRequest &wanted,
                                       std::int64_t expected, Instant now)
 {
@@ -255,7 +268,7 @@
     if (expected > node.config.newest.version) {
         DocumentPart later;
         later.version = expected;
-        later.totalBytes = 1; // not known yet, but there will be some
+        later.totalBytes = 1; // not known yet, but not empty
         return later;
     }
     PartRequest newest = wanted;
@@ -321,7 +334,7 @@
 void applyConfigPart(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
 {
     ConfigDownload &reading = node.configDownload;
-    // A VM that was started anew may know less than it told before.
+    // A VM that has restarted may have an older configuration than the one it reported before.
     if (!mayReplace(node.routes->config().version, answer.version())) {
         reading.redirectFailed = reading.redirectFailed || reading.expected != 0;
         reading.expected = 0;
@@ -349,16 +362,17 @@
         return;
     case PartOutcome::Later:
         if (now - reading.lastProgressAt > maxSourceStall)
-            abandonSource(node, peer, "it has no more of it yet", now - reading.lastProgressAt);
+            abandonSource(node, peer, "it has received no further parts itself",
+                          now - reading.lastProgressAt);
         return;
     case PartOutcome::Useless:
-        abandonSource(node, peer, "its part does not go on where the last one ended", {});
+        abandonSource(node, peer, "its part does not continue where the last one ended", {});
         return;
     }
 }
 
-// The peer that the last part came from goes on: another one may have a newer version only, and the
-// parts so far would be of no use.
+// Stays with the peer that sent the last part: another one may have only a newer version, and the
+// parts received so far would be lost.
 const PeerState *chooseConfigSource(const GatewayNode &node, Instant now)
 {
     const PeerState *best = nullptr;
@@ -373,11 +387,12 @@
     return best;
 }
 
-// Symptom without a way of its own for the configuration: with 4,250 routes (1 MB) 64 of 70 VMs
-// went on with a replaced one, and of their calls 42 in 100 were late, refused or failed, 1 in 100
-// before. The answer to an exchange carried it whole; over 10 Mbit/s it took longer than an
-// exchange may, was dropped, and begun anew with the next, with all other news in it. Parts that
-// have come stay, so its length costs time only.
+// The configuration has an RPC of its own. When the answer to an exchange carried it whole, a
+// document with 4,250 routes (1 MB) took longer over 10 Mbit/s than an exchange may take: it was
+// dropped and restarted with each exchange, together with all other state updates in it. 64 of 70
+// VMs kept using a replaced configuration, and 42 in 100 of their calls were late, refused or
+// failed (1 in 100 before). Here the parts received so far are kept, so a longer document only
+// takes longer.
 asio::awaitable<void> readConfigLoop(GatewayNode &node)
 {
     while (!node.stopped) {
--- a/libs/gateway/src/ConfigDownload.h
+++ b/libs/gateway/src/ConfigDownload.h
@@ -5,26 +5,26 @@
 
 namespace monsoonbay {
 
-/** The part of this VM's configuration that another VM asks for. */
+/** Answers another VM's request for a part of this VM's configuration. */
 gateway::v1::ConfigPart answerConfigRequest(GatewayNode &node,
                                             const gateway::v1::ConfigRequest &request);
 
-/** A peer says that it has this version in force. */
+/** Records that a peer has this version in force. */
 void recordConfigOffer(GatewayNode &node, PeerState &peer, std::int64_t version);
 
-/** True if another VM has a newer configuration than this one. */
+/** True if a peer has reported a newer configuration than this VM's. */
 bool isNewerConfigOffered(const GatewayNode &node);
 
-/** What to ask a peer for next. */
+/** The next request to send to a peer. */
 gateway::v1::ConfigRequest nextConfigRequest(const GatewayNode &node);
 
-/** Adds a part that a peer sent; the last one has the configuration decoded and put in force. */
+/** Adds a part that a peer sent. After the last one, the configuration is decoded and applied. */
 void applyConfigPart(GatewayNode &node, PeerState &peer, const gateway::v1::ConfigPart &answer);
 
-/** The peer to read from next; null: none that may be asked now has a newer configuration. */
+/** The peer to download from; null: no peer with a newer configuration may be asked now. */
 const PeerState *chooseConfigSource(const GatewayNode &node, Instant now);
 
-/** Reads the configuration from peers that have a newer one. */
+/** Downloads newer configurations from peers for as long as the gateway runs. */
 asio::awaitable<void> readConfigLoop(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/ConfigReaders.cpp
+++ b/libs/gateway/src/ConfigReaders.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** Two make the ways to all VMs of a zone short, and take little of one link at a time. */
+/** With two, all VMs of a zone are a few hops away, and one link carries little at a time. */
 constexpr std::size_t maxActiveReaders = 2;
-/** A reader that goes on asks within some 100 ms; one that has not in this time reads no more. */
+/** An active reader asks again within some 100 ms; one silent for longer than this has stopped. */
 constexpr Duration readerTimeout = std::chrono::milliseconds(1000);
 
 bool isActive(const ConfigReader &reader, Instant now)
@@ -30,7 +30,7 @@
     return found == readers.served.end() ? nullptr : &*found;
 }
 
-/** One that reads here, or has read to the end; nothing if there is none. */
+/** Another reader of the asker's zone, active or done; nothing if there is none. */
 std::optional<Endpoint> nextRedirectTarget(ConfigReaders &readers, const ConfigPartRequest &ask,
                                            Instant now)
 {
--- a/libs/gateway/src/ConfigReaders.h
+++ b/libs/gateway/src/ConfigReaders.h
@@ -11,47 +11,50 @@
 
 namespace monsoonbay {
 
-/** A VM that reads the configuration from this one. */
+/** A VM that downloads the configuration from this one. */
 struct ConfigReader
 {
     Endpoint vm;
     std::string zone;
-    Instant askedAt{}; ///< last
-    bool done = false; ///< it was given the last part
+    Instant askedAt{}; ///< time of its latest request
+    bool done = false; ///< the last part was sent to it
 
     auto operator<=>(const ConfigReader &) const = default;
 };
 
 /**
- * Who reads a version of the configuration from this VM.
+ * The VMs that download one version of the configuration from this VM.
  *
- * A VM serves a few readers at once, and sends the others on to these: they pass on what they have,
- * also while they still read. So a version reaches all VMs of a zone over many links in a few
- * steps, and not over the one link of the VM that had it first.
+ * A VM serves a few readers at a time and redirects the others to these, which pass on the parts
+ * that they have even while they are still downloading. So a version reaches all VMs of a zone in a
+ * few hops over many links, and not over the one link of the VM that had it first.
  */
 struct ConfigReaders
 {
     std::int64_t version = 0;
     std::vector<ConfigReader> served;
-    std::size_t nextRedirect = 0; ///< index in `served`; readers are sent on by turns
+    std::size_t nextRedirect = 0; ///< index in `served`; redirects are distributed round robin
 };
 
-/** A VM asks for a part. */
+/** A VM's request for a part, as far as it decides who serves it. */
 struct ConfigPartRequest
 {
     Endpoint reader;
     std::string zone;
-    std::int64_t version = 0; ///< that it would be given
-    bool noRedirect = false; ///< it was sent on before, and got nothing there
+    std::int64_t version = 0; ///< version that it would be sent
+    bool noRedirect = false; ///< it was redirected before, and got nothing there
 
     auto operator<=>(const ConfigPartRequest &) const = default;
 };
 
-/** The VM of its zone that a reader is to ask instead; nothing: it is served here, and noted. */
+/**
+ * The VM of its own zone that a reader is redirected to; nothing: it is served here, and recorded
+ * in `readers`.
+ */
 std::optional<Endpoint> redirectFor(ConfigReaders &readers, const ConfigPartRequest &ask,
                                     Instant now);
 
-/** A reader that is served here has been given a part; `last`: it has all now. */
+/** Records that a reader served here was sent a part; `last`: it has the whole document now. */
 void recordPartSent(ConfigReaders &readers, const ConfigPartRequest &ask, bool last, Instant now);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/** Relays of other zones that have to be heard, so that news this VM reads late reaches it. */
+/** Relays of other zones that have to be reachable to report in time what this VM reads late. */
 constexpr int minBackupRelays = 2;
 
-/** An entry without what changes all the time; the holder of an engine tells that. */
+/** An entry without its adapters: they change often, and the engine's lease holder reports them. */
 TargetEntry withoutAdapters(TargetEntry entry)
 {
     entry.adapters.clear();
@@ -28,8 +28,8 @@
 
 constexpr Duration sweepInterval = std::chrono::milliseconds(200);
 
-// All VMs of a large zone may hear of the list late at once, and their reads would hold it up more:
-// together they read about as often as one relay does.
+// In a large zone, all VMs may notice at the same time that the list is late, and their reads would
+// delay it further. This limits them: together they read about as often as one relay does.
 bool readsListItself(const GatewayNode &node, Instant now)
 {
     if (!isListStale(node.targetTable, now))
@@ -45,12 +45,13 @@
         return;
     const auto known = node.targetTable.records.find(id);
     const bool wasLeaving = known != node.targetTable.records.end() && known->second.entry.leaving;
-    // An older entry may be read after another VM's word, and must not be told on in its place.
+    // An older entry may be read after a peer reported that the target leaves. It must not replace
+    // that report, here or at the VMs that this one reports to.
     entry.leaving = entry.leaving || wasLeaving;
     const bool leaving = entry.leaving;
     const bool isNew = known == node.targetTable.records.end();
     TargetRuntime &runtime = runtimeOf(node, id);
-    // What the list says of an engine lags; the VM that orders it tells better.
+    // The list lags behind what the engine's lease holder reports.
     if (node.shared.engines.find(id) == nullptr) {
         ResidentVersions resident;
         for (const HeldAdapter &held : entry.adapters)
@@ -95,7 +96,7 @@
         node.reportedEngines.erase(id);
         node.reportedRuns.erase(id);
         const auto runtime = node.targets.find(id);
-        // Calls that are under way there still hold on to its counts.
+        // Calls in flight there still refer to its counters.
         if (runtime != node.targets.end() && runtime->second->ownUsage.runs == 0)
             node.targets.erase(runtime);
         const auto engine = node.heldEngines.find(id);
@@ -104,7 +105,7 @@
     }
 }
 
-/** Takes a configuration that was read from the store. */
+/** Decodes and applies a configuration that was read from the store. */
 asio::awaitable<std::optional<ConfigFacts>> applyStoredConfig(GatewayNode &node,
                                                               std::string document)
 {
@@ -183,8 +184,8 @@
     sweep(node);
 }
 
-// The relay of this VM follows the list and has waited for entries that may come back. Another
-// zone's may not have seen the same outage.
+// This VM's relay reads the list and has already waited for expired entries to come back. A relay
+// of another zone may not have seen the same outage.
 void dropTargetByPeer(GatewayNode &node, const std::string &target, bool ownRelay)
 {
     const auto found = node.targetTable.records.find(target);
@@ -212,7 +213,8 @@
     };
     sink.listRead = [&node] {
         recordListRead(node.targetTable, BootClock::now());
-        // What was read here the relay may never have known, and would not say that it is gone.
+        // The relay may never have known the targets read here, so it would not report their
+        // removal: the next complete list from it has to be applied as a whole.
         node.listSource = ListSource();
         node.started.notifyAll();
     };
--- a/libs/gateway/src/Feeds.h
+++ b/libs/gateway/src/Feeds.h
@@ -8,25 +8,25 @@
 
 namespace monsoonbay {
 
-/** Follows the platform's configuration, versions and list of targets. */
+/** Subscribes to the platform's configuration, adapter versions and target list. */
 asio::awaitable<void> followPlatform(GatewayNode &node);
 
-/** Takes a configuration unless one as new is in force. `source` is for the log. */
+/** Applies a configuration unless one as new is in force. `source` is for the log. */
 void applyConfig(GatewayNode &node, DecodedConfig decoded, const std::string &source);
 
-/** Decodes a configuration and takes it; false if it cannot be read. */
+/** Decodes and applies a configuration; false if it cannot be decoded. */
 bool applyPackedConfig(GatewayNode &node, const PackedDocument &packed, const std::string &source);
 
-/** Takes entries of the list from a VM that reads it. */
+/** Applies entries of the target list that a peer sent. */
 void applyPeerTargets(GatewayNode &node, std::vector<TargetEntry> entries);
 
-/** A VM that reads the list has told all of it: other targets are gone. */
+/** A peer that reads the list has sent all of it: removes the targets that are not in `listed`. */
 void dropTargetsUnlistedByPeer(GatewayNode &node, const std::set<std::string> &listed);
 
-/** A VM that reads the list says that this target is gone. */
+/** A peer reports that this target was removed. `ownRelay`: the peer is this VM's relay. */
 void dropTargetByPeer(GatewayNode &node, const std::string &target, bool ownRelay);
 
-/** Forgets targets that are gone, now and then. */
+/** Periodically removes targets that are gone, and expired evidence and prefixes. */
 asio::awaitable<void> sweepLoop(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/FleetCount.cpp
+++ b/libs/gateway/src/FleetCount.cpp
@@ -8,9 +8,12 @@
 
 namespace {
 
-/** The store, or a VM that reaches it, was heard within this. */
+/**
+ * The store counts as reachable if the configuration was confirmed, by itself or through a peer,
+ * within this time.
+ */
 constexpr Duration storeFreshness = std::chrono::seconds(5);
-/** When all start at once, they have found each other without the store within this. */
+/** Time in which VMs that all start at once find each other without the store. */
 constexpr Duration discoveryTime = std::chrono::seconds(4);
 
 int namedPeers(const GatewayNode &node)
@@ -40,8 +43,8 @@
     return std::max({node.fleet.known, reachableVms(node, now), listed});
 }
 
-// A relay may have just started as well, and know of few: without the store's list its word counts
-// only after a while.
+// A relay may have just started as well, and know few VMs: without the store's list, its count is
+// trusted only after a while.
 bool knowsFleetSize(const GatewayNode &node, Instant now)
 {
     const bool hasRelayForLong =
@@ -49,7 +52,7 @@
     return node.vmListRead || hasRelayForLong;
 }
 
-// Use is told by workspace, so it needs a configuration as well.
+// Usage is reported by workspace, so a configuration is needed as well.
 bool reportsUsage(const GatewayNode &node, Instant now)
 {
     if (node.settings.firstStart)
--- a/libs/gateway/src/FleetCount.h
+++ b/libs/gateway/src/FleetCount.h
@@ -5,29 +5,29 @@
 namespace monsoonbay {
 
 /**
- * How many VMs there are, for all that is divided among them: a VM that takes itself for one of
- * fewer than there are uses what belongs to others.
+ * The number of VMs, by which shared limits are divided. A VM that counts too few uses more than
+ * its share.
  */
 
-/** VMs that are heard now, this one among them. */
+/** VMs whose reports arrive now, here or at the relay; including this one. */
 int reachableVms(const GatewayNode &node, Instant now);
 
-/** VMs that may let calls run, whether they are heard or not. */
+/** VMs that may run calls, whether they can be reached or not. */
 int knownVms(const GatewayNode &node, Instant now);
 
-/** False while a VM that has just started cannot know how many others there are. */
+/** False while this VM has just started and cannot know how many others there are. */
 bool knowsFleetSize(const GatewayNode &node, Instant now);
 
 /**
- * This VM tells what it may have used of the limits before its start; one that does not is not
- * counted among those whose use is told.
+ * True once this VM can report what may have been used of the limits before its start. Until then
+ * it is not counted among the VMs whose usage is reported.
  */
 bool reportsUsage(const GatewayNode &node, Instant now);
 
-/** Looks how many are in touch; called all the time. */
+/** Updates the count of reachable VMs; called periodically. */
 void recountVms(GatewayNode &node, Instant now);
 
-/** The VM's relay told something lately. */
+/** True if this VM's relay has answered recently. */
 bool isRelayLive(const GatewayNode &node, Instant now);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/Gateway.cpp
+++ b/libs/gateway/src/Gateway.cpp
@@ -22,12 +22,12 @@
 namespace {
 
 /**
- * New connections go on arriving until the platform has asked twice, once a second, whether this
- * VM is ready; they are served until then.
+ * The platform checks readiness once a second, and new connections keep arriving until it has
+ * checked twice; they are served until then.
  */
 constexpr Duration readinessDelay = std::chrono::milliseconds(2600);
 constexpr Duration shutdownPollInterval = std::chrono::milliseconds(50);
-/** The release of its engines goes out with the next report to the relay, within some 80 ms. */
+/** The lease release is sent with the next report to the relay, within some 80 ms. */
 constexpr Duration releaseDelay = std::chrono::milliseconds(120);
 
 asio::awaitable<void> answerReadiness(GatewayNode &node, HttpExchange &exchange)
@@ -49,7 +49,7 @@
         reply.body = R"({"ok":true})";
     } else {
         reply.status = 404;
-        reply.body = R"({"title":"ask for /metrics or /healthz"})";
+        reply.body = R"({"title":"unknown path; use /metrics or /healthz"})";
     }
     co_await exchange.respond(std::move(reply));
 }
@@ -106,18 +106,18 @@
         spawn(this->node, "follow platform", followPlatform(this->node));
         spawn(this->node, "lease", leaseLoop(this->node));
         spawn(this->node, "extend lease", extendLoop(this->node));
-        spawn(this->node, "tend", modelLoadLoop(this->node));
+        spawn(this->node, "load base models", modelLoadLoop(this->node));
         spawn(this->node, "wake calls", wakeWaitingCallsLoop(this->node));
-        spawn(this->node, "tell holders", usageReportLoop(this->node));
+        spawn(this->node, "report usage to lease holders", usageReportLoop(this->node));
         spawn(this->node, "stream origins", streamOriginLoop(this->node));
-        spawn(this->node, "words", leaseConfirmationLoop(this->node));
+        spawn(this->node, "confirm leases", leaseConfirmationLoop(this->node));
         spawn(this->node, "report to relay", upstreamLoop(this->node));
         spawn(this->node, "exchange with zones", otherZonesLoop(this->node));
         spawn(this->node, "read configuration", readConfigLoop(this->node));
-        spawn(this->node, "look for mates", zonePeersLoop(this->node));
+        spawn(this->node, "probe zone peers", zonePeersLoop(this->node));
         spawn(this->node, "sweep", sweepLoop(this->node));
-        spawn(this->node, "note use", usageSnapshotLoop(this->node));
-        spawn(this->node, "log news", updateLogLoop(this->node));
+        spawn(this->node, "write usage snapshots", usageSnapshotLoop(this->node));
+        spawn(this->node, "log update bytes", updateLogLoop(this->node));
     }
 
     asio::awaitable<void> shutDown()
@@ -154,7 +154,7 @@
     std::optional<CallListener> forwards; ///< for calls that other VMs forward
     HttpServer readiness;
     HttpServer operators;
-    std::uint16_t peersPort = 0; ///< that is listened on
+    std::uint16_t peersPort = 0; ///< on which it listens
     GatewayShutdown report;
     bool shutdownRequested = false;
 };
--- a/libs/gateway/src/GatewayNode.cpp
+++ b/libs/gateway/src/GatewayNode.cpp
@@ -11,25 +11,26 @@
 
 namespace {
 
-/** VMs that fell silent count on for a while: a cut does not space exchanges more closely. */
+/** Silent VMs are still counted for this long; a network outage must not speed up exchanges. */
 constexpr Duration silentVmsCountFor = std::chrono::seconds(15);
 
 /**
- * Only a relay reads the store; what a VM saw while it relayed is tried anew after this, or when
- * its lease is renewed. In an outage for all it keeps two VMs from relaying by turns.
+ * Only a relay reads the store. A VM that failed to read it as the relay counts as cut off from it
+ * for this long, or until its lease is renewed. This keeps two VMs from taking turns as the relay
+ * while the store is unreachable for all.
  */
 constexpr Duration storeFailureValidity = std::chrono::seconds(20);
 
 /**
- * Those that order engines call the store every 0.5 s, and are heard 0.1 s later: a mate that the
- * store has answered this long before this VM's first failure may still reach it.
+ * Lease holders call the store every 0.5 s and report it 0.1 s later. So a zone peer that the store
+ * last answered up to this long before this VM's first failure may still reach it.
  */
 constexpr Duration storeReportLag = std::chrono::milliseconds(600);
 
-// Symptom without this: in a cut zone of 21 VMs each became the relay for a second, in turn, and
-// their calls were refused for 4 s. Sequence: no VM of the zone reaches the store; the relay says
-// so and steps down for the next one, which has not tried yet. Cause: a mate that nothing is known
-// of was taken for one that reaches the store.
+// A zone peer counts only if it has reported that the store answered it. When peers of unknown
+// state counted, too, each of 21 VMs in a zone cut off from the store became the relay for a
+// second, in turn: the relay stepped down for the next VM, which had not tried the store yet. Calls
+// were refused for 4 s.
 bool zonePeerReachesStore(const GatewayNode &node)
 {
     return std::any_of(node.peers.begin(), node.peers.end(), [&node](const auto &entry) {
@@ -138,7 +139,7 @@
     RelayRank rank;
     const bool failed = node.storeFailedAt != Instant{}
         && BootClock::now() - node.storeFailedAt < storeFailureValidity;
-    // A VM that is stopping relays only if nobody else can.
+    // A VM that is shutting down is the relay only if no other VM can be.
     rank.storeUnreachable =
         node.shuttingDown || (failed && !node.storeUp && zonePeerReachesStore(node));
     rank.capacity = node.shuttingDown ? 0 : node.settings.capacity;
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -57,7 +57,7 @@
 
 namespace monsoonbay {
 
-/** A call whose answer broke off. */
+/** A call whose answer ended early because the connection was lost. */
 struct LostCall
 {
     CallIdentity call;
@@ -66,101 +66,98 @@
     auto operator<=>(const LostCall &) const = default;
 };
 
-/** Calls lost at a target lately, until it is known whether it ended under them. */
+/** Calls lost recently at a target, kept until it is known whether the target ended. */
 struct LostCalls
 {
     std::deque<LostCall> calls;
-    bool checking = false; ///< the target is being looked at
+    bool checking = false; ///< the target is being probed
 
     auto operator<=>(const LostCalls &) const = default;
 };
 
-/** State of one target at this VM, beside what the platform's list says. */
+/** This VM's own state of one target, apart from the target's entry in the platform's list. */
 struct TargetRuntime
 {
     std::uint64_t hash = 0;
     TargetHealth health;
     LinkObservation link;
     TargetPool pool;
-    Instant startConfirmedAt{}; ///< it was asked, and was the start that its entry tells of
+    Instant startConfirmedAt{}; ///< when the last request that confirmed its start was sent
     LostCalls lost;
-    Instant pausedUntil{}; ///< by its own word to this VM
+    Instant pausedUntil{}; ///< it has asked this VM to send no calls before
     AdvertisedLimit limit;
-    bool leaving = false; ///< it has said so; also once the list has dropped it
-    TargetUsage ownUsage;
-    std::map<std::string, int> ownAdapterRuns; ///< calls under way, by adapter
+    bool leaving = false; ///< it is shutting down; kept when the list has dropped it
+    TargetUsage ownUsage; ///< by calls of this VM
+    std::map<std::string, int> ownAdapterRuns; ///< calls of this VM in flight, by adapter
     std::unordered_map<std::string, std::int64_t> resident; ///< version by adapter key
-    HostCopies copies; ///< adapters that load fast again there
-    std::set<std::string> models; ///< base models that are there
+    HostCopies copies; ///< adapters with a copy in host memory, which load fast
+    std::set<std::string> models; ///< resident base models
     PendingLoads incoming;
-    LoadBackoff loadMark; ///< after a declined load, for all calls of this VM
+    LoadBackoff loadMark; ///< backoff after a declined load, for all calls of this VM
 };
 
-/** The last word of a VM on whether it may order engines of its zone. */
+/** The last lease confirmation of a zone peer: whether it may command engines of the zone. */
 struct PeerLeaseConfirmation
 {
-    Instant triedAt{}; ///< when it was asked last
-    Instant askedAt{}; ///< when it was asked for its last answer; zero: it never answered
+    Instant triedAt{}; ///< time of the latest request
+    Instant askedAt{}; ///< time of the latest request that was answered; zero: none
     PeerLeaseState confirmation;
 
     auto operator<=>(const PeerLeaseConfirmation &) const = default;
 };
 
-/** Another gateway. */
+/** What this VM knows of another one. */
 struct PeerState
 {
     std::string name; ///< empty: not known
     Endpoint endpoint;
     std::string zone; ///< empty: not known
     double capacity = 0;
-    std::uint64_t boot = 0; ///< 0: never heard
+    std::uint64_t boot = 0; ///< 0: nothing was received from it yet
     std::uint64_t sequence = 0; ///< of its newest report
     Instant addedAt{};
-    Instant lastHeardAt{}; ///< it reported, asked or answered; zero: never
+    Instant lastHeardAt{}; ///< its latest report, request or answer; zero: none yet
     Instant lastReportAt{}; ///< its newest report
     bool starting = false;
     bool stopping = false;
-    bool leftLeaseGroup =
-        false; ///< by its last leaseConfirmation, this boot orders no engines any more
+    bool leftLeaseGroup = false; ///< for this boot, by its last lease confirmation
     bool storeUnreachable = false;
-    bool leaseHolder = false; ///< it is one of those that order engines of its zone
-    bool linksLost = false; ///< it does not reach engines that others reach
-    std::int64_t configVersion = 0; ///< that it last told to have in force
-    Instant storeReachedAt{}; ///< the store answered it last, by its own leaseConfirmation; zero:
-                              ///< not known
-
-    // Exchanges that this VM begins.
-    bool exchangeRunning = false; ///< one is under way
-    int failures = 0; ///< in a row
-    Instant retryAt{}; ///< not before this, after a failure
-    std::uint64_t seenBoot = 0; ///< its boot of which `seenChange` counts
-    std::uint64_t seenChange = 0;
-    bool hasMoreUpdates = false; ///< its last answer did not hold all that changed there
-    bool fullSyncRunning = false; ///< it is telling all that it knows, and has not come to the end
-    std::set<std::string> fullSyncTargets; ///< targets that it has told so far in that
-    std::uint64_t sentBoot = 0; ///< its boot that was told of engines up to `sentChange`
-    std::uint64_t sentChange = 0; ///< of this VM's own changes
-    std::uint64_t seenPrefix = 0; ///< last of its log of prefixes, in the boot `seenBoot`
-    std::set<std::string> missingEngines; ///< it told changes of records that this VM has not
-    std::set<std::string> requestedEngines; ///< whose whole records it has asked for
-    std::uint64_t sentPrefix = 0; ///< last of the own log that its boot `sentBoot` was told
-
-    int configFailures = 0; ///< reads of its configuration that failed, in a row
-    Instant configRetryAt{}; ///< no further one before this
+    bool leaseHolder = false; ///< it is one of the lease holders of its zone
+    bool linksLost = false; ///< it does not reach engines that other VMs reach
+    std::int64_t configVersion = 0; ///< version in force there, by its latest report or answer
+    Instant storeReachedAt{}; ///< when the store last answered it, by its report; zero: not known
+
+    // Exchanges that this VM initiates.
+    bool exchangeRunning = false; ///< one is in progress
+    int failures = 0; ///< consecutive
+    Instant retryAt{}; ///< after a failure: no further attempt before this
+    std::uint64_t seenBoot = 0; ///< its boot, which `seenChange` belongs to
+    std::uint64_t seenChange = 0; ///< last of its changes that was received
+    bool hasMoreUpdates = false; ///< its last answer did not contain all its changes
+    bool fullSyncRunning = false; ///< it is sending its full state, and has not sent all of it yet
+    std::set<std::string> fullSyncTargets; ///< targets received so far of that full state
+    std::uint64_t sentBoot = 0; ///< its boot to which changes up to `sentChange` were sent
+    std::uint64_t sentChange = 0; ///< last of this VM's changes that was sent to it
+    std::uint64_t seenPrefix = 0; ///< last received entry of its prefix log, in boot `seenBoot`
+    std::set<std::string> missingEngines; ///< it sent deltas to records that this VM does not have
+    std::set<std::string> requestedEngines; ///< it has requested whole records of these
+    std::uint64_t sentPrefix = 0; ///< last own prefix log entry that was sent to boot `sentBoot`
+
+    int configFailures = 0; ///< consecutive failed reads of its configuration
+    Instant configRetryAt{}; ///< no further read before this
 
     PeerLeaseConfirmation leaseConfirmation;
-    Instant loadFailedAt{}; ///< it did not answer when asked for a load
+    Instant loadFailedAt{}; ///< when it last left a load request unanswered; zero: never
 };
 
-/** What this VM keeps of another one that it may forward calls to. */
+/** State of a VM that this one may forward calls to. */
 struct ForwardPeer
 {
     TargetPool pool;
-    std::unordered_map<std::string, Instant>
-        notBefore; ///< it takes no calls until then; by service
+    std::unordered_map<std::string, Instant> notBefore; ///< when it takes calls again; by service
 };
 
-/** A load that a call of this VM has asked for. */
+/** A load requested by calls of this VM. */
 struct LoadInFlight
 {
     explicit LoadInFlight(asio::io_context &context)
@@ -168,10 +165,10 @@
     { }
 
     Signal done;
-    int waiters = 1; ///< that wait for it
+    int waiters = 1; ///< calls that wait for it
 };
 
-/** An engine that this VM orders. */
+/** An engine for which this VM sends the commands, as the lease holder. */
 struct HeldEngine
 {
     explicit HeldEngine(asio::io_context &context)
@@ -179,26 +176,26 @@
     { }
 
     AdapterScheduler scheduler;
-    bool commandInFlight = false; ///< an order or report is under way
-    Instant commandSince{}; ///< of the last one
-    bool checkingLoads = false; ///< a report is read to see whether loads are done
-    Instant retryAt{}; ///< no order or report before this
-    int refusals = 0; ///< in a row
+    bool commandInFlight = false; ///< a command or report request is in flight
+    Instant commandSince{}; ///< when the latest one was sent
+    bool checkingLoads = false; ///< a report is being read to see whether loads are done
+    Instant retryAt{}; ///< no command or report request before this
+    int refusals = 0; ///< consecutive
     LoadQueue queue;
     Signal changed;
 };
 
-/** A target as it is told to other gateways. */
+/** A target as it is reported to other VMs. */
 struct SharedTarget
 {
     TargetEntry entry;
     bool gone = false;
-    bool lapsed = false; ///< its entry has expired in an outage; it may be listed again
+    bool lapsed = false; ///< its entry expired during an outage; it may be listed again
 
     auto operator<=>(const SharedTarget &) const = default;
 };
 
-/** Another VM as it is told to other gateways. */
+/** A VM as it is reported to other VMs. */
 struct SharedVm
 {
     std::string name;
@@ -208,18 +205,18 @@
     auto operator<=>(const SharedVm &) const = default;
 };
 
-/** Another VM's calls at an engine that this VM orders. */
+/** Another VM's calls at an engine that this VM holds the lease for. */
 struct ReportedRuns
 {
-    std::map<std::string, int> byAdapter; ///< empty: it has none any more
-    std::uint64_t boot = 0; ///< of the VM
-    std::uint64_t sequence = 0; ///< of the note; an older one that arrives late is dropped
+    std::map<std::string, int> byAdapter; ///< empty: it has none there now
+    std::uint64_t boot = 0; ///< of that VM
+    std::uint64_t sequence = 0; ///< of its usage report; an older one that arrives late is dropped
     Instant at{};
 
     auto operator<=>(const ReportedRuns &) const = default;
 };
 
-/** Evidence on calls, and whether this VM saw it itself. */
+/** Evidence on calls, and whether this VM observed it itself. */
 struct KnownEvidence
 {
     CallEvidence evidence;
@@ -228,7 +225,10 @@
     auto operator<=>(const KnownEvidence &) const = default;
 };
 
-/** What this VM has learnt and passes on; readers ask for what changed since they last did. */
+/**
+ * State that VMs replicate to each other. A peer names the last change that it has received, and is
+ * sent the later ones.
+ */
 struct SharedState
 {
     ChangeCounter counter;
@@ -236,17 +236,17 @@
     ChangeLog<std::string, SharedTarget> targets;
     ChangeLog<std::string, std::int64_t> adapterVersions; ///< in force, by adapter key
     ChangeLog<Endpoint, SharedVm> vms;
-    ChangeLog<std::uint64_t, KnownEvidence> evidence; ///< by an id that its VM drew
+    ChangeLog<std::uint64_t, KnownEvidence> evidence; ///< by a random id from the observing VM
 };
 
-/** Prefixes of prompts that engines have read, and what other VMs are told of them. */
+/** Prompt prefixes that engines are believed to have cached, and the log sent to other VMs. */
 struct SharedPrefixes
 {
     PrefixIndex table;
     PrefixLog log;
 };
 
-/** Beginning of the name under which another zone as a whole reports; see UsageLedger. */
+/** Prefix of the reporter name that stands for another zone as a whole; see UsageLedger. */
 constexpr std::string_view zoneReporter = "zone ";
 
 inline std::string zoneReporterName(const std::string &zone)
@@ -254,77 +254,77 @@
     return std::string(zoneReporter) + zone;
 }
 
-/** What the relay told last. */
+/** The latest state received from this VM's relay. */
 struct RelayState
 {
     Endpoint relay;
-    Instant at{}; ///< zero: none is heard
-    TargetUsages others; ///< calls of all VMs but those that this VM reports for
-    int vms = 1; ///< all that are heard of, in all zones
-    int linkedZonePeers = 0; ///< others of the zone that reach engines
-    WorkspaceUses otherWorkspaces; ///< of all VMs in touch but those that this one reports for
-    int reachableVms = 1; ///< that these are of, this VM and those it reports for among them
+    Instant at{}; ///< zero: no relay answers
+    TargetUsages others; ///< of all VMs except those that this VM reports for
+    int vms = 1; ///< known lately, in all zones
+    int linkedZonePeers = 0; ///< other VMs of the zone that reach engines
+    WorkspaceUses otherWorkspaces; ///< of all reachable VMs except those that this one reports for
+    int reachableVms = 1; ///< reachable VMs, including this one and those it reports for
 };
 
-/** Whose whole list of targets this VM holds, to follow the changes of. */
+/** The relay from which this VM has received the whole target list, and now applies changes. */
 struct ListSource
 {
     Endpoint relay;
-    std::uint64_t boot = 0; ///< of the relay; 0: this VM reads the list itself, or has none
+    std::uint64_t boot = 0; ///< of that relay; 0: this VM reads the list itself, or has none
 
     auto operator<=>(const ListSource &) const = default;
 };
 
-/** What is known of the prompts that engines still have to read; see PrefillReservation.h. */
+/** Prompt tokens that wait for prefill at engines; see PrefillReservation.h. */
 struct PrefillCounts
 {
-    std::unordered_map<std::string, PrefillQueue> held; ///< of engines that this VM orders
-    std::unordered_map<std::string, PrefillQueue> reported; ///< by the VMs that order the others
+    std::unordered_map<std::string, PrefillQueue> held; ///< at engines that this VM holds
+    std::unordered_map<std::string, PrefillQueue> reported; ///< at others, as their holders replied
     std::map<Endpoint, Instant> unansweredAt; ///< VMs that did not answer, and when
 };
 
-/** A configuration that is being read from peers, part after part. */
+/** A configuration that is being downloaded from peers, part by part. */
 struct ConfigDownload
 {
     PartialDocument partial;
     PartSizing partSize;
-    Endpoint source; ///< of the last part
-    std::int64_t expected = 0; ///< version that a peer said `source` has, or is reading; 0: none
-    bool redirectFailed = false; ///< a VM that this one was sent on to gave nothing
-    bool decoding = false; ///< all has come
+    Endpoint source; ///< the peer that parts are requested from
+    std::int64_t expected = 0; ///< version that a redirect said `source` has or is reading; 0: none
+    bool redirectFailed = false; ///< a redirect led to a VM that sent nothing
+    bool decoding = false; ///< all parts have arrived
     Instant begunAt{};
-    Instant lastProgressAt{}; ///< a part came last, or it was begun, or another source was taken
+    Instant lastProgressAt{}; ///< when it began, the source changed, or the last part came
 };
 
-/** All state of one gateway. One thread. */
+/** The state of one gateway. Accessed by one thread only. */
 struct GatewayNode
 {
     explicit GatewayNode(const GatewaySettings &settings);
 
     GatewaySettings settings;
     const PlatformPort *platform;
-    CapacityWaiters capacityWaiters; ///< the context still destroys calls that wait here
+    CapacityWaiters capacityWaiters; ///< outlives the context, whose destruction ends the calls
     asio::io_context context;
-    std::optional<asio::thread_pool> decoding; ///< one more thread, for long documents
+    std::optional<asio::thread_pool> decoding; ///< one more thread, for large documents
     HttpClient http;
     Metrics metrics;
     std::mt19937_64 random;
     std::uint64_t boot = 0;
 
     std::shared_ptr<const RouteTable> routes; ///< never null
-    DocumentCache config; ///< as others read it
+    DocumentCache config; ///< packed, as peers download it
     ConfigDownload configDownload;
     ConfigReaders configReaders;
     KeyTable keys; ///< of the configuration in force
     Confirmations confirmations;
-    Signal confirmed; ///< a version was confirmed, or is in force
-    std::unordered_map<KeyDigest, Instant, KeyDigestHash> unknownKeys; ///< when they came first
-    int routesAwaited = 0; ///< calls that wait for a newer configuration to have their route
-    int keysAwaited = 0; ///< calls that wait to learn whether their key is a new one
-    std::unordered_map<std::string, UsageWindow> spending; ///< of own calls, by workspace
+    Signal confirmed; ///< a version was confirmed or put in force
+    std::unordered_map<KeyDigest, Instant, KeyDigestHash> unknownKeys; ///< and their first use
+    int routesAwaited = 0; ///< calls without a route that wait for a newer configuration
+    int keysAwaited = 0; ///< calls with an unknown key that wait for a newer configuration
+    std::unordered_map<std::string, UsageWindow> spending; ///< of this VM's calls, by workspace
     FleetSize fleet;
     UsageSnapshotState spend;
-    Signal configOffered; ///< a peer has a newer one
+    Signal configOffered; ///< a peer has a newer configuration
     SharedState shared;
     SharedPrefixes prefixes;
     TargetTable targetTable;
@@ -333,37 +333,37 @@
 
     ResumeState resuming;
     std::unordered_map<std::string, ServiceLinks> serviceLinks; ///< by service
-    std::map<Endpoint, ForwardPeer> forwardPeers; ///< by where they take forwarded calls
+    std::map<Endpoint, ForwardPeer> forwardPeers; ///< by their address for forwarded calls
 
     std::map<Endpoint, PeerState> peers;
     std::uint64_t reportSequence = 0;
-    UsageLedger reported; ///< by VMs that report here, and by the relays of other zones
+    UsageLedger reported; ///< usage reported by VMs of the zone and by relays of other zones
     RelayState relayState;
     ListSource listSource;
-    /** Adapters in use at engines that this VM orders, by engine and by the VM that told. */
+    /** Adapters in use at engines that this VM holds, by engine and reporting VM. */
     std::unordered_map<std::string, std::map<Endpoint, ReportedRuns>> reportedRuns;
-    std::set<std::string> runsChanged; ///< engines whose holder is to be told of own calls
-    Signal runsDue;
-    std::uint64_t usageSequence = 0;
-    std::map<std::string, Endpoint> zoneRelays; ///< of other zones, as their VMs say
-    std::set<std::string> reportedEngines; ///< held by VMs that report here
+    std::set<std::string> runsChanged; ///< engines whose lease holder needs a usage report
+    Signal runsDue; ///< `runsChanged` has grown
+    std::uint64_t usageSequence = 0; ///< of the latest usage report
+    std::map<std::string, Endpoint> zoneRelays; ///< of other zones, as their VMs report
+    std::set<std::string> reportedEngines; ///< reported by VMs that this one relays for
     bool relaying = false; ///< this VM reads the store for its zone
     bool vmListRead = false; ///< the store's list of VMs was read
-    std::int64_t bootCount = 0; ///< of this VM, by the store; 0: not known yet
-    int recentVms = 1; ///< most VMs heard of lately
+    std::int64_t bootCount = 0; ///< boots of this VM, by the store; 0: not known yet
+    int recentVms = 1; ///< highest recent number of VMs
     Instant recentVmsAt{};
     GatewayPeers peerLinks;
 
     PartitionLease lease;
     Instant bootedAt;
-    bool mayHoldLease = false; ///< joins those that order engines of the zone
-    Instant joinedLeaseAt{}; ///< when it first did; zero: not yet
-    bool leaseYielded = false; ///< to mates, until this VM reaches the engines again
+    bool mayHoldLease = false; ///< it takes part in the lease group of the zone
+    Instant joinedLeaseAt{}; ///< when it joined that group first; zero: not yet
+    bool leaseYielded = false; ///< lease left to zone peers until this VM reaches engines again
     bool leaseRenewed = false; ///< the last renewal was granted
     bool renewalFailing = false;
-    bool heldBefore = false; ///< a boot before this one noted that it orders engines
-    std::vector<PartitionRelease> peerReleases; ///< of other VMs of the zone, told on
-    bool recordingClaims = false; ///< notes in the store are being read or added
+    bool heldBefore = false; ///< an earlier boot recorded itself as lease holder in the store
+    std::vector<PartitionRelease> peerReleases; ///< of zone peers, passed on to the others
+    bool recordingClaims = false; ///< lease holder records in the store are being read or added
     Instant claimRetryAt{}; ///< no further attempt before this
     std::unordered_map<std::string, std::unique_ptr<HeldEngine>> heldEngines;
     /** By engine and adapter. */
@@ -371,75 +371,78 @@
     LoadEstimator loadEstimator;
     std::unordered_map<std::string, PrefillRate> prefillPaces; ///< by service
     PrefillCounts prefill;
-    HarmfulCalls harmful; ///< follows from the evidence
-    bool evidenceChanged = false; ///< since it was judged last
-    std::size_t evidenceCalls = 0; ///< named in all evidence
-    std::deque<Instant> modelLoads; ///< ordered by this gateway lately
-
-    Signal started; ///< a first configuration, or a first list of targets, is there
-    Signal engineChanged; ///< residents or loads of engines changed
-    Signal callStartedWaiting; ///< a call has begun to wait for a place
-    Signal reportDue; ///< something that the relay should hear before the next regular report
+    HarmfulCalls harmful; ///< derived from the evidence
+    bool evidenceChanged = false; ///< since the last evaluation
+    std::size_t evidenceCalls = 0; ///< number of calls named in all evidence
+    std::deque<Instant> modelLoads; ///< recent base model loads commanded by this VM
+
+    Signal started; ///< the first configuration, or the first target list, has arrived
+    Signal engineChanged; ///< resident adapters or loads of engines changed
+    Signal callStartedWaiting; ///< a call has begun to wait for capacity
+    Signal reportDue; ///< a change should reach the relay before the next regular report
     bool storeUp = false;
-    Instant storeFailedAt{}; ///< last attempt to read the store that failed; zero: none
-    Instant storeFailingSince{}; ///< the first that failed since it last answered; zero: none
-    Instant storeReachedAt{}; ///< the store answered this VM last; zero: never
+    Instant storeFailedAt{}; ///< latest failed read since the store last answered; zero: none
+    Instant storeFailingSince{}; ///< first failed read since the store last answered; zero: none
+    Instant storeReachedAt{}; ///< when the store last answered this VM; zero: never
     bool shuttingDown = false;
-    bool leftLeaseGroup = false; ///< it has left those that order engines, and does not come back
+    bool leftLeaseGroup = false; ///< it has left the lease group for good
     bool stopped = false;
     int callsInFlight = 0;
-    int forwardedInFlight = 0; ///< of these, that other VMs forwarded
+    int forwardedInFlight = 0; ///< those of them that other VMs forwarded
     int connections = 0;
 };
 
-/** State of a target; made on first use. */
+/** This VM's state of a target; created on first use. */
 TargetRuntime &runtimeOf(GatewayNode &node, const std::string &target);
 
 /** The listed entry of a target; null if it is not listed. */
 const TargetEntry *entryOf(const GatewayNode &node, const std::string &target);
 
-/** Sets what an engine holds, and remembers what it held. */
+/**
+ * Sets the resident adapters of an engine. Adapters that came or went count as recently used in its
+ * host memory, and cached prefixes of those that went or were replaced are dropped.
+ */
 void setResident(GatewayNode &node, const std::string &target, ResidentVersions resident);
 
-/** Gateways heard of lately, this one among them; counts those that fell silent for a while on. */
+/** Number of VMs, including this one; VMs that fell silent are still counted for a while. */
 int liveGateways(const GatewayNode &node);
 
-/** The fewest that liveGateways() may say from now on, by what is heard now. */
+/** Updates liveGateways() from the reports that arrive now. */
 void updateLiveGateways(GatewayNode &node, Instant now);
 
-/** The version of an adapter that is in force; 0 if none was named. */
+/** The version of an adapter that is in force; 0 if none is known. */
 std::int64_t versionInForce(const GatewayNode &node, const std::string &adapter);
 
-/** When the configuration in force was last known to be the newest; nothing: never. */
+/** When the configuration in force was last confirmed to be the newest; nothing: never. */
 std::optional<Instant> configConfirmedAt(const GatewayNode &node);
 
-/** The store has answered this VM, or has failed to. */
+/** Records that the store has answered this VM, or has failed to. */
 void recordStoreAnswer(GatewayNode &node, bool answered, Instant now);
 
-/** What this VM tells others of its own standing. */
+/** This VM's own rank among the candidates for the relay of its zone. */
 RelayRank ownRank(const GatewayNode &node);
 
-/** True if this VM knows no configuration or no targets yet. */
+/** True if this VM has no configuration or no target list yet. */
 bool isStarting(const GatewayNode &node) noexcept;
 
-/** When the target will take calls of this VM again, by its own word; zero: it does now. */
+/** Until when the target has asked this VM to send no calls; zero: it takes calls now. */
 Instant pausedUntil(const GatewayNode &node, const std::string &target, Instant now);
 
-/** Targets of a service that may take work, whether they take calls of this VM now or not. */
+/** Targets of a service that may get work, including those that refuse calls of this VM now. */
 std::vector<const TargetRecord *> targetsOf(const GatewayNode &node, const std::string &service);
 
-/** Load of all gateways' calls at one target; without the adapters. */
+/** Usage of one target by calls of all VMs, not split by adapter, and how calls ended lately. */
 TargetUsage totalLoad(const GatewayNode &node, const std::string &target);
 
-/** The same of all other gateways' calls, and how they ended lately. */
+/** The same for the calls of all other VMs. */
 TargetUsage othersUsageAt(const GatewayNode &node, const std::string &target);
 
 bool isReady(const GatewayNode &node) noexcept;
 
-/** Sleeps; returns early if the gateway stops. */
+/** Sleeps for `duration`. */
 asio::awaitable<void> pauseFor(GatewayNode &node, Duration duration);
 
-/** Runs a coroutine of its own; an exception that ends it is logged, never lost. */
+/** Starts `task` as an independent coroutine; an exception that ends it is logged. */
 void spawn(GatewayNode &node, std::string_view what, asio::awaitable<void> task);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/GatewayPeers.cpp
+++ b/libs/gateway/src/GatewayPeers.cpp
@@ -20,7 +20,7 @@
 
 constexpr int minReconnectMs = 100;
 constexpr int maxReconnectMs = 500;
-/** A link on which nothing is acknowledged for this long is given up and made anew. */
+/** Keepalive interval, and its timeout, after which a connection is closed and reopened. */
 constexpr int keepaliveMs = 1500;
 constexpr auto shutdownTimeout = std::chrono::milliseconds(200);
 
@@ -101,7 +101,7 @@
         reactor->Finish(grpc::Status::OK);
     }
 
-    /** Has `handler` answer on the gateway's thread. */
+    /** Runs `handler` on the gateway's thread and finishes the RPC with its reply. */
     template <typename Request, typename Reply>
     grpc::ServerUnaryReactor *answerAtOnce(grpc::CallbackServerContext *call,
                                            const Request *request, Reply *reply,
@@ -110,7 +110,7 @@
         grpc::ServerUnaryReactor *reactor = call->DefaultReactor();
         const std::uint64_t number = this->open(reactor);
         asio::post(this->context, [this, request, reply, reactor, number, &handler] {
-            // After a shutdown has ended the call, its messages are gone.
+            // If a shutdown has ended the RPC, its messages no longer exist.
             if (!this->calls.take(number))
                 return;
             *reply = handler(*request);
@@ -144,7 +144,7 @@
         arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, keepaliveMs);
         arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, keepaliveMs);
         arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
-        // A proxy named in the environment must never stand between two VMs.
+        // Connections between VMs must never go through a proxy named in the environment.
         arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
         stub = v1::Gateway::NewStub(
             grpc::CreateCustomChannel(peer.text(), grpc::InsecureChannelCredentials(), arguments));
@@ -165,7 +165,7 @@
         auto call = std::make_shared<Call>();
         call->stub = this->stubFor(peer);
         call->request = std::move(request);
-        // A span, as the time of day may jump.
+        // A timespan, as the wall clock may jump.
         call->context.set_deadline(gpr_time_from_millis(toMillis(timeout), GPR_TIMESPAN));
         OpenCalls &open = this->calls;
         const std::uint64_t number = open.add([call] { call->context.TryCancel(); });
@@ -205,9 +205,9 @@
     grpc::ServerBuilder builder;
     int port = 0;
     builder.AddListeningPort(endpoint.text(), grpc::InsecureServerCredentials(), &port);
-    // Two daemons on one port would each get half of the news; the second has to fail instead.
+    // Two daemons on one port would each get half of the messages; the second has to fail instead.
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    // By default a server hangs up on clients that look for a silent link as often as ours do.
+    // By default a server disconnects clients that send keepalive pings as often as ours do.
     builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS,
                                keepaliveMs / 2);
     builder.RegisterService(this->impl->service.get());
@@ -226,7 +226,7 @@
         this->impl->server->Shutdown(std::chrono::system_clock::now() + shutdownTimeout);
     this->impl->server.reset();
     this->impl->service.reset();
-    // Callbacks post to the context of the waiting coroutines, so none may come after this.
+    // Callbacks post to the context of the waiting coroutines, so none may run after this.
     this->impl->calls.endAll();
     this->impl->calls.waitAll();
 }
--- a/libs/gateway/src/GatewayPeers.h
+++ b/libs/gateway/src/GatewayPeers.h
@@ -15,7 +15,7 @@
 
 namespace asio = boost::asio;
 
-/** What a gateway answers to the others; run on the gateway's thread. */
+/** Handlers for requests of other VMs; they run on the gateway's thread. */
 struct GatewayPeerHandlers
 {
     std::function<gateway::v1::Digest(const gateway::v1::Report &)> exchange;
@@ -28,7 +28,7 @@
     std::function<gateway::v1::OriginReply(const gateway::v1::OriginRequest &)> origin;
 };
 
-/** gRPC between the gateways: server and clients. */
+/** The gRPC server and clients for messages between VMs. */
 class GatewayPeers
 {
 public:
@@ -38,11 +38,11 @@
     GatewayPeers(const GatewayPeers &) = delete;
     GatewayPeers &operator=(const GatewayPeers &) = delete;
 
-    /** Returns the port in use. Throws std::system_error if the address is taken. */
+    /** Returns the port that it listens on. Throws std::system_error if the address is in use. */
     std::uint16_t listen(asio::io_context &context, const Endpoint &endpoint,
                          GatewayPeerHandlers handlers);
 
-    /** Ends all calls; none is answered after this. */
+    /** Ends all RPCs; none is answered after this. */
     void close();
 
     asio::awaitable<std::optional<gateway::v1::Digest>>
--- a/libs/gateway/src/GatewaySettings.cpp
+++ b/libs/gateway/src/GatewaySettings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Reads "IP:PORT"; complains if it is something else. */
+/** Parses "IP:PORT"; reports a problem if the text is something else. */
 Endpoint readEndpoint(JsonReader &reader, const std::string &text, const std::string &path)
 {
     const std::size_t colon = text.rfind(':');
@@ -20,7 +20,7 @@
     const bool valid = colon != std::string::npos && colon > 0 && error == std::errc()
         && parsed == end && port <= 65535;
     if (!valid) {
-        reader.complain(path, "'" + text + "' is no address", "write IP:PORT");
+        reader.complain(path, "'" + text + "' is not an address", "write IP:PORT");
         return {};
     }
     return {text.substr(0, colon), static_cast<std::uint16_t>(port)};
@@ -47,7 +47,7 @@
     std::size_t index = 0;
     for (const std::string &text : reader.texts(root, "", "seeds")) {
         const Endpoint seed = readEndpoint(reader, text, "/seeds/" + std::to_string(index++));
-        // Seeds name VMs by another of their ports; peers are found at the same port as here.
+        // Seeds name another port; all VMs listen for peers at the same port as this one.
         seeds.push_back({seed.address, port});
     }
     return seeds;
@@ -182,7 +182,7 @@
             std::string names;
             for (const std::string &name : platformNames())
                 names += (names.empty() ? "" : ", ") + name;
-            reader.complain("/platform", "'" + settings.platform + "' is not known",
+            reader.complain("/platform", "'" + settings.platform + "' is not a known platform",
                             "choose one of: " + names);
         }
     }
--- a/libs/gateway/src/PlatformPort.cpp
+++ b/libs/gateway/src/PlatformPort.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Plug-ins register before main, in an order that is not defined between translation units; a
-// local static is there whenever the first of them comes.
+// Plug-ins register before main, in an order that is not defined between translation units. A
+// function-local static is constructed on the first call, whichever comes first.
 std::map<std::string_view, PlatformPort> &registry()
 {
     static std::map<std::string_view, PlatformPort> ports;
--- a/libs/gateway/src/Signal.h
+++ b/libs/gateway/src/Signal.h
@@ -12,7 +12,7 @@
 
 namespace asio = boost::asio;
 
-/** Wakes coroutines that wait for something to change. One thread. */
+/** Wakes coroutines that wait for a change. For use by one thread only. */
 class Signal
 {
 public:
@@ -20,7 +20,7 @@
         : timer(context)
     { }
 
-    /** Returns at the next notifyAll(), or after `longest`. */
+    /** Returns at the next notifyAll(), or after `longest` at the latest. */
     asio::awaitable<void> wait(Duration longest)
     {
         asio::steady_timer limit(this->timer.get_executor(), longest);
@@ -57,7 +57,7 @@
             waiter.next->previous = waiter.previous;
     }
 
-    asio::steady_timer timer; ///< only names the executor
+    asio::steady_timer timer; ///< never waits; it only holds the executor
     Waiter *first = nullptr;
 };
 
