--- a/libs/gateway/src/AnswerHints.cpp
+++ b/libs/gateway/src/AnswerHints.cpp
@@ -20,8 +20,8 @@
     node.reportDue.notifyAll();
 }
 
-// A peer that has not heard of the target's new start yet would otherwise keep it from work for
-// good, and so would all that this VM tells.
+// A peer that does not know yet that the target has restarted would otherwise keep it from getting
+// work for good, at this VM and at all VMs that this one reports to.
 void markLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t startTime)
 {
     if (recordStartTime(node, target, startTime) == StartOrder::Older)
@@ -31,7 +31,7 @@
 
 namespace {
 
-// A refusal need not repeat the limit, so only a whole answer without it lifts it.
+// A refusal need not repeat the limit, so only an authentic answer without a limit removes it.
 void applyLimit(GatewayNode &node, const std::string &target, const AnswerMetadata &answer)
 {
     if (!answer.callsPerSecond && !answer.authentic)
@@ -62,8 +62,8 @@
     return admitsCall(runtime.limit, vms, draw, now);
 }
 
-// The list may be away for as long as a target needs to leave; its answers still come, and what is
-// sent to it after them is cut when it ends.
+// The list may be unavailable for as long as a target needs to shut down. Its answers still arrive,
+// and calls sent to it after them would be aborted when it ends.
 void applyAnswerHints(GatewayNode &node, const std::string &target, const AnswerMetadata &answer)
 {
     if (!answer.answeredBy.empty() && answer.answeredBy != target)
--- a/libs/gateway/src/AnswerHints.h
+++ b/libs/gateway/src/AnswerHints.h
@@ -6,19 +6,19 @@
 namespace monsoonbay {
 
 /**
- * Takes what a target says of itself with an answer: that it leaves, which all VMs are told,
- * for how long it wants nothing of this one, and how many calls it takes from all VMs. An answer of
- * another target says nothing of it.
+ * Applies what a target states about itself with an answer: that it is shutting down, which is
+ * reported to all VMs, for how long it wants no calls of this VM, and its rate limit for all VMs
+ * together. Ignores an answer that another target gave.
  */
 void applyAnswerHints(GatewayNode &node, const std::string &target, const AnswerMetadata &answer);
 
-/** True if the target takes calls of this VM now, by its own words. */
+/** True if the target takes calls of this VM now, by what it has stated. */
 bool takesCalls(GatewayNode &node, const std::string &target, Instant now);
 
-/** A peer knows that the start `startTime` of this target is leaving; 0: it does not say which. */
+/** A peer reports that the target, if started at `startTime`, is shutting down; 0: not stated. */
 void markLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t startTime);
 
-/** The target leaves, by what `source` says: it gets nothing new until it is started anew. */
+/** Marks the target as shutting down, by `source`: it gets no new calls until it restarts. */
 void markLeaving(GatewayNode &node, const std::string &target, std::string_view source);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/EngineCommands.cpp
+++ b/libs/gateway/src/EngineCommands.cpp
@@ -17,26 +17,28 @@
 
 constexpr Duration commandTimeout = std::chrono::milliseconds(250);
 constexpr Duration reportTimeout = std::chrono::milliseconds(300);
-/** A load that is not done by then is worth trying elsewhere; the longest take about a second. */
+/** After this it is worth trying another engine; the longest loads take about a second. */
 constexpr Duration maxLoadWait = std::chrono::milliseconds(800);
-/** Every slot in use: some call is likely to end within this. */
+/** Maximum wait while all slots are in use: some call is likely to end within this time. */
 constexpr Duration maxSlotWait = std::chrono::milliseconds(120);
 constexpr Duration slotPollInterval = std::chrono::milliseconds(25);
-/** A load whose turn comes before may be given up by its callers. */
+/** Interval for rechecking the queue: the callers of a load ahead in it may give up. */
 constexpr Duration turnPollInterval = std::chrono::milliseconds(10);
-/** After a refused order, and twice that after each further one; reports lag by about 100 ms. */
+/**
+ * Delay after a refused command; it doubles with each further refusal. Reports lag by about 100 ms.
+ */
 constexpr Duration firstBackoff = std::chrono::milliseconds(60);
 constexpr int maxBackoffDoublings = 3;
 constexpr Duration maxBackoffWait = std::chrono::milliseconds(130);
 /**
- * Engines answer an order within a few ms. One that has not by now is likely lost: nothing can be
- * ordered before it is given up and the engine has told what it holds.
+ * Engines answer a command within a few ms. One that is unanswered after this is probably lost: the
+ * engine takes no other command until this one has timed out and a report of the engine was read.
  */
 constexpr Duration usualAnswerTime = std::chrono::milliseconds(60);
-/** Reports lag, so a model that has been loaded shows a little later. */
+/** Reports lag, so a loaded model appears in them a little later. */
 constexpr Duration modelTimeSlack = std::chrono::milliseconds(150);
 constexpr Duration modelCheckInterval = std::chrono::milliseconds(250);
-/** Window in which loads of models from the weight store are bounded. */
+/** Window of the rate limit for loads of models from the weight store. */
 constexpr Duration modelLoadWindow = std::chrono::seconds(5);
 
 HeldEngine &heldEngineOf(GatewayNode &node, const std::string &target)
@@ -47,15 +49,14 @@
     return *engine;
 }
 
-/** An engine that refuses orders is left alone for a while, or all who wait for it would storm it.
- */
+/** Backs off from an engine that refuses commands; otherwise all waiting calls would retry. */
 void backOffFrom(HeldEngine &held, Instant now)
 {
     held.retryAt = now + firstBackoff * (1 << std::min(held.refusals, maxBackoffDoublings));
     ++held.refusals;
 }
 
-/** Shows what the scheduler holds to this gateway's own choices. */
+/** Makes the known state of an engine visible to this VM's placement and to the other VMs. */
 void publishHeldEngine(GatewayNode &node, const std::string &target)
 {
     TargetRuntime &runtime = runtimeOf(node, target);
@@ -108,7 +109,7 @@
     return model != nullptr ? model->loadTime + modelTimeSlack : modelTimeSlack;
 }
 
-/** Gives one order and notes its outcome; the lease is looked at right before it is written. */
+/** Sends one command and records its outcome; the lease is checked right before it is sent. */
 asio::awaitable<CommandOutcome> sendCommand(GatewayNode &node, std::string target,
                                             EngineCommand command, std::string adapter)
 {
@@ -122,7 +123,7 @@
     const EngineAddress address{target, entry->endpoint};
     const LoadEstimate expected =
         estimateLoad(held.scheduler, adapter, loadsUnderWay(node), node.loadEstimator);
-    // The entry may be gone by the time the answer is there.
+    // The entry may be removed before the answer arrives.
     const Duration expectedForModel = modelTime(node, *entry);
     const auto slot = held.scheduler.slots.find(adapter);
     const Duration unusedFor = slot != held.scheduler.slots.end()
@@ -135,8 +136,8 @@
         co_await node.platform->order(node.http, address, command, commandTimeout);
     held.commandInFlight = false;
     const Instant now = BootClock::now();
-    // The engine was started anew meanwhile, under the same id: nobody knows which start took the
-    // order, if any did. The scheduler is that of the new one, and a report tells what it holds.
+    // The engine restarted meanwhile under the same id. Which of the two processes got the command,
+    // if any, is not known. The state here is that of the new one, and a report has to complete it.
     if (held.scheduler.startTime != startBefore) {
         invalidateSequence(held.scheduler);
         held.changed.notifyAll();
@@ -162,7 +163,7 @@
         held.refusals = 0;
     } else if (outcome == CommandOutcome::Busy && command.load
                && recordBusyRefusal(held.scheduler, node.loadEstimator, now)) {
-        // Nothing else is in doubt.
+        // The cause is known; what is known of the other slots stays valid.
     } else {
         invalidateSequence(held.scheduler);
         backOffFrom(held, now);
@@ -194,7 +195,7 @@
     return reply;
 }
 
-/** No load is begun now; one could be at `expected`, zero: not known when. */
+/** Declines a load; one could begin at `expected`, zero: not known when. */
 v1::LoadReply declineReply(DeclineReason reason, Instant expected = Instant{})
 {
     const bool notHolder = reason == DeclineReason::NotHolder;
@@ -230,13 +231,13 @@
     return command;
 }
 
-/** True if an order or report that is under way is likely lost. */
+/** True if the command or report in flight is probably lost. */
 bool isUnanswered(const HeldEngine &held, Instant now)
 {
     return held.commandInFlight && now - held.commandSince > usualAnswerTime;
 }
 
-/** When the engine can be ordered next, as far as can be foreseen. */
+/** Earliest time at which the engine is expected to take the next command. */
 Instant nextCommandTime(const HeldEngine &held, Instant now)
 {
     if (isUnanswered(held, now))
@@ -244,7 +245,7 @@
     return std::max(now, held.retryAt);
 }
 
-/** A caller's place among those that wait for loads at an engine. */
+/** Keeps a load request in an engine's queue for as long as the object lives. */
 class QueueEntry
 {
 public:
@@ -269,9 +270,9 @@
 };
 
 /**
- * When a load can be expected to be ordered. A caller for whom that is too late finds another
- * engine at once instead, or is refused while it can still come back. See the test of load_queue
- * for what happens without.
+ * When a load is expected to begin. A call for which that is too late can try another engine at
+ * once, or is refused while its caller can still retry. The load_queue tests show the failure that
+ * this avoids.
  */
 Instant expectedLoadBegin(const GatewayNode &node, const HeldEngine &held, const std::string &key,
                           Instant now)
@@ -343,7 +344,7 @@
         const bool modelUnderWay = now < held.scheduler.modelReadyAt;
         if (modelUnderWay)
             co_return declineReply(DeclineReason::ModelMissing, held.scheduler.modelReadyAt);
-        // The caller may find another engine sooner than this one takes orders again.
+        // The call may find another engine before this one takes commands again.
         if (held.retryAt - now > maxBackoffWait)
             co_return declineReply(DeclineReason::EngineSilent, held.retryAt);
         if (now < held.retryAt) {
@@ -354,7 +355,7 @@
             co_await readReport(node, target);
             continue;
         }
-        // Without its base model an engine refuses every load of an adapter.
+        // An engine without its base model refuses every load of an adapter.
         if (held.scheduler.models.count(request.model()) == 0)
             co_return declineReply(DeclineReason::ModelMissing);
         updateRuns(held.scheduler, adapterRuns(node, target), now);
@@ -440,18 +441,18 @@
     return Counter::LoadsDeclinedOther;
 }
 
-/** A call got no load there: those that come after it do not ask again before its time. */
+/** Records a declined load, so that later calls do not request one before the time it names. */
 LoadDecline recordDecline(GatewayNode &node, const std::string &target,
                           const std::optional<v1::LoadReply> &reply)
 {
     LoadDecline decline;
     if (reply)
         decline = decodeDecline(*reply);
-    // The engine takes no such order; it may take those of other adapters.
+    // The engine rejects this adapter; it may accept others.
     const bool invalid = reply && reply->outcome() == v1::LOAD_OUTCOME_REFUSED;
-    // Of the slots of an engine that this VM orders it knows itself when one is idle.
+    // This VM is the lease holder, so it sees itself when a slot becomes idle.
     const bool slotKnown = decline.reason == DeclineReason::NoSlot && mayCommandNow(node, target);
-    // A holder that does not answer is left alone with all its engines, see holderOf().
+    // After no answer, all engines of that lease holder are avoided for a while; see holderOf().
     if (reply && !invalid && !slotKnown)
         runtimeOf(node, target).loadMark = backoffAfter(decline, BootClock::now());
     node.metrics.add(declinedCounter(decline.reason));
@@ -552,7 +553,7 @@
 
 namespace {
 
-/** This gateway's share of the loads of models that the weight store allows in a window. */
+/** True while this VM is below its share of the model loads that the weight store allows. */
 bool mayLoadModel(GatewayNode &node, const EngineSpec &spec, Instant now)
 {
     while (!node.modelLoads.empty() && now - node.modelLoads.front() > modelLoadWindow)
@@ -562,7 +563,7 @@
     return static_cast<double>(node.modelLoads.size()) < share;
 }
 
-/** Looks whether loads that are expected to go on for long are done already. */
+/** Reads a report to see whether loads that were expected to take long are done already. */
 asio::awaitable<void> checkLoads(GatewayNode &node, std::string target)
 {
     HeldEngine &held = heldEngineOf(node, target);
@@ -580,7 +581,7 @@
     held.changed.notifyAll();
 }
 
-/** One step towards an engine that holds its base model. */
+/** Takes the next step, if any is due, so that an engine gets its base model. */
 asio::awaitable<void> ensureBaseModel(GatewayNode &node, std::string target)
 {
     HeldEngine &held = heldEngineOf(node, target);
@@ -590,11 +591,11 @@
     const Instant now = BootClock::now();
     if (model == nullptr || entry->leaving)
         co_return;
-    // Before anybody asks for a load: peers are told how many slots are idle.
+    // Set before any load is requested, as peers are sent the number of busy slots.
     held.scheduler.adapterSlots = adapterCapacity(*spec, *model);
     learnFromLoads(held.scheduler, node.loadEstimator, now);
     if (isReportCheckDue(held.scheduler, node.loadEstimator.times, now))
-        spawn(node, "look at loads", checkLoads(node, target));
+        spawn(node, "check loads", checkLoads(node, target));
     if (held.commandInFlight || now < held.retryAt)
         co_return;
     if (now < held.scheduler.modelReadyAt)
@@ -626,7 +627,7 @@
                 heldTargets.push_back(id);
         }
         for (const std::string &id : heldTargets)
-            spawn(node, "tend engine", ensureBaseModel(node, id));
+            spawn(node, "load base model", ensureBaseModel(node, id));
         co_await pauseFor(node, modelCheckInterval);
     }
 }
--- a/libs/gateway/src/EngineCommands.h
+++ b/libs/gateway/src/EngineCommands.h
@@ -8,49 +8,50 @@
 
 namespace monsoonbay {
 
-/** True if some reachable gateway may order this engine now. */
+/** True if this VM, or another one that can be reached, may send commands to this engine now. */
 bool canCommand(const GatewayNode &node, const std::string &target);
 
 /**
- * True if a call may ask for a load there now: the engine is orderable, and has not told this VM to
- * come later. The load is of use if it begins within `begin`.
+ * True if a call may request a load there now: some VM may command the engine, and no declined load
+ * asks to come back later. A load that begins after `begin` is too late for the call.
  */
 bool mayRequestLoad(GatewayNode &node, const std::string &target, Duration begin);
 
 /**
- * Time until an adapter that is being loaded at an engine is expected there; nothing if none is, or
- * no call can wait for it. One that a call of this VM has only asked for yet takes `loadTime`.
+ * Expected time until an adapter that is being loaded at an engine is resident; nothing if no load
+ * is in progress, or no VM may command the engine. A load that this VM has only requested so far
+ * counts as `loadTime`.
  */
 std::optional<Duration> loadUnderWay(GatewayNode &node, const std::string &target,
                                      const std::string &adapter, Duration loadTime);
 
-/** How long a call waits for the load of its adapter at one engine. */
+/** Time limits of a call for the load of its adapter at one engine. */
 struct LoadLimits
 {
-    Duration whole{}; ///< until it is there
-    Duration begin{}; ///< until it is ordered; an engine that is busy for longer declines at once
-    int rank = 0; ///< of its route; loads of rank 0 are ordered first
+    Duration whole{}; ///< until the adapter is resident
+    Duration begin{}; ///< until the load begins; it is declined at once if it would begin later
+    int rank = 0; ///< of the call's route; loads of rank 0 go first
 
     auto operator<=>(const LoadLimits &) const = default;
 };
 
 /**
- * Has an adapter loaded, by this gateway or by the one that orders the engine. Calls that want the
- * same wait for one order. `missed`: the engine refused a call although it was taken to hold the
- * adapter. True once calls for it are accepted.
+ * Has an adapter loaded, by this VM or by the lease holder of the engine. Calls of this VM that
+ * need the same adapter there share one request. `missed`: the engine refused a call although the
+ * adapter was believed to be resident. True once the engine accepts calls for it.
  */
 asio::awaitable<bool> requestLoad(GatewayNode &node, std::string target, std::string model,
                                   std::string adapter, std::int64_t version, bool missed,
                                   LoadLimits limits);
 
-/** Carries out a load for this gateway or a peer. */
+/** Handles a load request of this VM or a peer, as the lease holder of the engine. */
 asio::awaitable<gateway::v1::LoadReply> performLoad(GatewayNode &node,
                                                     gateway::v1::LoadRequest request);
 
-/** Has engines that lost their base model load it again, for as long as the gateway runs. */
+/** Has engines without their base model load it, for as long as the gateway runs. */
 asio::awaitable<void> modelLoadLoop(GatewayNode &node);
 
-/** Takes a new version of an adapter: engines that hold an older one replace it. */
+/** Puts a new version of an adapter in force: engines that hold an older one replace it. */
 void applyAdapterVersion(GatewayNode &node, const std::string &adapter, std::int64_t version);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -17,35 +17,41 @@
 
 constexpr Duration extendInterval = std::chrono::milliseconds(100);
 constexpr Duration renewTimeout = std::chrono::milliseconds(400);
-/** While the store is away: words count for a second, so that one of three may be lost. */
+/** While renewals fail: confirmations are valid for a second, so that one of three may be lost. */
 constexpr Duration confirmationInterval = std::chrono::milliseconds(250);
 constexpr Duration confirmationTimeout = std::chrono::milliseconds(600);
 constexpr Duration firstConfirmationInterval = std::chrono::milliseconds(500);
-/** At other times words only show that a mate still lives. */
+/** At other times, confirmations only show that a zone peer is still alive. */
 constexpr Duration livenessInterval = std::chrono::seconds(10);
-/** A mate that has not answered for this long is gone: cuts of the users' list last 12 s at most.
+/**
+ * A zone peer that was silent for this long is taken as gone: the network outages that have to be
+ * tolerated last 12 s at most.
  */
 constexpr Duration goneAfter = std::chrono::seconds(40);
 /**
- * A partition goes on to its next holder when its former one has renewed twice: once to learn that
- * it was dealt anew and once to say so. Until that has settled all renew this often, or it takes up
- * to three times the time between renewals in which nobody orders: 1.2 s of each deal.
+ * A partition moves to its next holder after the former one has renewed twice: once to learn of the
+ * new assignment, and once to acknowledge it. Until the assignment has settled, all members renew
+ * at this interval. Otherwise engines would get no commands for up to three renewal intervals: 1.2
+ * s for each new assignment.
  */
 constexpr Duration settlingRenewInterval = std::chrono::milliseconds(60);
 constexpr Duration settlingTime = std::chrono::milliseconds(700);
-/** Each attempt is a call to the store; the next renewal may tell that it was in vain. */
+/** Each attempt is a call to the store; the next renewal may show that it was pointless. */
 constexpr Duration claimRetryDelay = std::chrono::milliseconds(300);
-/** Renewals in the time that a lease lasts; one may be lost. */
+/** Renewals per lease duration; one of them may be lost. */
 constexpr int renewalsPerLease = 4;
 
-/** The next holder orders some 4 s after a release; a shorter cut is over before. */
+/**
+ * The lease is kept through link losses up to this long. The next holder sends its first commands
+ * some 4 s after a release, and a shorter loss is over before that.
+ */
 constexpr Duration leaseKeptTime = std::chrono::milliseconds(2500);
 
 /**
- * A holder that is cut off from the store orders on by the word of the VMs it knows. One that has
- * not heard of this VM would not ask it, so a VM that is new waits: until it has heard all VMs of
- * its zone that the store names, or until such a cut would have ended; those of the users' list
- * last 12 s at most.
+ * A lease holder that is cut off from the store keeps its lease by confirmations of the VMs that it
+ * knows. It would not ask a VM that it does not know, so a new VM waits: until it has received
+ * confirmations from all VMs of its zone that the store lists, or until such an outage would be
+ * over. The network outages that have to be tolerated last 12 s at most.
  */
 constexpr Duration newMemberWait = std::chrono::seconds(15);
 
@@ -57,8 +63,8 @@
 
 bool mayBeUnknownToHolder(const GatewayNode &node, Instant now)
 {
-    // Before it was started anew it ordered, so the others have heard of it and go on asking it at
-    // its address. They forget a VM only after it has been down for `goneAfter`.
+    // An earlier boot of this VM was a lease holder, so the others know it and still ask it at its
+    // address. They forget a VM only after it has been down for `goneAfter`.
     if (node.heldBefore)
         return false;
     if (now - node.joinedLeaseAt >= newMemberWait)
@@ -85,7 +91,7 @@
 
 namespace {
 
-/** Time until every partition held may be ordered. */
+/** Time until commands may be sent in every partition held. */
 long waitMs(const PartitionLease &lease, Instant now)
 {
     Instant last = now;
@@ -94,7 +100,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(last - now).count();
 }
 
-/** Those of the zone that could be dealt what this VM holds. */
+/** The confirmations of the zone peers that could be assigned what this VM holds. */
 std::vector<PeerLeaseState> confirmationsOfZonePeers(const GatewayNode &node)
 {
     std::vector<PeerLeaseState> confirmations;
@@ -123,7 +129,7 @@
                        [&vm](const auto &record) { return record.second.vm == vm; });
 }
 
-/** Notes in the store what this VM is about to order; see claimsToRecord(). */
+/** Records in the store which partitions this VM is about to command; see claimsToRecord(). */
 asio::awaitable<void> recordClaims(GatewayNode &node)
 {
     node.recordingClaims = true;
@@ -176,12 +182,12 @@
                      {{"generation", std::to_string(node.lease.generation)},
                       {"partitions", "0"},
                       {"before", std::to_string(before)},
-                      {"why", "the store is away, and not all VMs of the zone say so"}});
+                      {"why", "store unreachable, and not confirmed by all VMs of the zone"}});
         const Instant now = BootClock::now();
         const bool mayRecord = !node.recordingClaims && !node.renewalFailing && !node.leftLeaseGroup
             && now >= node.claimRetryAt;
         if (mayRecord && isWriteDue(node.lease, now))
-            spawn(node, "note orders", recordClaims(node));
+            spawn(node, "record lease holder", recordClaims(node));
         retractEngines(node);
         co_await pauseFor(node, extendInterval);
     }
@@ -199,8 +205,8 @@
 
 namespace {
 
-// As before its end, this VM gives no order from here on; those who are dealt its engines wait as
-// long after its release as after any other.
+// From here on this VM sends no command, as after leaveLease(). The VMs that are assigned its
+// engines wait as long after this release as after any other.
 asio::awaitable<void> yieldLease(GatewayNode &node)
 {
     const LeaseRenewal renewal = renewalOf(node);
@@ -208,7 +214,7 @@
              {{"generation", std::to_string(node.lease.generation)},
               {"partitions", "0"},
               {"before", std::to_string(node.lease.activeFrom.size())},
-              {"why", "the links to engines are lost, and a VM of the zone reaches them"}});
+              {"why", "links to engines are lost, and another VM of the zone reaches them"}});
     node.leaseYielded = true;
     node.leaseRenewed = false;
     node.renewalFailing = false;
@@ -224,7 +230,8 @@
 {
     Instant assignedAt{};
     while (!node.stopped && !node.leftLeaseGroup) {
-        // Without its own record in the store it could not tell its boots apart; see EngineRecord.
+        // Without its boot count from the store, this VM could not order its records after those of
+        // its earlier boots; see EngineRecord.
         if (!node.mayHoldLease || node.bootCount == 0) {
             co_await pauseFor(node, extendInterval);
             continue;
@@ -255,7 +262,7 @@
                           {"ordersAllInMs", std::to_string(waitMs(node.lease, BootClock::now()))},
                           {"before", std::to_string(before)}});
         }
-        // What another gateway may have ordered meanwhile is not known here any more.
+        // Another VM may have commanded these engines meanwhile, so their sequence is unknown.
         for (const auto &[target, engine] : node.heldEngines) {
             if (!mayCommandNow(node, target))
                 invalidateSequence(engine->scheduler);
@@ -284,7 +291,7 @@
     PeerState &peer = found->second;
     peer.lastHeardAt = BootClock::now();
     peer.leftLeaseGroup = confirmation->left();
-    // It counts from the question: the answer may have been under way for long.
+    // It is valid from the time of the request, as the answer may have been in transit for long.
     peer.leaseConfirmation.askedAt = askedAt;
     peer.leaseConfirmation.confirmation = {askedAt, confirmation->generation(),
                                            !confirmation->may_hold()};
@@ -315,7 +322,7 @@
             due.push_back(endpoint);
         }
         for (const Endpoint &endpoint : due)
-            spawn(node, "ask word", askLeaseConfirmation(node, endpoint));
+            spawn(node, "request lease confirmation", askLeaseConfirmation(node, endpoint));
         co_await pauseFor(node, confirmationInterval);
     }
 }
@@ -330,14 +337,15 @@
     v1::Word confirmation;
     encodeSelf(node, *confirmation.mutable_from());
     confirmation.set_generation(node.lease.generation);
-    // One that does not take part waits like any other before it orders, should it join.
+    // A VM that is not a member now waits like any other before it sends commands, should it join.
     confirmation.set_may_hold(node.leaseRenewed && !node.leftLeaseGroup);
     confirmation.set_left(node.leftLeaseGroup);
     return confirmation;
 }
 
-// A VM that is asked to end goes on ordering its engines until its last call has ended, which can
-// take seconds: nobody else could order them for 3.3 s, and if it is back at once, it goes on.
+// Called only after the last call has ended, or at the shutdown limit, which can take seconds.
+// Until then a VM that shuts down keeps sending commands: nobody else could command its engines
+// for 3.3 s, and if it is back at once, it just continues.
 asio::awaitable<void> leaveLease(GatewayNode &node)
 {
     const LeaseRenewal renewal = renewalOf(node);
--- a/libs/gateway/src/LeaseKeeping.h
+++ b/libs/gateway/src/LeaseKeeping.h
@@ -6,29 +6,32 @@
 
 namespace monsoonbay {
 
-/** True if this gateway may order it now. */
+/** True if this VM holds the lease for the engine and may send commands to it now. */
 bool mayCommandNow(const GatewayNode &node, const std::string &target);
 
-/** Renews the lease for as long as the gateway runs. */
+/** Joins the lease group and renews the lease until this VM leaves the group or stops. */
 asio::awaitable<void> leaseLoop(GatewayNode &node);
 
-/** Lets the lease go on, or drops it in time, while the store cannot be reached. */
+/**
+ * While the store cannot be reached: extends the lease as long as all zone peers allow it, or drops
+ * it in time. Also records the lease holder in the store when that is due.
+ */
 asio::awaitable<void> extendLoop(GatewayNode &node);
 
-/** Asks the other VMs of the zone whether they may hold what this VM holds, as often as needed. */
+/** Requests lease confirmations from zone peers: whether they may hold what this VM holds. */
 asio::awaitable<void> leaseConfirmationLoop(GatewayNode &node);
 
-/** What this VM answers to that. */
+/** Answers a zone peer's request for a lease confirmation. */
 gateway::v1::Word answerLeaseConfirmation(GatewayNode &node,
                                           const gateway::v1::WordRequest &request);
 
 /**
- * True if this VM is to let mates order its engines: it does not reach them, and a mate does. All
- * who want a load there would wait in vain for as long as it holds on to them.
+ * True if this VM should leave its engines to zone peers, because it does not reach them and a zone
+ * peer does. As long as it kept the lease, all loads there would wait in vain.
  */
 bool shouldYieldLease(const GatewayNode &node, Instant now);
 
-/** Gives the lease back, so that another gateway need not wait for its end. */
+/** Releases the lease for good, so that the next lease holder need not wait for it to expire. */
 asio::awaitable<void> leaveLease(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/LinkWatch.cpp
+++ b/libs/gateway/src/LinkWatch.cpp
@@ -14,7 +14,7 @@
 constexpr Duration probeTimeout = std::chrono::milliseconds(250);
 constexpr std::size_t maxConcurrentProbes = 6;
 
-/** Targets that are down for all are looked at no more often. */
+/** Minimum interval between checks, as targets may be down for all VMs. */
 constexpr Duration checkInterval = std::chrono::milliseconds(1000);
 
 bool isAnyServiceLost(const GatewayNode &node)
@@ -23,8 +23,8 @@
                        [](const auto &entry) { return entry.second.lost; });
 }
 
-// Good answers fade within some seconds. What others tell of failures does not count: they may be
-// cut off as well.
+// The weight of good answers decays within some seconds. Failures that others report do not count:
+// those VMs may be cut off as well.
 bool othersReach(const GatewayNode &node, const std::string &target)
 {
     return othersUsageAt(node, target).successes > 0;
@@ -49,7 +49,7 @@
     return counts;
 }
 
-/** Some targets of the service that other VMs reach, or that may be so, drawn anew each time. */
+/** A random sample of the service's targets; with `othersReachThem`, of those that others reach. */
 std::vector<TargetEntry> sampleTargets(GatewayNode &node, const std::string &service,
                                        bool othersReachThem)
 {
@@ -67,7 +67,7 @@
     return entries;
 }
 
-/** Probes under way together. */
+/** A round of concurrent probes. */
 struct Probing
 {
     explicit Probing(asio::io_context &context)
@@ -79,7 +79,7 @@
     Signal done;
 };
 
-/** Tries to connect; a connection serves a call later. */
+/** Tries to connect; the connection is kept for a later call. */
 asio::awaitable<void> probe(GatewayNode &node, TargetEntry target, std::shared_ptr<Probing> probing)
 {
     ConnectResult result = co_await connectTo(node.context, target.endpoint, probeTimeout);
@@ -104,7 +104,7 @@
     co_return probing->round;
 }
 
-/** What was seen of targets while the links were lost tells nothing of the targets. */
+/** Drops what was observed of targets while the links were lost: it says nothing about them. */
 void resetObservations(GatewayNode &node, const std::string &service)
 {
     for (const TargetRecord *record : targetsOf(node, service)) {
@@ -131,7 +131,7 @@
     }
 }
 
-/** Finds out whether links that seem to be lost are. */
+/** Probes targets to find out whether links that seem to be lost really are. */
 asio::awaitable<void> checkLinks(GatewayNode &node, std::string service);
 
 void beginCheck(GatewayNode &node, const std::string &service)
@@ -166,7 +166,7 @@
               {"reached", std::to_string(round.reached)}});
     node.reportDue.notifyAll();
     spawn(node, "probe targets", probeLoop(node, service));
-    // A cut seldom parts a VM from one service alone, and calls of the others may be few.
+    // A network outage seldom affects one service alone, and the others may have few calls.
     for (const ServiceSpec &other : node.routes->config().services)
         beginCheck(node, other.name);
 }
--- a/libs/gateway/src/LinkWatch.h
+++ b/libs/gateway/src/LinkWatch.h
@@ -8,30 +8,33 @@
 namespace monsoonbay {
 
 /**
- * Whether this VM has lost its own links to the targets of a service, while other VMs reach them.
- * It is judged by attempts of this VM to connect, and by what others tell of their calls; see
- * serving/TargetLinks.h. Kept connections may live on in a cut, and do not count. Nothing is sent
- * for it while links are sound.
+ * Detects that this VM has lost its links to the targets of a service while other VMs reach them.
+ * The evidence is this VM's own connection attempts and the usage that other VMs report; see
+ * serving/TargetLinks.h. Open connections may survive a network outage, and do not count. While
+ * links are healthy, nothing is sent for this.
  */
 
-/** A connection to the target failed, or was given up as silent. */
+/** Records that a connection to the target failed, or was closed because it was silent. */
 void recordLinkFailure(GatewayNode &node, const std::string &target);
 
-/** The target accepted a connection. */
+/** Records that the target accepted a connection. */
 void recordLinkSuccess(GatewayNode &node, const std::string &target);
 
 bool areLinksLost(const GatewayNode &node, const std::string &service);
 
-/** When the links to engines were lost; nothing: they are not. */
+/** When the links to engines were lost; nothing: they are not lost. */
 std::optional<Instant> engineLinksLostSince(const GatewayNode &node);
 
-/** VMs of the zone that can be heard and have not lost their links to engines, but for one. */
+/** Reachable VMs of the zone, except `excluded`, that have not lost their links to engines. */
 int linkedVms(const GatewayNode &node, const Endpoint &excluded);
 
-/** True if this VM does not reach the target, though others do. */
+/** True if this VM recently failed to connect to the target, while other VMs reach it. */
 bool isOwnLinkFault(const GatewayNode &node, const std::string &target, Instant now);
 
-/** True if what this VM sees of the target tells of its links; others must not hear of it. */
+/**
+ * True if what this VM observes of the target may be due to its own lost links. Such observations
+ * must not be reported to other VMs.
+ */
 bool isObservationDoubtful(const GatewayNode &node, const std::string &target);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/LostCalls.cpp
+++ b/libs/gateway/src/LostCalls.cpp
@@ -11,22 +11,22 @@
 
 namespace {
 
-/** The calls of one end break off together; the look at the target waits for all of them. */
+/** When a target ends, all its calls break off together; the probe waits for all of them. */
 constexpr Duration lossBatchDelay = std::chrono::milliseconds(20);
 
-/** Links within a deployment take a few ms. */
+/** Connecting within a deployment takes a few ms. */
 constexpr Duration probeTimeout = std::chrono::milliseconds(250);
 
-/** Within this the looks at other targets that lost calls at the same time are over. */
+/** By then, probes of other targets that lost calls at the same time are done. */
 constexpr Duration otherProbesWait = std::chrono::milliseconds(150);
 
-/** The list tells of a new start, or that the target is gone, within some renewals of its entry. */
+/** The list shows a restart, or that the target is gone, within a few renewals of its entry. */
 constexpr Duration maxListDelay = std::chrono::seconds(10);
 
-/** Lost calls of one target that are kept; as many as engines run at once. */
+/** Lost calls that are kept for one target; engines run as many at once. */
 constexpr std::size_t maxLostCalls = 256;
 
-/** Calls of an end that a log line names; enough to find one that several ends have in common. */
+/** Calls that a log line names; enough to find a call that several ended targets have in common. */
 constexpr std::size_t maxCallsLogged = 16;
 
 std::string callsText(const std::vector<CallIdentity> &calls)
@@ -37,7 +37,9 @@
     return text;
 }
 
-/** The target ended under what was lost since `from`. `nextStartTime`: its new start; 0: not known.
+/**
+ * Records as evidence that the target ended during the calls that were lost since `from`.
+ * `nextStartTime`: its start time after that; 0: not known.
  */
 void recordEnd(GatewayNode &node, const std::string &target, Instant from,
                std::int64_t nextStartTime, std::string_view seenBy)
@@ -66,9 +68,9 @@
 }
 
 /**
- * The target refused a connection after calls were lost there. At a VM whose links are cut all
- * targets seem to end together, so this waits for what the others come to; calls that were lost to
- * the links are no evidence against anything.
+ * Handles a target that refused a connection after calls were lost there. To a VM that has lost its
+ * links, all targets seem to end at once, so this waits for the probes of the others. Calls that
+ * were lost because of the links are no evidence.
  */
 asio::awaitable<void> handleRefusedConnection(GatewayNode &node, std::string target,
                                               Instant firstLoss)
@@ -103,8 +105,9 @@
         co_return;
     }
     runtime.lost.checking = false;
-    // Silence may be the link's, and who accepts may only stand before the target or have started
-    // anew at once: then the list tells. A connection serves the next call.
+    // Other outcomes prove nothing: the link may be the cause of silence, and a connection may have
+    // been accepted by a proxy or by a target that restarted at once. Then the list will show it.
+    // The connection is kept for the next call.
     if (result.connection)
         giveBack(runtime.pool, std::move(result.connection), Duration::zero(), BootClock::now());
 }
@@ -115,7 +118,7 @@
 {
     GatewayNode &node = run.node;
     TargetRuntime &runtime = runtimeOf(node, target);
-    // What leaves ends soon whatever it runs.
+    // A target that is shutting down ends soon whatever it runs.
     if (runtime.leaving)
         return;
     LostCalls &lost = runtime.lost;
@@ -127,12 +130,12 @@
         return;
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr) {
-        // One that fell silent is off the list before its connections are given up.
+        // A silent target is removed from the list before its connections are closed.
         recordEndByList(node, target, 0);
         return;
     }
     lost.checking = true;
-    spawn(node, "look at a target", probeTarget(node, target, entry->endpoint));
+    spawn(node, "probe a target after a lost call", probeTarget(node, target, entry->endpoint));
 }
 
 void recordEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime)
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -12,18 +12,22 @@
 
 namespace {
 
-/** A holder that reports here, every 200 ms or so, and has been silent for this long is taken as
- * dead: calls that wait for its loads would wait for nothing. */
+/**
+ * Holders report here about every 200 ms. One that was silent for this long is taken as dead, as
+ * calls that wait for its loads would wait in vain.
+ */
 constexpr Duration holderTimeout = std::chrono::milliseconds(1200);
 
-/** A holder that did not answer is not asked for this long; other engines take its misses. */
+/** A lease holder that did not answer is avoided for this long; other engines take its loads. */
 constexpr Duration failedLoadBackoff = std::chrono::milliseconds(1000);
 
-/** Expected times are told in steps of this: each step is news for all VMs. */
+/** Published load times are rounded to this, as each change is sent to all VMs. */
 constexpr Duration publishedStep = std::chrono::milliseconds(20);
 
-/** An expected time is told anew when it is off by this share: all engines of a holder share it,
- * and each time that is told is news of all of them. */
+/**
+ * A load time is published again only when it differs by more than this fraction. All engines of a
+ * lease holder share it, so each change is an update for all of them.
+ */
 constexpr double republishThreshold = 0.1;
 
 double roundedToStep(Duration time)
@@ -32,7 +36,7 @@
         toMillis((time + publishedStep / 2) / publishedStep * publishedStep));
 }
 
-/** What is to be told of an expected time, ms, if `published` was told of it last. */
+/** The load time to publish, in ms, if `published` was published last. */
 double timeToPublish(double published, Duration time)
 {
     const double now = roundedToStep(time);
@@ -123,8 +127,8 @@
     node.reportDue.notifyAll();
 }
 
-// The generation stays the one in which the engine was held: the next holder's word, in a later
-// generation, has to go before this one in whatever order they arrive.
+// Keeps the generation in which the engine was held: the next holder's record, which has a later
+// generation, has to win over this one in whatever order they arrive.
 void retractEngines(GatewayNode &node)
 {
     std::vector<std::string> lost;
@@ -145,7 +149,7 @@
 
 namespace {
 
-/** Nobody is known to order it; the holder's own word, and its revision, stay as they are. */
+/** Marks an engine as having no live lease holder; the holder's record and revision are kept. */
 void markUnheld(GatewayNode &node, const std::string &target)
 {
     EngineRecord record = *node.shared.engines.find(target);
@@ -153,7 +157,7 @@
     node.shared.engines.set(target, std::move(record), node.shared.counter);
 }
 
-/** True if the VM that may order an engine can be reached, as far as this relay has heard. */
+/** True if the lease holder of an engine is alive, by the reports that reach this relay. */
 bool isHolderAlive(const GatewayNode &node, const std::string &target, const EngineRecord &record,
                    Instant now)
 {
@@ -168,8 +172,8 @@
 
 } // namespace
 
-// The holder's own word stays as it is; a relay only adds whether it can be reached. The others of
-// its zone learn that from it.
+// Keeps the lease holder's own record; the relay only adds whether that VM can be reached, which
+// the other VMs of the zone learn from it.
 void markSilentHolders(GatewayNode &node, Instant now)
 {
     if (!node.relaying)
@@ -183,7 +187,8 @@
         markUnheld(node, target);
 }
 
-// Asked again at once, it would say the same to every call that waits; it tells when it may order.
+// If it were asked again at once, it would reply the same to every waiting call; it publishes a new
+// record once it holds the engine.
 void recordNotHolder(GatewayNode &node, const std::string &target, const Endpoint &asked)
 {
     const EngineRecord *record = node.shared.engines.find(target);
@@ -227,8 +232,9 @@
     return std::max(1, static_cast<int>(holders.size()));
 }
 
-// What was last told of an engine whose holder is not heard, or that is gone, never ends: counted
-// on, it would make the store seem crowded, and every load longer than it is.
+// Skips engines that are gone or whose lease holder is silent: nothing reports the end of their
+// loads. If they stayed in the count, the weight store would look busy, and all loads would be
+// expected to take longer than they do.
 int loadsUnderWay(const GatewayNode &node)
 {
     int loads = 0;
--- a/libs/gateway/src/SharedEngines.h
+++ b/libs/gateway/src/SharedEngines.h
@@ -7,35 +7,35 @@
 
 namespace monsoonbay {
 
-/** Takes what a peer says of an engine, unless this VM orders it itself or knows newer. */
+/** Applies a peer's record of an engine, unless this VM holds it or has a newer record. */
 void applyEngineRecord(GatewayNode &node, const std::string &target, EngineRecord record);
 
-/** The same of what changed; it is asked for whole if it is not of the record that is known. */
+/** The same for a delta. If it does not fit the known record, adds the engine to `unknown`. */
 void applyEngineChange(GatewayNode &node, std::set<std::string> &unknown, const std::string &target,
                        const EngineChange &change);
 
-/** Tells the others what this VM knows of an engine that it orders. */
+/** Publishes this VM's state of an engine that it holds to the other VMs. */
 void publishEngine(GatewayNode &node, const std::string &target);
 
-/** Tells the others which engines this VM no longer orders. */
+/** Reports to the other VMs which engines this VM no longer holds. */
 void retractEngines(GatewayNode &node);
 
-/** The holder of an engine says that it may not order it. */
+/** Records that the VM asked for a load replied that it does not hold the engine. */
 void recordNotHolder(GatewayNode &node, const std::string &target, const Endpoint &asked);
 
-/** As a relay: marks engines whose holder has fallen silent. */
+/** On a relay: marks engines whose lease holder has fallen silent. */
 void markSilentHolders(GatewayNode &node, Instant now);
 
-/** A peer of that zone says that an engine's holder lives. */
+/** Records that, by a peer of `zone`, the engine's lease holder is alive. */
 void applyHolderLiveness(GatewayNode &node, const std::string &zone, const std::string &target);
 
-/** The gateway that may order an engine, if it is not this one; null: none is known. */
+/** The other VM that holds the lease for an engine; null: none is known that can be asked. */
 const PeerState *holderOf(const GatewayNode &node, const std::string &target);
 
-/** Gateways that order engines now, as far as is known; at least 1. */
+/** Number of VMs known to hold engines now; at least 1. */
 int liveHolders(const GatewayNode &node);
 
-/** Adapters under way at all engines. */
+/** Loads in progress from the weight store, over all engines. */
 int loadsUnderWay(const GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/TargetRestarts.cpp
+++ b/libs/gateway/src/TargetRestarts.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The counts of calls under way stay: each call takes its own off when it ends.
+// Keeps the counts of calls in flight: each call subtracts itself when it ends.
 void forgetTarget(TargetRuntime &runtime)
 {
     runtime.health = TargetHealth();
@@ -47,9 +47,10 @@
 
 } // namespace
 
-// Without this, a target that came back under its id would be taken to hold what its former start
-// held: calls for those adapters bounce, its holder's orders are refused for the former count, and
-// one that said it was leaving would get nothing for ever.
+// Without this, a target that restarted under the same id would be believed to hold what it held
+// before: calls for those adapters would be refused there, commands of its lease holder would be
+// refused because of the old sequence, and a target that had announced its shutdown would never get
+// work again.
 StartOrder recordStartTime(GatewayNode &node, const std::string &target, std::int64_t startTime)
 {
     const auto found = node.targetTable.records.find(target);
@@ -70,7 +71,7 @@
     forgetEngine(node.prefixes.table, engineKey(target, record.entry.startTime));
     record.entry.startTime = startTime;
     record.entry.leaving = false;
-    record.entry.software.clear(); // it may have come back as another version
+    record.entry.software.clear(); // it may have restarted with another version
     record.entry.models.clear();
     record.entry.adapters.clear();
     record.gone = false;
--- a/libs/gateway/src/TargetRestarts.h
+++ b/libs/gateway/src/TargetRestarts.h
@@ -8,8 +8,9 @@
 namespace monsoonbay {
 
 /**
- * Takes from any word about a target of which start of it the word is. If it is a later one than
- * was known, all that was believed of the target is dropped. `startTime` 0: the word does not say.
+ * Compares the start time of a target in any message about it with the known one. If it is later,
+ * the target has restarted, and all state of its previous run is dropped. `startTime` 0: not
+ * stated.
  */
 StartOrder recordStartTime(GatewayNode &node, const std::string &target, std::int64_t startTime);
 
--- a/libs/gateway/src/UsageReports.cpp
+++ b/libs/gateway/src/UsageReports.cpp
@@ -12,12 +12,12 @@
 
 namespace v1 = gateway::v1;
 
-/** Changes of this long go together; a load takes forty times as long. */
+/** Changes within this time are reported together; a load takes forty times as long. */
 constexpr Duration batchDelay = std::chrono::milliseconds(5);
 constexpr Duration reportTimeout = std::chrono::milliseconds(400);
-/** All own calls are told again this often, for holders that are new and notes that were lost. */
+/** All calls are reported again this often, for new lease holders and after lost reports. */
 constexpr Duration fullReportInterval = std::chrono::milliseconds(1000);
-/** A VM that has not told for this long has ended, and its calls with it, or is cut off. */
+/** A VM that was silent for this long has ended, and its calls with it, or is cut off. */
 constexpr Duration reportValidity = std::chrono::milliseconds(3500);
 
 v1::EngineRuns runsAt(const GatewayNode &node, const std::string &target)
@@ -39,7 +39,7 @@
 {
     const auto reply =
         co_await node.peerLinks.reportUsage(holder, std::move(report), reportTimeout);
-    static_cast<void>(reply); // a lost note is made good by the next one
+    static_cast<void>(reply); // the next report makes up for a lost one
 }
 
 void sendUsageReports(GatewayNode &node)
@@ -49,7 +49,7 @@
         const auto engine = node.heldEngines.find(target);
         if (engine != node.heldEngines.end())
             engine->second->changed.notifyAll();
-        // Also one that did not answer lately: it may still give slots away.
+        // Includes a lease holder that did not answer lately: it may still reuse slots.
         const EngineRecord *record = node.shared.engines.find(target);
         if (record == nullptr || !record->holderLive || record->holder == node.settings.peers)
             continue;
@@ -59,7 +59,8 @@
     for (auto &[holder, report] : reports) {
         encodeSelf(node, *report.mutable_from());
         report.set_sequence(++node.usageSequence);
-        spawn(node, "tell holder", sendUsageReport(node, holder, std::move(report)));
+        spawn(node, "report usage to a lease holder",
+              sendUsageReport(node, holder, std::move(report)));
     }
 }
 
@@ -108,7 +109,7 @@
     const Instant now = BootClock::now();
     for (const v1::EngineRuns &engine : report.engines()) {
         ReportedRuns &runs = node.reportedRuns[engine.target()][from];
-        // Notes overtake one another; each tells of other engines, so each counts for its own.
+        // Reports may arrive out of order and cover different engines, so age is checked by engine.
         const bool older = runs.boot == report.from().boot() && report.sequence() <= runs.sequence;
         if (older)
             continue;
--- a/libs/gateway/src/UsageReports.h
+++ b/libs/gateway/src/UsageReports.h
@@ -8,26 +8,26 @@
 namespace monsoonbay {
 
 /**
- * Which slots of an engine are in use, told by each VM straight to the holder of the engine.
+ * Which slots of an engine are in use, reported by each VM directly to the engine's lease holder.
  *
- * The holder takes a slot for another adapter as soon as it is idle. With old news it unloads an
- * adapter that is in use, and the engine then takes no order until that call has ended; or it
- * leaves slots unused while callers are refused for want of one.
+ * The lease holder reuses a slot for another adapter as soon as it is idle. With outdated reports
+ * it would unload an adapter that is in use, after which the engine takes no command until that
+ * call has ended; or it would leave slots unused while calls are refused for lack of one.
  */
 
-/** Calls of all gateways at an engine that this one orders, by adapter. */
+/** Calls of all VMs at an engine that this VM holds, by adapter. */
 std::map<std::string, int> adapterRuns(const GatewayNode &node, const std::string &target);
 
-/** Slots in use at an engine that this gateway orders; 0 at others. */
+/** Slots in use at an engine that this VM holds; 0 at others. */
 int busySlots(GatewayNode &node, const std::string &target);
 
-/** Own calls at an engine begin or stop to use an adapter: its holder is to know. */
+/** Schedules a report: calls of this VM have begun or stopped to use an adapter at an engine. */
 void markRunsChanged(GatewayNode &node, const std::string &target);
 
-/** Takes another VM's word. */
+/** Applies another VM's usage report. */
 gateway::v1::UseNoted applyUsageReport(GatewayNode &node, const gateway::v1::UseNote &report);
 
-/** Tells holders of own calls for as long as the gateway runs. */
+/** Reports this VM's calls to lease holders for as long as the gateway runs. */
 asio::awaitable<void> usageReportLoop(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/ZonePeers.h
+++ b/libs/gateway/src/ZonePeers.h
@@ -7,7 +7,7 @@
 
 namespace monsoonbay {
 
-/** Reporters that were silent for this long no longer count, nor what they had under way. */
+/** Reporters that were silent for this long no longer count, and neither does their usage. */
 constexpr Duration reporterTimeout = std::chrono::milliseconds(1500);
 
 /** The VMs of one zone as candidates for its relay. */
@@ -17,13 +17,13 @@
     std::vector<PeerState *> peers; ///< in the same order
 };
 
-/** What this VM knows of the VMs of a zone; itself is not among them. */
+/** The VMs of a zone that this VM knows by name, without this VM. */
 ZonePeers zonePeersOf(GatewayNode &node, const std::string &zone);
 
 /** True for a VM of the own zone that is known by name. */
 bool isZonePeer(const GatewayNode &node, const PeerState &peer);
 
-/** Other VMs of the own zone that are known. */
+/** Number of other VMs of the own zone that are known. */
 int countZonePeers(const GatewayNode &node);
 
 /** True if it has not failed to answer lately and is not stopping. */
