--- a/libs/gateway/src/PeerCodec.cpp
+++ b/libs/gateway/src/PeerCodec.cpp
@@ -13,7 +13,7 @@
 
 constexpr int maxRank = 1000;
 
-/** Longer times than this are not told of loads. */
+/** Upper bound of the retry times that are sent for declined loads. */
 constexpr Duration maxRetryIn = std::chrono::seconds(60);
 
 std::uint16_t portOf(std::uint32_t port)
@@ -144,7 +144,7 @@
 
 void encodeDecline(const LoadDecline &decline, v1::LoadReply &reply)
 {
-    // Rounded up: a holder that is asked a moment too early declines once more.
+    // Rounded up: a lease holder that is asked a moment too early declines once more.
     const Duration retryIn = std::clamp(decline.retryIn, Duration::zero(), maxRetryIn);
     const auto millis = static_cast<std::uint32_t>(toMillis(retryIn));
     const bool roundedDown = retryIn > std::chrono::milliseconds(millis);
@@ -186,7 +186,7 @@
 
 namespace {
 
-/** False if what `message` says of classes is invalid. */
+/** False if the classes in `message` are invalid. */
 bool decodeInto(const v1::WorkspaceUse &message, WorkspaceUse &use)
 {
     use.unitsInWindow =
@@ -285,8 +285,8 @@
     message.set_ago_ms(toMillis(now - release.at));
 }
 
-// A message that was long under way makes a release look younger than it is, which only lengthens
-// the wait for it.
+// A message that was in transit for long makes a release look more recent than it is, which only
+// lengthens the wait for it.
 PartitionRelease decodeRelease(const v1::Released &message, Instant now)
 {
     PartitionRelease release;
--- a/libs/gateway/src/PeerCodec.h
+++ b/libs/gateway/src/PeerCodec.h
@@ -8,11 +8,11 @@
 
 namespace monsoonbay {
 
-/** Types of the serving libraries to and from the messages between gateways. */
+/** Conversion between types of the serving libraries and the messages between VMs. */
 
 void encodeVm(const std::string &name, const Endpoint &endpoint, std::uint64_t boot,
               const SharedVm &fact, gateway::v1::Vm &vm);
-/** This VM. */
+/** Encodes this VM itself. */
 void encodeSelf(const GatewayNode &node, gateway::v1::Vm &vm);
 Endpoint decodeEndpoint(const gateway::v1::Vm &vm);
 SharedVm decodeVm(const gateway::v1::Vm &vm);
@@ -25,20 +25,20 @@
                   gateway::v1::EngineState &state);
 EngineChange decodeChange(const gateway::v1::EngineState &state);
 
-/** The adapters go to the holder of an engine only, see UsageReports.h. */
-/** Rank of the call that a load is for. */
+/** Rank of the route whose call needs a load. */
 void encodeRank(int rank, gateway::v1::LoadRequest &request);
 int decodeRank(const gateway::v1::LoadRequest &request);
 
-/** The holder's answer that it begins no load. */
+/** The lease holder's answer that it does not begin a load. */
 void encodeDecline(const LoadDecline &decline, gateway::v1::LoadReply &reply);
 LoadDecline decodeDecline(const gateway::v1::LoadReply &reply);
 
+/** Without the adapters in use: only the engine's lease holder gets them, see UsageReports.h. */
 void encodeUse(const std::string &target, const TargetUsage &use, gateway::v1::EngineUse &message);
 void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &use,
                         gateway::v1::WorkspaceUse &message);
 WorkspaceUse decodeWorkspaceUse(const gateway::v1::WorkspaceUse &message);
-/** All that one message tells; one event if part of it is invalid. */
+/** All entries of one message; logs one event if some of them are invalid. */
 WorkspaceUses
 decodeWorkspaceUses(const google::protobuf::RepeatedPtrField<gateway::v1::WorkspaceUse> &all,
                     const gateway::v1::Vm &from);
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -26,24 +26,24 @@
 
 namespace v1 = gateway::v1;
 
-/** A relay that does not answer in this time is passed over; it answers in a few ms. */
+/** A relay answers in a few ms; one that does not answer in this time is skipped. */
 constexpr Duration reportTimeout = std::chrono::milliseconds(500);
-/** After a failed exchange, and twice that after each further one. */
+/** Delay after a failed exchange; it doubles with each further failure. */
 constexpr Duration firstRetry = std::chrono::milliseconds(500);
 constexpr int maxRetryDoublings = 4;
-/** VMs of a zone that order engines; each of them calls the store twice a second for its lease. */
+/** Lease holders per zone; each of them calls the store twice a second for its lease. */
 constexpr std::size_t holdersPerZone = 4;
-/** Longest time for which releases are told on; see PartitionLease. */
+/** Maximum age of lease releases that are passed on; see PartitionLease. */
 constexpr Duration maxReleaseAge = std::chrono::seconds(8);
 
 std::string reporterOf(const GatewayNode &node, const v1::Vm &vm)
 {
-    // A zone is reported by whichever VM relays it; the newest word replaces the former relay's.
+    // A zone is reported by its current relay, whose report replaces that of the previous relay.
     return vm.zone() == node.settings.zone ? decodeEndpoint(vm).text()
                                            : zoneReporterName(vm.zone());
 }
 
-/** What this VM has under way, and the busy slots of the engines that it orders. */
+/** Usage by this VM's calls in flight, and the busy slots of the engines that it holds. */
 TargetUsages ownUses(GatewayNode &node)
 {
     TargetUsages uses;
@@ -59,7 +59,7 @@
     return uses;
 }
 
-/** Sums of what this VM and those of its zone that report to it have under way. */
+/** The total usage of this VM and of the zone peers that report to it. */
 TargetUsages zoneUses(GatewayNode &node)
 {
     TargetUsages uses = ownUses(node);
@@ -145,9 +145,9 @@
     const Instant now = BootClock::now();
     report->set_carries_use(true);
     addPrefixesToReport(node, peer, zonePeer, now, *report);
-    // To a mate, this VM speaks for itself alone. While many start, their views of who relays
-    // differ, and two that passed on what they heard would add each other's sums again with each
-    // report.
+    // To a zone peer, a VM reports only its own usage. While many VMs start, they disagree on who
+    // the relay is, and two that passed on what they received would add each other's sums again
+    // with each report.
     const bool wholeZone = !zonePeer && !peer.zone.empty();
     report->set_vms(static_cast<std::uint32_t>(wholeZone ? zoneVms(node) : ownVms(node)));
     for (const auto &[target, use] : wholeZone ? zoneUses(node) : ownUses(node))
@@ -166,7 +166,7 @@
     }
     if (!zonePeer)
         return report;
-    // The receiver's boot is not known before its answer; a new one is told all again.
+    // If the peer has rebooted since the last exchange, everything is sent again.
     const std::uint64_t lastSent = peer.sentBoot == peer.boot ? peer.sentChange : 0;
     const auto isOurs = [&](const std::string &target, const EngineRecord &record) {
         return record.holder == node.settings.peers || node.reportedEngines.count(target) > 0;
@@ -188,7 +188,7 @@
         if (known.own)
             encodeEvidence(id, known.evidence, now, *report->add_evidence());
     });
-    // The relay may have no other way to learn what a target said to this VM alone.
+    // The relay may have no other way to learn what a target reported only to this VM.
     node.shared.targets.since(lastSent, [&](const std::string &target, const SharedTarget &fact) {
         if (fact.gone || !fact.entry.leaving)
             return;
@@ -224,7 +224,7 @@
     digest.set_vms_in_touch(static_cast<std::uint32_t>(ownVms(node) + vmsReported(node.reported)));
 }
 
-/** For how long this VM has not known its configuration to be the newest, and 1 ms; 0: never. */
+/** Time since this VM's configuration was last confirmed as the newest, plus 1 ms; 0: never. */
 std::uint64_t confirmedAgoMs(const GatewayNode &node)
 {
     const std::optional<Instant> at = configConfirmedAt(node);
@@ -244,7 +244,7 @@
     node.confirmed.notifyAll();
 }
 
-/** Notes of which boot a peer's word is; its reports are counted anew in each. */
+/** Records the boot that a peer's message is from; the sequence of its reports restarts with it. */
 void updateBoot(PeerState &peer, std::uint64_t boot)
 {
     if (peer.boot != boot) {
@@ -272,8 +272,8 @@
         return;
     const auto [found, added] = node.peers.try_emplace(endpoint);
     PeerState &peer = found->second;
-    // Seeds are added before their zone is known. A VM of the own zone has to be known as one: a VM
-    // that starts during a cut waits until it has heard all of these.
+    // Seeds are added before their zone is known. The zone has to be filled in later, as a VM that
+    // starts during a network outage waits for confirmations from all VMs of its own zone.
     if (!fact.zone.empty())
         peer.zone = fact.zone;
     if (!fact.name.empty())
@@ -309,7 +309,7 @@
     PeerState &peer = node.peers[endpoint];
     const bool restarted = peer.boot != report.from().boot();
     updateBoot(peer, report.from().boot());
-    // An older report that arrives late must not bring back what was under way then.
+    // An older report that arrives late must not restore outdated usage.
     if (report.sequence() <= peer.sequence)
         return digest;
     if (restarted)
@@ -319,10 +319,10 @@
     peer.lastHeardAt = now;
     peer.failures = 0;
     peer.stopping = report.stopping();
-    // Symptom without these: a relay took all mates that it had asked while they started for
-    // starting ever after, as it asks none that reports to it. It let one of 21 VMs hold engines
-    // beside it; when another VM became the relay, three more joined, and all engines got no orders
-    // for 3 to 6 s.
+    // These have to be read from reports, too: a relay sends no requests to zone peers that report
+    // to it. Otherwise it treated all zone peers that it had asked during their start as starting
+    // for ever, and let only one of 21 VMs hold engines beside itself. When another VM became the
+    // relay, three more joined, and no engine got commands for 3 to 6 s.
     peer.starting = report.starting();
     peer.storeUnreachable = report.store_away();
     peer.leaseHolder = report.holding();
@@ -340,8 +340,8 @@
             uses.targets[message.target()] = decodeUse(message);
         uses.workspaces = decodeWorkspaceUses(report.workspaces(), report.from());
         uses.unitsByAge = decodeUnitsByAge(report);
-        // A VM that does not relay hears of the other zones from its relay; twice would count
-        // twice.
+        // A VM that is not a relay gets the usage of other zones from its relay; a second source
+        // would count it twice.
         if (zonePeer || node.relaying)
             applyReport(node.reported, reporterOf(node, report.from()), std::move(uses));
     }
@@ -443,7 +443,7 @@
     answered.exchangeRunning = false;
     const Instant now = BootClock::now();
     if (!digest) {
-        // The time tells a mate that cannot be reached from one whose answer was still under way.
+        // The time shows whether the peer was unreachable or its answer was still in transit.
         if (answered.failures == 0)
             logEvent(EventId::MemberSilent,
                      {{"peer", answered.name},
--- a/libs/gateway/src/PeerExchange.h
+++ b/libs/gateway/src/PeerExchange.h
@@ -6,24 +6,24 @@
 
 namespace monsoonbay {
 
-/** Adds a gateway, or what is learnt of one; empty parts of `fact` are not known. */
+/** Adds a peer, or updates what is known of it; empty fields of `fact` are not known. */
 void addPeer(GatewayNode &node, const Endpoint &endpoint, const SharedVm &fact);
 
 /**
- * What this VM tells a peer. To a mate, `withUse` adds its own use of targets and limits; to a VM
- * of another zone, that of all mates that report to it.
+ * Builds this VM's report to a peer. `withUse` adds usage of targets and limits: for a zone peer,
+ * that of this VM; for a VM of another zone, also that of the zone peers that report to this VM.
  */
 std::shared_ptr<gateway::v1::Report> buildReport(GatewayNode &node, const PeerState &peer,
                                                  bool withUse);
 
-/** Takes a peer's report and answers it with what that peer has not seen yet. */
+/** Applies a peer's report and answers it with the changes that the peer has not received yet. */
 gateway::v1::Digest answerReport(GatewayNode &node, const gateway::v1::Report &report);
 
-/** Takes what a peer answered to a report; `upstream`: it is the relay of this VM. */
+/** Applies a peer's answer to a report; `upstream`: the peer is the relay of this VM. */
 void applyDigest(GatewayNode &node, const Endpoint &endpoint, const gateway::v1::Digest &digest,
                  bool upstream);
 
-/** One exchange that this VM begins, with a known peer. True if it was answered. */
+/** Sends a report to a known peer and applies the answer. True if it was answered. */
 asio::awaitable<bool> exchangeWith(GatewayNode &node, Endpoint endpoint, bool withUse,
                                    bool upstream);
 
--- a/libs/gateway/src/PrefixCodec.cpp
+++ b/libs/gateway/src/PrefixCodec.cpp
@@ -31,7 +31,7 @@
     update.seen = message.seen();
     update.change = message.change();
     for (const v1::EnginePrefixes &engine : message.engines()) {
-        // What only one of the two lists has is left out.
+        // Ignores the surplus if one of the two lists is longer.
         const int reads = std::min(engine.prefixes_size(), engine.tokens_size());
         for (int index = 0; index < reads; ++index) {
             const std::uint32_t tokens = engine.tokens(index);
--- a/libs/gateway/src/PrefixCodec.h
+++ b/libs/gateway/src/PrefixCodec.h
@@ -8,19 +8,19 @@
 
 namespace monsoonbay {
 
-/** What a report or its answer carries of prefixes. */
+/** The prefixes in a report or its answer. */
 struct PrefixUpdates
 {
-    std::uint64_t seen = 0; ///< in a report: last entry of the receiver's log that is known
-    std::uint64_t change = 0; ///< in an answer: last entry of the sender's log that is told
-    std::vector<PrefixRead> reads; ///< in the order of engines
+    std::uint64_t seen = 0; ///< in a report: last received entry of the receiver's log
+    std::uint64_t change = 0; ///< in an answer: last entry of the sender's log up to here
+    std::vector<PrefixRead> reads; ///< grouped by engine
 
     auto operator<=>(const PrefixUpdates &) const = default;
 };
 
 gateway::v1::PrefixNews encodePrefixUpdates(const PrefixUpdates &update);
 
-/** What is malformed or beyond the bounds of a message is left out. */
+/** Omits entries that are malformed or exceed the limits of a message. */
 PrefixUpdates decodePrefixUpdates(const gateway::v1::PrefixNews &message);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/PrefixSharing.cpp
+++ b/libs/gateway/src/PrefixSharing.cpp
@@ -52,7 +52,8 @@
     this->waiting = true;
 }
 
-// What was believed when the call was sent is no evidence; only its first event is.
+// Only the time of the first event is evidence for what was cached. That the call was sent there is
+// not: it only shows what was believed.
 void PrefillObservation::noteFirstEvent(Instant now)
 {
     if (!this->waiting)
@@ -100,7 +101,7 @@
     reader.zonePeer = zonePeer;
     reader.sourceVm = reporterHash(decodeEndpoint(report.from()));
     const std::uint64_t seen = report.prefixes().seen();
-    // A number that was never given is not of this log.
+    // A number that this log has not reached yet belongs to another log.
     if (report.known_boot() == node.boot && seen <= log.last)
         reader.seen = seen;
     PrefixUpdates update;
--- a/libs/gateway/src/PrefixSharing.h
+++ b/libs/gateway/src/PrefixSharing.h
@@ -6,21 +6,21 @@
 
 namespace monsoonbay {
 
-/** Tokens of the call's prompt that an engine with so much memory is believed to keep. */
+/** Tokens of the call's prompt that an engine with `kvTokens` of KV cache is believed to hold. */
 double cachedInEngine(const ActiveCall &run, const TargetEntry &engine, const TargetUsage &use,
                       double kvTokens);
 
-/** An engine has unloaded an adapter, or replaced it: it has read no prompt with it. */
+/** Drops the prefixes of an adapter that an engine has unloaded or replaced. */
 void dropPrefixesOf(GatewayNode &node, const std::string &target, const std::string &adapter);
 
-/** The reading of a call's prompt by the target that the call is sent to. */
+/** Observes the prefill of a call's prompt at the target that the call is sent to. */
 class PrefillObservation
 {
 public:
     /** Sets the call's `cachedTokens`. */
     PrefillObservation(ActiveCall &run, const std::string &target, Instant now);
 
-    /** The first event has come: the prompt is read. Does nothing after the first time. */
+    /** Call when the first event arrives, so prefill is done. Only the first call has an effect. */
     void noteFirstEvent(Instant now);
 
 private:
@@ -32,20 +32,23 @@
 };
 
 /**
- * Adds to a report how much of the peer's log of prefixes this VM has, and to a mate what own calls
- * have shown since it was told last.
+ * Adds to a report which entry of the peer's prefix log this VM received last. For a zone peer,
+ * also adds the prefixes that this VM's calls have shown since the last report to it.
  */
 void addPrefixesToReport(const GatewayNode &node, const PeerState &peer, bool zonePeer, Instant now,
                          gateway::v1::Report &report);
 
-/** Adds to the answer of a report what its sender has not seen. `zonePeer`: it is of this zone. */
+/**
+ * Adds to the answer the prefixes that the sender of `report` has not received. `zonePeer`: the
+ * sender is of this VM's zone.
+ */
 void addPrefixesToDigest(const GatewayNode &node, const gateway::v1::Report &report, bool zonePeer,
                          gateway::v1::Digest &digest);
 
-/** Takes what a mate's calls have shown, and logs what is new for those that ask this VM. */
+/** Applies the prefixes that a zone peer's calls have shown, and logs new ones for other VMs. */
 void applyReportedPrefixes(GatewayNode &node, const gateway::v1::Report &report);
 
-/** The same of the answer to a report; before the peer's boot is noted from it. */
+/** The same for the answer to a report. Call before the peer's `seenBoot` is updated from it. */
 void applyDigestPrefixes(GatewayNode &node, PeerState &peer, const gateway::v1::Digest &digest);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -14,24 +14,24 @@
 namespace {
 
 /**
- * Regular reports carry the load of engines; with older figures gateways pile onto the same one.
- * A relay answers all VMs of its zone, so large zones report a little less often.
+ * Regular reports carry the load of engines; with outdated figures, VMs send too many calls to the
+ * same engine. A relay answers all VMs of its zone, so VMs of large zones report less often.
  */
 constexpr Duration minReportInterval = std::chrono::milliseconds(60);
 constexpr Duration reportIntervalPerZonePeer = std::chrono::milliseconds(8);
-/** Between the relays of two zones; bytes between zones are paid for, and grow with the VMs. */
+/** Between the relays of two zones. Traffic between zones is charged, and grows with the VMs. */
 constexpr Duration minZoneInterval = std::chrono::milliseconds(60);
 constexpr Duration zoneIntervalPerVm = std::chrono::milliseconds(3);
 /** Reports after a change wait this long for further changes. */
 constexpr Duration reportBatchDelay = std::chrono::milliseconds(15);
 constexpr Duration zonePeerCheckInterval = std::chrono::milliseconds(250);
-/** VMs that read the store's list of VMs by now would have been found. */
+/** By this time after a start, VMs that can read the store's list of VMs have found each other. */
 constexpr Duration listWait = std::chrono::milliseconds(1000);
-/** A peer of which nothing was heard for this long is forgotten; the store's list adds it again. */
+/** A peer that was silent for this long is removed; the store's list adds it again. */
 constexpr Duration forgetAfter = std::chrono::seconds(60);
 
-// A VM that has just started waits for the list of VMs, or it would take itself for alone. When
-// all start at once, the list fills while they read it.
+// A VM that has just started waits for the list of VMs; otherwise it would take itself for the only
+// one. When all VMs start at once, the list still grows while they read it.
 bool knowsZonePeers(const GatewayNode &node, Instant now)
 {
     const bool listMayGrow = node.settings.firstStart;
@@ -40,8 +40,9 @@
 
 } // namespace
 
-// Those that reported here report to the next relay now, and this VM does so, too. Kept on, their
-// reports would be told on and counted twice: engines then look full, and calls are refused.
+// When this VM stops being the relay, the VMs that reported to it report to the next relay, and so
+// does this VM. If it kept their reports, it would pass them on and they would be counted twice:
+// engines would look full, and calls would be refused.
 void setRelaying(GatewayNode &node, bool relaying)
 {
     if (node.relaying == relaying)
@@ -66,7 +67,7 @@
     return std::max(minZoneInterval, zoneIntervalPerVm * liveGateways(node));
 }
 
-/** The peers that nothing is known of but their address, when the store's list is not readable. */
+/** Peers of which only the address is known, and that may be asked now. */
 std::vector<Endpoint> unidentifiedPeers(const GatewayNode &node, Instant now)
 {
     std::vector<Endpoint> found;
@@ -77,17 +78,17 @@
     return found;
 }
 
-/** An exchange beside the regular ones with the own relay. */
+/** An exchange other than the regular ones with this VM's relay. */
 asio::awaitable<void> extraExchange(GatewayNode &node, Endpoint endpoint, bool withUse)
 {
     const bool answered = co_await exchangeWith(node, endpoint, withUse, false);
-    static_cast<void>(answered); // it is noted with the peer
+    static_cast<void>(answered); // recorded in the peer's state
 }
 
 } // namespace
 
-// News wait for the next report of their VM, and half as long on average for the next exchange of
-// the relays of two zones.
+// Updates wait for their VM's next report, and then on average half an interval for the next
+// exchange between the relays of two zones.
 Duration loadReportAge(const GatewayNode &node)
 {
     return reportInterval(node) + zoneInterval(node) / 2;
@@ -111,7 +112,7 @@
 
 namespace {
 
-/** The relay has not told all that it knows yet. */
+/** True if the relay has not sent all of its changes yet. */
 bool relayHasMore(const GatewayNode &node)
 {
     const auto relay = node.peers.find(node.relayState.relay);
@@ -140,8 +141,8 @@
             node.mayHoldLease = node.mayHoldLease || listSettled;
         } else if (!zone.peers[*upstream]->exchangeRunning) {
             const Endpoint endpoint = zone.peers[*upstream]->endpoint;
-            // A relay that learns from another VM while it starts does not report to it: each would
-            // count the other's calls as its own.
+            // A relay that gets state from another VM while it starts does not report usage to it:
+            // each would count the other's calls as its own.
             const bool answered =
                 co_await exchangeWith(node, endpoint, !node.relaying, !node.relaying);
             if (!answered && !node.stopped) {
@@ -157,7 +158,7 @@
 
 namespace {
 
-/** The VM that relays for another zone, or the one most likely to; null: none can be reached. */
+/** The relay of another zone, or the best-ranked candidate for it; null: none can be reached. */
 const PeerState *relayOfZone(GatewayNode &node, const std::string &name)
 {
     const Instant now = BootClock::now();
@@ -200,8 +201,8 @@
     }
 }
 
-// Mates above this VM that failed are looked for, or the zone would go on with a weaker relay; and
-// a relay looks for all that do not report to it: they may not know of it.
+// Probes better-ranked zone peers that failed, as the zone would otherwise keep a weaker relay. A
+// relay also probes all zone peers that do not report to it: they may not know it.
 asio::awaitable<void> zonePeersLoop(GatewayNode &node)
 {
     while (!node.stopped) {
@@ -224,7 +225,7 @@
                 && now - peer.lastReportAt > listWait && now - peer.lastHeardAt > reporterTimeout;
             const bool failed =
                 peer.failures > 0 && (zonePeer ? ranksBefore(rankOf(peer), self) : node.relaying);
-            // Until it has started, this VM reads the store beside it.
+            // This VM remains a relay until the better-ranked one has started.
             const bool betterStarting = node.relaying && zonePeer && peer.starting
                 && ranksBefore(rankOf(peer), self)
                 && now - peer.lastHeardAt > zonePeerCheckInterval;
--- a/libs/gateway/src/RelayLoops.h
+++ b/libs/gateway/src/RelayLoops.h
@@ -4,22 +4,22 @@
 
 namespace monsoonbay {
 
-/** This VM begins or ends to read the store for its zone. */
+/** Makes this VM the relay that reads the store for its zone, or ends that. */
 void setRelaying(GatewayNode &node, bool relaying);
 
-/** How old what this VM knows of the load of engines is, about: it grows with the VMs. */
+/** Approximate age of the known load of engines; it grows with the number of VMs. */
 Duration loadReportAge(const GatewayNode &node);
 
-/** How old it really is, if some or all other VMs are not heard; see NewsAge.h. */
+/** Its actual age, also if some or all other VMs do not report; see UpdateAge.h. */
 Duration knownLoadAge(const GatewayNode &node, Instant now);
 
-/** Reports to the relay of the zone and learns from it; finds another when it falls silent. */
+/** Exchanges state with the relay of the zone; chooses another when it falls silent. */
 asio::awaitable<void> upstreamLoop(GatewayNode &node);
 
-/** While this VM relays: exchanges news with the relays of the other zones. */
+/** While this VM relays: exchanges state updates with the relays of the other zones. */
 asio::awaitable<void> otherZonesLoop(GatewayNode &node);
 
-/** Looks for mates that were silent, and drops what silent ones had reported. */
+/** Probes zone peers that were silent, and drops the reports of VMs that fell silent. */
 asio::awaitable<void> zonePeersLoop(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/StateUpdates.cpp
+++ b/libs/gateway/src/StateUpdates.cpp
@@ -20,16 +20,16 @@
 namespace v1 = gateway::v1;
 
 /**
- * Changes in one answer. 12,000 engines with 8 adapters each take 0.13 KB a change in the mean;
- * with 36 adapters an engine takes 0.9 KB, so that an answer has 270 KB at most, which 10 Mbit/s
- * carry in 0.2 s.
+ * Maximum number of changes in one answer. With 12,000 engines of 8 adapters each, a change takes
+ * 0.13 KB on average. An engine with 36 adapters takes 0.9 KB, so an answer has 270 KB at most,
+ * which take 0.2 s over 10 Mbit/s.
  */
 constexpr std::size_t maxChangesPerAnswer = 300;
 
-/** An answer was under way for this long at most, so what it tells may be older by that. */
+/** Maximum time that an answer is in transit; its content may be older by this. */
 constexpr Duration maxAnswerTransit = std::chrono::milliseconds(500);
 
-/** The last change that is told of those after `seen`. */
+/** The last of the changes after `seen` that fits into one answer. */
 std::uint64_t lastChangeToSend(const SharedState &facts, std::uint64_t seen)
 {
     std::vector<std::uint64_t> numbers;
@@ -48,7 +48,7 @@
 void addListAge(const GatewayNode &node, v1::Digest &digest)
 {
     const Instant now = BootClock::now();
-    // Who has only a part of the list must not take it for the list.
+    // A receiver that has only a part of the list must not take it for the whole list.
     const bool whole = !digest.complete() || !digest.more();
     digest.set_list_known(whole && node.targetTable.lastReadAt != Instant{});
     digest.set_list_age_ms(toMillis(now - node.targetTable.lastReadAt));
@@ -67,7 +67,7 @@
     return BootClock::now() - std::chrono::milliseconds(digest.list_age_ms());
 }
 
-// A relay that has just come back may not have read yet of a target that this VM has read of.
+// A relay that has just come back may not have read a target yet that this VM has read itself.
 bool hasNewerList(const GatewayNode &node, const v1::Digest &digest)
 {
     return digest.list_known()
@@ -82,8 +82,8 @@
                        std::chrono::milliseconds(digest.list_failing_ms()), BootClock::now());
 }
 
-// The relay reads the list itself; what another VM says of it is only taken for what the relay
-// cannot have seen, or when it cannot read.
+// A relay reads the list itself. It applies another VM's list only while it cannot read the store,
+// and that a target leaves in any case.
 void applyTargets(GatewayNode &node, PeerState &peer, const v1::Digest &digest, bool ownRelay)
 {
     const bool appliesList = !node.relaying || !node.storeUp;
@@ -100,7 +100,7 @@
             markLeavingByPeer(node, fact.entry.id, fact.entry.startTime);
         if (digest.complete())
             peer.fullSyncTargets.insert(fact.entry.id);
-        // It is gone, by what this VM has heard, and the peer only waits whether it comes back.
+        // This VM has dropped the target already, and the peer only waits whether it comes back.
         const bool isDropped = fact.lapsed && wasDropped(node.targetTable, fact.entry.id);
         if (appliesList && !isDropped)
             listed.push_back(std::move(fact.entry));
@@ -119,8 +119,9 @@
 
 } // namespace
 
-// Symptom without a bound: where the news are long (3.3 MB of 12,000 engines) and the link is weak,
-// an answer with all of them is cut off by the time that an exchange may take, and begun anew.
+// The number of changes is limited because an answer with all of them (3.3 MB for 12,000 engines)
+// takes longer over a slow link than an exchange may take, and would be dropped and restarted with
+// each exchange.
 void tellNews(const GatewayNode &node, const v1::Report &report, bool zonePeer, v1::Digest &digest)
 {
     const bool isFirstSync = report.known_boot() != node.boot;
@@ -129,7 +130,7 @@
     digest.set_complete(isFirstSync || report.in_whole());
     digest.set_change(through);
     digest.set_more(through < node.shared.counter.last);
-    // Who is being told all of it has not heard of each engine up to `seen`.
+    // A receiver of the full state has not received each engine that changed up to `seen`.
     const std::uint64_t known = digest.complete() ? 0 : seen;
     std::set<std::string> sentEngines;
     const auto addEngine = [&](const std::string &target, std::uint64_t received) {
@@ -169,8 +170,9 @@
 
 namespace {
 
-// What a peer told before it was the relay was not taken as the list, and meanwhile this VM may
-// have heard of targets by another that this one never had: it would never say that they are gone.
+// Requests the full state from a new relay. What it sent before it was the relay was not applied as
+// the whole list, and this VM may have learnt of targets from another VM that this relay never
+// knew: it would never report them as gone.
 void restartFullSync(PeerState &peer)
 {
     peer.seenBoot = 0;
@@ -189,7 +191,7 @@
     for (const v1::AdapterVersion &message : digest.versions())
         applyAdapterVersion(node, message.adapter(), message.version());
     applyTargets(node, peer, digest, ownRelay);
-    // This digest answers a report that asked for these.
+    // This digest answers a report that requested these.
     peer.missingEngines.clear();
     for (const v1::EngineState &state : digest.engines())
         applyEngineChange(node, peer.missingEngines, state.target(), decodeChange(state));
--- a/libs/gateway/src/UpdateBytes.cpp
+++ b/libs/gateway/src/UpdateBytes.cpp
@@ -21,7 +21,7 @@
     "zonesUses",     "zonesEngines", "zonesTargets", "zonesWorkspaces",
     "zonesPrefixes", "zonesConfig",  "zonesRest"};
 
-/** Size of parts of a message whose own size was computed just before, and theirs with it. */
+/** Size of parts of a message. The size of that message was just computed, which cached theirs. */
 template <typename Message>
 std::uint64_t sizeOf(const google::protobuf::RepeatedPtrField<Message> &messages)
 {
@@ -36,7 +36,7 @@
     return isThere ? static_cast<std::uint64_t>(message.GetCachedSize()) : 0;
 }
 
-/** Counts what a message of `total` bytes has beside those that are counted by kind. */
+/** Adds, as UpdateKind::Rest, the bytes of a message of `total` bytes that have no kind yet. */
 UpdateBytes withRest(std::uint64_t total, UpdateBytes bytes)
 {
     const std::uint64_t known =
@@ -99,7 +99,7 @@
 
 namespace {
 
-/** All news sent so far to mates, or to VMs of other zones. */
+/** All bytes sent so far to zone peers, or to VMs of other zones. */
 UpdateBytes sentSoFar(const GatewayNode &node, bool zonePeers)
 {
     UpdateBytes sent;
--- a/libs/gateway/src/UpdateBytes.h
+++ b/libs/gateway/src/UpdateBytes.h
@@ -8,21 +8,21 @@
 
 namespace monsoonbay {
 
-/** What a message between VMs is about. */
+/** Kinds of state updates in messages between VMs. */
 enum class UpdateKind : std::uint8_t {
-    Uses, ///< what calls take of engines
-    Engines, ///< what the VMs that order engines say of them
-    Targets, ///< the platform's list
-    Workspaces, ///< their use, and the notes on it
-    Prefixes, ///< of prompts that engines have read
+    Uses, ///< usage of engines by calls
+    Engines, ///< records of engines by their lease holders
+    Targets, ///< the platform's target list
+    Workspaces, ///< usage of workspaces, and its snapshots in the store
+    Prefixes, ///< prompt prefixes that engines have read
     Config, ///< parts of the configuration
-    Rest, ///< standing of VMs, versions, releases, evidence on calls
-    Count, ///< number of kinds, not one of them
+    Rest, ///< state of VMs, adapter versions, lease releases, evidence on calls
+    Count, ///< number of kinds, not a kind itself
 };
 
 constexpr std::size_t updateKinds = static_cast<std::size_t>(UpdateKind::Count);
 
-/** Bytes by kind of news, as encoded; without the heads of the transport. */
+/** Encoded bytes by kind of update, without the headers of the transport. */
 struct UpdateBytes
 {
     std::array<std::uint64_t, updateKinds> byKind{};
@@ -39,10 +39,10 @@
 UpdateBytes bytesOf(const gateway::v1::Digest &digest);
 UpdateBytes bytesOf(const gateway::v1::ConfigPart &part);
 
-/** Counts news that this VM sends, by kind, to VMs of the own zone and to others apart. */
+/** Counts sent bytes in the metrics, by kind, separately for zone peers and for other zones. */
 void countSent(GatewayNode &node, const std::string &receiverZone, const UpdateBytes &bytes);
 
-/** While this VM relays, logs now and then what it has sent since, by kind. */
+/** While this VM relays, periodically logs the bytes that it has sent since the last time. */
 asio::awaitable<void> updateLogLoop(GatewayNode &node);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/UsageSnapshotState.h
+++ b/libs/gateway/src/UsageSnapshotState.h
@@ -5,13 +5,13 @@
 
 namespace monsoonbay {
 
-/** Notes of the use of workspaces, at one VM. */
+/** Usage snapshots of workspaces, at one VM. */
 struct UsageSnapshotState
 {
     StartupSnapshots atStart;
-    UsagePermits permits; ///< by the notes of this zone
-    UsageSnapshotWriter noting; ///< while this VM writes them
-    bool writes = false;
+    UsagePermits permits; ///< by the snapshots of this zone
+    UsageSnapshotWriter noting; ///< used while this VM writes them
+    bool writes = false; ///< this VM writes the snapshots of its zone
 };
 
 } // namespace monsoonbay
--- a/libs/gateway/src/UsageSnapshots.cpp
+++ b/libs/gateway/src/UsageSnapshots.cpp
@@ -21,7 +21,7 @@
     return isLimited(workspace.limit);
 }
 
-/** A percentage as another VM told it. */
+/** A percentage received from another VM, limited to the valid range. */
 int decodePercent(std::uint32_t percent)
 {
     return static_cast<int>(std::min<std::uint32_t>(percent, allPercent));
@@ -45,8 +45,8 @@
 
 enum class UnitsOf : std::uint8_t {
     ThisVm,
-    Zone, ///< this VM and the mates that report to it
-    AllZones, ///< and the zones that do
+    Zone, ///< this VM and the zone peers that report to it
+    AllZones, ///< also the other zones that report to it
 };
 
 UnitsByAge unitsKnown(GatewayNode &node, const std::string &workspace, UnitsOf scope, Instant now)
@@ -119,7 +119,7 @@
     const bool done =
         co_await node.platform->writeUsageSnapshot(node.http, node.settings, std::move(snapshot));
     endSnapshot(node.spend.noting, done);
-    // Another VM may relay by now, and its permits have come.
+    // Another VM may be the relay by now, and its permits may have arrived.
     if (node.relaying)
         node.spend.permits = permitsOf(node.spend.noting);
     const Duration took = BootClock::now() - began;
@@ -147,7 +147,7 @@
     return shareAllowed(node.spend.permits, workspace, now);
 }
 
-// Notes that another VM told are of before this one's start and stay.
+// Snapshots that a peer sent already are kept: they are from before this VM's start.
 void applyStoredSnapshots(GatewayNode &node, std::vector<UsageSnapshot> snapshots)
 {
     const Instant now = BootClock::now();
@@ -198,7 +198,7 @@
         digest.mutable_spend()->set_noted_ago_ms(
             static_cast<std::uint64_t>(toMillis(now - permits.writtenAt)) + 1);
     }
-    // Only who has not heard this boot of the VM before may have started since.
+    // Sent only to a VM that has received nothing from this boot yet: it may have started just now.
     const bool startsNow = now - node.bootedAt < node.settings.quota.window;
     if (!startsNow || !node.spend.atStart.wereRead || report.known_boot() == node.boot)
         return;
@@ -218,7 +218,8 @@
 
 namespace {
 
-// A message that was long under way makes notes look younger than they are, so that more counts.
+// A message that was in transit for long makes snapshots look more recent than they are, so more of
+// their usage counts.
 void applyReceivedSnapshots(GatewayNode &node, const v1::SpendNews &news)
 {
     if (news.notes_read_ago_ms() == 0 || node.settings.firstStart)
