--- a/libs/gateway/tests/ConfigDownloads.cpp
+++ b/libs/gateway/tests/ConfigDownloads.cpp
@@ -14,7 +14,7 @@
 
 namespace v1 = gateway::v1;
 
-/** Documents of this platform begin with their version and a line break. */
+/** Documents of this test platform begin with their version and a line break. */
 bool readNumberedConfig(std::string_view document, ServingConfig &config)
 {
     config.version = std::stoll(std::string(document.substr(0, document.find('\n'))));
@@ -37,7 +37,7 @@
     return settings;
 }
 
-/** A document that hardly gets shorter when it is packed. */
+/** A document of random bytes, which packing hardly makes shorter. */
 std::string longDocument(std::int64_t version, std::size_t bytes)
 {
     std::mt19937_64 random(static_cast<std::uint64_t>(version));
@@ -83,11 +83,10 @@
 
 } // namespace
 
-// Symptom: a VM behind a link of 10 Mbit/s learnt nothing from its relay any more, neither the
-// configuration nor which engines hold what. Sequence: the configuration grows to 1 MB; each answer
-// to an exchange carries it whole and is cut off after 0.5 s. Cause: what has to be answered in a
-// fixed time grew with the configuration. Evidence: links full and processors idle, an exchange
-// that failed 0.5 s after the change at all VMs but those with 200 Mbit/s.
+// Guards against exchanges that time out because their answer carries the whole configuration. With
+// a configuration of 1 MB, each answer was cut off after 0.5 s. Links were full and processors
+// idle. The exchanges of all VMs but those with 200 Mbit/s failed 0.5 s after the change: a VM
+// behind a link of 10 Mbit/s got no more state updates from its relay.
 Test(config_reading, the_answer_to_an_exchange_does_not_grow_with_the_configuration)
 {
     GatewayNode relay(settingsOf("relay"));
@@ -98,7 +97,7 @@
     cr_assert_leq(large, small + 100);
 }
 
-// Symptom would be a configuration that is begun anew each time a link fails in the middle of it.
+// Guards against a download that restarts each time a link fails in the middle of it.
 Test(config_reading, what_has_come_stays_when_another_mate_goes_on)
 {
     GatewayNode relay(settingsOf("relay"));
@@ -119,7 +118,8 @@
     cr_assert_leq(parts, static_cast<int>(200000 / maxPartBytes) + 2);
 }
 
-// Symptom would be a VM that asks a mate for ever that was started anew and knows nothing yet.
+// Guards against a VM that keeps asking a zone peer that has restarted and has no configuration
+// yet.
 Test(config_reading, a_mate_that_knows_less_than_it_told_is_not_asked_again)
 {
     GatewayNode restarted(settingsOf("reborn"));
@@ -142,8 +142,8 @@
     cr_assert_eq(chooseConfigSource(reader, now)->name, "weak");
 }
 
-// Symptom would be a configuration that comes late, as each offer of a newer one drops the parts of
-// the one before. The mate that is being read from gives it to its end.
+// Guards against a configuration that arrives late because each offer of a newer one drops the
+// parts of the one before. The zone peer that it is downloaded from sends it to the end.
 Test(config_reading, a_newer_offer_does_not_stop_one_that_is_being_read)
 {
     GatewayNode relay(settingsOf("relay"));
@@ -161,7 +161,7 @@
     cr_assert_eq(versionOf(reader), 2);
 }
 
-// Symptom would be an older configuration in force again, given by a mate that is behind.
+// Guards against an older configuration in force again, sent by a zone peer that is behind.
 Test(config_reading, an_older_configuration_is_never_taken)
 {
     GatewayNode behind(settingsOf("behind"));
@@ -174,7 +174,7 @@
     cr_assert_null(chooseConfigSource(reader, BootClock::now()));
 }
 
-// Guards against a proper call that is refused for good by a VM which hears of its route late.
+// Guards against a VM that learns of a route late and refuses valid calls as if it did not exist.
 Test(config_reading, a_route_is_not_called_unknown_while_another_vm_has_a_newer_configuration)
 {
     GatewayNode relay(settingsOf("relay"));
@@ -190,7 +190,7 @@
     cr_assert_eq(refusalWithoutRoute(zonePeer).status, 404);
 }
 
-// Guards against VMs that begin anew, or stand still, where a mate passes on what it still reads.
+// Guards against downloads that restart or stall at a zone peer that is still downloading itself.
 Test(config_reading, a_mate_passes_on_what_it_has_not_read_to_its_end)
 {
     GatewayNode relay(settingsOf("relay"));
@@ -209,7 +209,7 @@
     cr_assert_eq(versionOf(second), 1);
 }
 
-// Guards against a reader that is sent on for ever, or to a mate that gives nothing.
+// Guards against a reader that is redirected for ever, or stuck at a zone peer that sends nothing.
 Test(config_reading, a_reader_that_is_sent_on_comes_back_if_it_gets_nothing)
 {
     GatewayNode relay(settingsOf("relay"));
--- a/libs/gateway/tests/ConfigReaders.cpp
+++ b/libs/gateway/tests/ConfigReaders.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-// Guards against all VMs of a zone reading from the one link of the VM that has it first.
+// Guards against all VMs of a zone downloading over the one link of the VM that has it first.
 Test(config_readers, seventy_mates_read_from_many_and_not_from_one)
 {
     std::map<Endpoint, ConfigReaders> vms;
@@ -42,11 +42,11 @@
         longest = std::max(longest, steps);
     }
     for (const auto &[source, readers] : served)
-        cr_assert_leq(readers, 2, "%s gives to %d", source.address.c_str(), readers);
-    cr_assert_leq(longest, 8, "a way of %zu steps", longest);
+        cr_assert_leq(readers, 2, "%s serves %d readers", source.address.c_str(), readers);
+    cr_assert_leq(longest, 8, "%zu redirects", longest);
 }
 
-// Guards against a VM that is sent from one mate that has ended to the next.
+// Guards against a VM that is redirected from one zone peer that has ended to the next.
 Test(config_readers, who_got_nothing_elsewhere_is_served)
 {
     ConfigReaders readers;
@@ -58,7 +58,7 @@
     cr_assert(!redirectFor(readers, request, begin));
 }
 
-// Guards against waiting for readers that have ended in the middle of it.
+// Guards against waiting for readers that ended in the middle of their download.
 Test(config_readers, silent_readers_take_no_place_and_get_nobody)
 {
     ConfigReaders readers;
@@ -71,7 +71,7 @@
     cr_assert(other == vm(3) || other == vm(4));
 }
 
-// Guards against bytes between zones for what a mate of the own zone has.
+// Guards against traffic between zones for a configuration that a VM of the same zone has.
 Test(config_readers, nobody_is_sent_on_to_another_zone)
 {
     ConfigReaders readers;
--- a/libs/gateway/tests/LinkWatches.cpp
+++ b/libs/gateway/tests/LinkWatches.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** A VM with these targets of one service; `goodAnswers`: good answers that others tell of each. */
+/** Lists targets of one service; `goodAnswers`: good answers of each that other VMs report. */
 void listTargets(GatewayNode &node, int targets, int goodAnswers)
 {
     node.targetTable.lastReadAt = BootClock::now();
@@ -28,7 +28,7 @@
 
 } // namespace
 
-// Guards against a cut VM whose own failures tell other VMs that sound targets fail.
+// Guards against a VM that has lost its links and reports healthy targets as failing.
 Test(link_watch, a_vm_that_lost_its_links_knows_it_and_keeps_its_sights_to_itself)
 {
     GatewayNode node((GatewaySettings()));
@@ -45,7 +45,8 @@
     cr_assert(!areLinksLost(node, "other"));
 }
 
-// Guards against a VM that takes calls of a service which it has not called since it was cut off.
+// Guards against a VM that accepts calls for a service that it has not called since it lost its
+// links.
 Test(link_watch, one_lost_service_has_the_others_looked_at)
 {
     GatewayNode node((GatewaySettings()));
@@ -68,8 +69,8 @@
     cr_assert(areLinksLost(node, "bookings"));
 }
 
-// Guards against VMs of a zone that are cut off together and take each other's failures for the
-// targets' own.
+// Guards against VMs of a zone that lose their links together and take each other's failures for
+// failures of the targets.
 Test(link_watch, failures_that_other_cut_vms_tell_of_hide_no_cut)
 {
     GatewayNode node((GatewaySettings()));
@@ -82,7 +83,7 @@
     cr_assert(areLinksLost(node, "engines"));
 }
 
-// Guards against a hop for each call while targets are down for all VMs.
+// Guards against an extra hop for each call while targets are down for all VMs.
 Test(link_watch, targets_that_fail_for_others_too_are_not_the_links_fault)
 {
     GatewayNode node((GatewaySettings()));
@@ -96,7 +97,7 @@
 
 namespace {
 
-/** Ends of targets that a VM tells of after it has lost calls at two that refuse connections. */
+/** Number of ended targets that a VM reports after it lost calls at two that refuse connections. */
 std::size_t reportedEnds(int goodAnswers)
 {
     GatewayNode node((GatewaySettings()));
@@ -111,11 +112,11 @@
 
 } // namespace
 
-// Guards against calls that all VMs refuse as harmful, because a cut VM lost them at its own links.
+// Guards against calls that all VMs refuse as harmful because one VM lost them with its own links.
 Test(link_watch, calls_lost_at_cut_links_are_no_evidence_against_them)
 {
     cr_assert_eq(reportedEnds(30), 0);
-    cr_assert_eq(reportedEnds(0), 2, "targets that fail for all have ended");
+    cr_assert_eq(reportedEnds(0), 2, "targets that fail for all VMs have ended");
 }
 
 namespace {
@@ -168,16 +169,16 @@
 
 } // namespace
 
-// Guards against a VM that may order engines, reaches none and holds up the loads of all.
+// Guards against a lease holder that reaches no engine and delays the loads of all VMs.
 Test(link_watch, a_holder_that_reaches_no_engine_yields_to_a_mate_that_does)
 {
     CutHolder holder;
-    cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "nobody else is heard");
+    cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "no other VM reports");
     holder.receiveReport(true);
-    cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "the mate is cut off as well");
+    cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "the peer lost its links, too");
     holder.receiveReport(false);
     cr_assert(shouldYieldLease(holder.node, BootClock::now()));
-    cr_assert_eq(holder.digest.linked_mates(), 0, "this VM is no help to the mate");
+    cr_assert_eq(holder.digest.linked_mates(), 0, "this VM does not count as linked");
     holder.node.serviceLinks["engines"].lost = false;
     cr_assert(!shouldYieldLease(holder.node, BootClock::now()));
     holder.receiveReport(false);
--- a/libs/gateway/tests/LoadCounts.cpp
+++ b/libs/gateway/tests/LoadCounts.cpp
@@ -21,9 +21,9 @@
 
 } // namespace
 
-// Guards against loads that are long over and still counted: the VM that told of them is cut off or
-// gone, the store seems crowded, every load is expected to take several times as long as it does,
-// and as calls wait for that time, more loads seem to be under way.
+// Guards against counting loads that are long over because the VM that reported them is cut off or
+// gone. The weight store would look busy, every load would be expected to take several times as
+// long as it does, and as calls wait for that time, still more loads would be counted.
 Test(load_counts, loads_of_engines_that_nobody_orders_are_not_under_way)
 {
     GatewayNode node{GatewaySettings()};
@@ -32,7 +32,7 @@
     cr_assert_eq(loadsUnderWay(node), 3);
 }
 
-// Guards against the same for an engine that ended while it loaded.
+// Guards against the same for an engine that ended during a load.
 Test(load_counts, loads_of_engines_that_are_gone_are_not_under_way)
 {
     GatewayNode node{GatewaySettings()};
--- a/libs/gateway/tests/LoadReplies.cpp
+++ b/libs/gateway/tests/LoadReplies.cpp
@@ -28,8 +28,8 @@
 
 } // namespace
 
-// Guards against a time or reason that gets lost between two VMs, or a VM of the former version
-// whose answer, without them, is taken for "at once".
+// Guards against a retry time or reason that is lost between two VMs, and against reading the
+// answer of a VM of the previous version, which has neither, as "retry at once".
 Test(load_news, a_decline_tells_reason_and_time)
 {
     const LoadDecline decline{DeclineReason::QueueTooLong, 142'300us};
@@ -46,7 +46,7 @@
     cr_assert(backoffAfter(previous, Instant{} + 1s).until > Instant{} + 1s);
 }
 
-// Guards against a rank that gets lost on its way to the holder, which orders loads by it.
+// Guards against a rank that is lost on its way to the lease holder, which sorts loads by it.
 Test(load_news, a_request_tells_the_rank_of_its_call)
 {
     gateway::v1::LoadRequest request;
@@ -55,7 +55,7 @@
     cr_assert_eq(decodeRank(gateway::v1::LoadRequest()), 0);
 }
 
-// Guards against a mark by the former holder of an engine that keeps calls from the new one.
+// Guards against a backoff set by the previous lease holder that keeps calls from the new one.
 Test(load_news, a_new_holder_is_asked_at_once)
 {
     GatewayNode node(settingsOfVm());
@@ -68,7 +68,7 @@
     mark = backoffAfter({DeclineReason::NoSlot, 800ms}, BootClock::now());
     ++record.revision.count;
     applyEngineRecord(node, "e", record);
-    cr_assert(mark != LoadBackoff(), "other news of the same holder");
+    cr_assert(mark != LoadBackoff(), "another update of the same holder");
     cr_assert(!mayRequestLoad(node, "e", 300ms));
     record.holder = {"10.0.0.3", 7380};
     ++record.revision.generation;
@@ -76,8 +76,8 @@
     cr_assert(mark == LoadBackoff());
 }
 
-// Symptom would be a second load of an adapter that another engine was ordered to load moments ago.
-// Guards against the name of the adapter not reaching other VMs, or reaching them without a time.
+// Guards against a second load of an adapter that another engine has just begun to load, because
+// its name does not reach other VMs, or reaches them without a time.
 Test(load_news, loads_under_way_are_told_with_the_engine)
 {
     GatewayNode node(settingsOfVm());
@@ -98,8 +98,8 @@
     cr_assert(left && *left > 0ms && *left <= 300ms);
     cr_assert(!loadUnderWay(node, "e", "m/c", 300ms));
     node.loadsInFlight[{"e", "m/c"}] = std::make_shared<LoadInFlight>(node.context);
-    cr_assert(loadUnderWay(node, "e", "m/c", 120ms) == Duration(120ms), "asked by this VM");
-    // The holder is gone: nobody tells when the load is done.
+    cr_assert(loadUnderWay(node, "e", "m/c", 120ms) == Duration(120ms), "requested by this VM");
+    // The lease holder is gone, so the end of the load would not be reported.
     record.holderLive = false;
     ++record.revision.count;
     applyEngineRecord(node, "e", record);
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -8,10 +8,9 @@
 
 using namespace monsoonbay;
 
-// Symptom would be two VMs that order one engine. Sequence: a VM starts while another of its zone
-// is cut off from the store and from it; the other is one of the seeds, which name no zone, and the
-// store names its zone later. Cause: the zone of a peer that was known already was not taken, so
-// the new VM did not wait for it.
+// Guards against two VMs that command one engine. A VM starts while a zone peer is cut off from the
+// store and from it. It knows that peer as a seed, which has no zone, and ignored the zone when the
+// store named it later. So it did not wait for that peer's lease confirmation.
 Test(peers, the_zone_of_a_seed_is_taken_when_it_is_told)
 {
     GatewaySettings settings;
@@ -62,10 +61,10 @@
 
 } // namespace
 
-// Symptom: two VMs went on sending to a target for two seconds after it had said that it is
-// leaving; their relay knew after 0.3 s. Sequence: another zone tells the relay that the target is
-// leaving; then the relay reads the target's last two entries, one from before and the one that
-// says it. Cause: the older entry was told on as "stays", and the newer one held for nothing new.
+// Guards against calls to a target that is shutting down. A relay learnt from another zone that the
+// target leaves, and then read the target's last two entries: an older one, and the one that says
+// so. It reported the older entry as "stays", and took the newer one for no change. The relay knew
+// after 0.3 s, but two VMs sent calls to the target for two seconds.
 Test(peers, leaving_is_told_on_whatever_older_entries_say)
 {
     GatewayNode node(settingsOfVm1());
@@ -79,10 +78,9 @@
     cr_assert(second.targets(0).leaving());
 }
 
-// Symptom: a target that had started anew under its id got no work for as long as it ran, at any
-// VM. Sequence: this VM knows of the new start; a peer that does not says that the target leaves,
-// which its former start did. Cause: the word was taken for the start that is known here, and told
-// on so.
+// Guards against a target that restarts under its id and never gets work again. A peer that did not
+// know of the restart reported that the target leaves, which was true of its previous run. This VM
+// knew the new start, applied the report to it, and passed that on to all VMs.
 Test(peers, leaving_is_said_of_one_start_of_a_target)
 {
     GatewayNode node(settingsOfVm1());
@@ -98,10 +96,10 @@
     cr_assert(mayTakeWork(node.targetTable.records.at("t")));
 }
 
-// Symptom: callers of a cut zone of 21 VMs were refused for 4 s, "no engine has room", while its
-// engines stood half empty. Sequence: no VM of the zone reaches the store; the relay steps down,
-// the next one tries for a second and steps down, too. Cause: mates that nothing was known of were
-// taken for such that reach the store.
+// Guards against a zone that changes its relay again and again while no VM reaches the store. The
+// relay stepped down, the next VM tried for a second and stepped down, too, because zone peers of
+// unknown state were assumed to reach the store. In a zone of 21 VMs, calls were refused for 4 s
+// with "no engine has room", while the engines were half empty.
 Test(peers, a_relay_steps_down_only_for_a_mate_that_reaches_the_store)
 {
     GatewayNode node(settingsOfVm1());
@@ -110,7 +108,8 @@
     answerReport(node, report);
     const Instant now = BootClock::now();
     recordStoreAnswer(node, false, now);
-    cr_assert(!ownRank(node).storeUnreachable, "nobody of the zone is known to do better");
+    cr_assert(!ownRank(node).storeUnreachable,
+              "no other VM of the zone is known to reach the store");
     report.set_sequence(2);
     report.set_store_reached_ago_ms(10);
     answerReport(node, report);
@@ -119,9 +118,9 @@
     cr_assert(!ownRank(node).storeUnreachable);
 }
 
-// Symptom: engines with half of their slots in use were taken as full, in the seconds after each
-// change of the relay. Sequence: VMs report their calls to the new relay; the former one, which
-// reports there, too, still counts them among its own. Cause: it kept their last reports.
+// Guards against usage that is counted twice after a change of the relay. The previous relay kept
+// the last reports of the other VMs and passed them on to the new relay, which got them directly,
+// too. For some seconds, engines with half of their slots in use were taken as full.
 Test(peers, a_former_relay_does_not_tell_on_what_it_was_told)
 {
     GatewayNode node(settingsOfVm1());
@@ -136,10 +135,10 @@
     cr_assert_eq(totalLoad(node, "t").runs, 0);
 }
 
-// Symptom: two VMs of 21 held the engines of a zone, and three more joined within a day's third
-// second, which left all engines without orders for 3 to 6 s. Sequence: the relay asks a mate that
-// is still starting; from then on the mate reports, so it is not asked again. Cause: that it had
-// started did not stand in its reports.
+// Guards against a zone peer that counts as starting for ever and never becomes a lease holder. The
+// relay asked it while it was starting, and did not ask it again once it sent reports, which did
+// not say that it had started. So two of 21 VMs held all engines of the zone; when three more
+// joined in the third second of a run, no engine got commands for 3 to 6 s.
 Test(peers, a_mate_that_has_started_may_hold)
 {
     GatewayNode node(settingsOfVm1());
@@ -154,7 +153,7 @@
 
 namespace {
 
-/** A relay of the largest deployment that is planned for. */
+/** A relay of the largest planned deployment. */
 std::unique_ptr<GatewayNode> relayAtFullSize()
 {
     constexpr int engines = 12000;
@@ -183,10 +182,10 @@
 
 } // namespace
 
-// Symptom would be a VM that is started in a large deployment and never learns anything from its
-// relay. Sequence: it asks for all that the relay knows; the answer takes longer over its link than
-// an exchange may take, is cut off and begun anew. Cause: a whole answer grew with the deployment.
-// Evidence: 3.3 MB at 12,000 engines and 840 VMs, where 10 Mbit/s carry 625 KB in 0.5 s.
+// Guards against a VM that starts in a large deployment and never gets any state from its relay.
+// The answer with the full state grew with the deployment: at 12,000 engines and 840 VMs it has 3.3
+// MB, but 10 Mbit/s carry 625 KB in the 0.5 s of an exchange. So it was cut off and sent again for
+// ever.
 Test(peers, an_answer_fits_the_time_of_an_exchange_at_full_size)
 {
     constexpr std::size_t carried = 10 * 1000 * 1000 / 8 / 2;
@@ -197,7 +196,7 @@
 
 namespace {
 
-/** One exchange: `asker` takes what `relay` answers; returns whether there is more. */
+/** One exchange, in which `asker` applies the answer of `relay`; true if there are more changes. */
 bool exchangeOnce(GatewayNode &asker, GatewayNode &relay, std::uint64_t sequence,
                   bool upstream = true)
 {
@@ -219,9 +218,9 @@
 
 } // namespace
 
-// Symptom would be calls that go to targets which are gone, or targets that get no calls, at a VM
-// that has heard the news in pieces. A target goes and one comes while the pieces are told; another
-// was gone before, which the relay knows nothing of.
+// Guards against calls to targets that are gone, and targets that get no calls, at a VM that has
+// received the full state in several answers. While these are sent, one target goes and one comes;
+// another, which the relay never knew, was gone before.
 Test(peers, news_in_pieces_end_with_what_the_relay_knows)
 {
     const auto relay = relayAtFullSize();
@@ -234,7 +233,7 @@
     const std::string first = asker.shared.targets.all().begin()->first;
     dropTargetByPeer(*relay, first, true);
     applyPeerTargets(*relay, {listedTarget("come-meanwhile", false)});
-    cr_assert_not_null(entryOf(asker, "gone-before"), "dropped only when all is told");
+    cr_assert_not_null(entryOf(asker, "gone-before"), "dropped only when all is received");
     while (exchangeOnce(asker, *relay, ++sequence)) { }
     cr_assert_null(entryOf(asker, first));
     cr_assert_null(entryOf(asker, "gone-before"));
@@ -242,11 +241,11 @@
     cr_assert_eq(asker.targetTable.records.size(), relay->targetTable.records.size());
     cr_assert_eq(asker.shared.engines.all().size(), relay->shared.engines.all().size());
     cr_assert_neq(asker.targetTable.lastReadAt, Instant{});
-    cr_assert(!exchangeOnce(asker, *relay, ++sequence), "nothing is told twice");
+    cr_assert(!exchangeOnce(asker, *relay, ++sequence), "nothing is sent twice");
 }
 
-// Symptom would be a VM that keeps the targets of before for ever: the relay ends while it tells,
-// and the next one tells from the beginning.
+// Guards against a VM that keeps outdated targets for ever, because its relay ends while it sends
+// the full state and the next one sends it from the beginning.
 Test(peers, news_in_pieces_begin_anew_with_another_boot)
 {
     const auto relay = relayAtFullSize();
@@ -274,8 +273,8 @@
 
 } // namespace
 
-// Guards against calls to a target that has left, by a VM whose relay told its list beside the
-// regular reports.
+// Guards against calls to a target that has left, by a VM whose relay sent its list in an exchange
+// from before it was the relay.
 Test(peers, what_a_relay_told_before_it_was_the_relay_is_heard_in_whole_again)
 {
     const auto relay = relayWithTarget("stays");
@@ -307,8 +306,8 @@
     cr_assert_null(entryOf(asker, "left"));
 }
 
-// Guards against a target that gets no calls for a moment: this VM read of it just before the relay
-// came back, which has not yet.
+// Guards against a target that gets no calls for a moment, because this VM read of it just before
+// the relay came back, which has not read of it yet.
 Test(peers, a_list_that_is_older_than_the_own_read_drops_nothing)
 {
     const auto relay = relayWithTarget("stays");
@@ -317,15 +316,15 @@
     recordListRead(asker.targetTable, BootClock::now());
     std::uint64_t sequence = 0;
     cr_assert(!exchangeOnce(asker, *relay, ++sequence));
-    cr_assert(!exchangeOnce(asker, *relay, ++sequence), "it is not told again all the while");
+    cr_assert(!exchangeOnce(asker, *relay, ++sequence), "it is not sent again each time");
     cr_assert_not_null(entryOf(asker, "new"));
     recordListRead(relay->targetTable, BootClock::now() + std::chrono::seconds(2));
     while (exchangeOnce(asker, *relay, ++sequence)) { }
     cr_assert_null(entryOf(asker, "new"));
 }
 
-// Guards against calls to a target that this VM has dropped: its relay, back from an outage of its
-// own, still waits whether the target is listed again.
+// Guards against calls to a target that this VM has dropped, while its relay, which had an outage
+// of its own, still waits whether the target is listed again.
 Test(peers, a_dropped_target_does_not_come_back_by_one_that_waits_for_it)
 {
     const auto relay = relayWithTarget("left");
@@ -336,7 +335,7 @@
     GatewayNode startingVm(settingsOfVm7());
     std::uint64_t sequence = 0;
     while (exchangeOnce(startingVm, *relay, ++sequence)) { }
-    cr_assert_not_null(entryOf(startingVm, "left"), "one that knows nothing waits, too");
+    cr_assert_not_null(entryOf(startingVm, "left"), "a VM without a list waits, too");
     GatewayNode asker(settingsOfVm7());
     applyPeerTargets(asker, {listedTarget("left", false)});
     dropTargetByPeer(asker, "left", true);
--- a/libs/gateway/tests/Prefixes.cpp
+++ b/libs/gateway/tests/Prefixes.cpp
@@ -44,7 +44,7 @@
         applyPeerTargets(this->node, {engine});
     }
 
-    /** A call with a shared prefix; returns what is believed cached when it is sent. */
+    /** A call with a shared prefix; returns the tokens believed to be cached when it is sent. */
     double call(std::optional<Duration> untilFirst)
     {
         ActiveCall run(this->node, this->caller, HttpRequest());
@@ -57,7 +57,8 @@
         PrefillObservation reading(run, "engine-1", now);
         if (untilFirst)
             reading.noteFirstEvent(now + *untilFirst);
-        cr_assert_eq(run.cachedTokens, atPlacement, "the choice and the count of what waits");
+        cr_assert_eq(run.cachedTokens, atPlacement,
+                     "the same for placement and for waiting tokens");
         return run.cachedTokens;
     }
 
@@ -96,8 +97,8 @@
 
 } // namespace
 
-// Guards against prompts that are read again at an engine which has read them for another VM's
-// call: each VM saw only its own, one in 83.
+// Guards against prompts that are read again at an engine that has cached them for another VM's
+// call: each VM saw only its own calls, one in 83.
 Test(prefixes, what_one_vm_learns_is_used_in_its_zone_and_in_others)
 {
     Vm first("zone-a", 1);
@@ -106,25 +107,25 @@
     Vm otherZoneRelay("zone-b", 4);
     Vm otherZoneVm("zone-b", 5);
     cr_assert_eq(first.believed(), 0);
-    cr_assert_eq(first.believed(), 0, "a call that was sent shows nothing");
+    cr_assert_eq(first.believed(), 0, "that a call was sent is no evidence");
     exchange(first, relay);
     cr_assert_eq(relay.believed(), 0);
     first.call(cachedPrefillTime);
     const v1::Digest digest = exchange(first, relay);
-    cr_assert(decodePrefixUpdates(digest.prefixes()).reads.empty(), "not told back");
+    cr_assert(decodePrefixUpdates(digest.prefixes()).reads.empty(), "not sent back");
     cr_assert_eq(relay.believed(), 6300);
     exchange(zonePeer, relay);
     cr_assert_eq(zonePeer.believed(), 6300);
     exchange(otherZoneRelay, relay);
     exchange(otherZoneVm, otherZoneRelay);
     cr_assert_eq(otherZoneVm.believed(), 6300);
-    cr_assert(decodePrefixUpdates(exchange(zonePeer, relay).prefixes()).reads.empty(), "told once");
+    cr_assert(decodePrefixUpdates(exchange(zonePeer, relay).prefixes()).reads.empty(), "sent once");
     cr_assert(decodePrefixUpdates(exchange(relay, otherZoneRelay).prefixes()).reads.empty(),
-              "not told round");
+              "not returned by another zone");
 }
 
-// Guards against estimates from before a restart of the engine, also by words that come late, and
-// from before its adapter was unloaded or replaced.
+// Guards against estimates from before a restart of the engine, also by messages that arrive late,
+// and from before its adapter was unloaded or replaced.
 Test(prefixes, a_restart_or_an_unloaded_adapter_leaves_none)
 {
     Vm vm("zone-a", 1);
@@ -141,11 +142,11 @@
     late.call(cachedPrefillTime);
     recordStartTime(vm.node, "engine-1", 2);
     exchange(late, vm);
-    cr_assert_eq(vm.believed(), 0, "told of the former start");
+    cr_assert_eq(vm.believed(), 0, "a late report of the previous run");
 }
 
-// Guards against a belief that feeds itself: calls follow it, and each that was sent renews it.
-// Told on at once, it would come back from the others.
+// Guards against a belief that confirms itself: calls are placed by it, and each one would renew
+// it. If it were passed on at once, it would come back from the other VMs.
 Test(prefixes, a_prefix_that_was_found_missing_is_neither_believed_nor_told)
 {
     Vm first("zone-a", 1);
@@ -162,11 +163,11 @@
     logPrefix(relay.node.prefixes.log, relay.node.prefixes.log.entries.back().read,
               PrefixSource::Zone, 9, BootClock::now());
     exchange(first, relay);
-    cr_assert_eq(first.believed(), 0, "nor when another VM tells");
+    cr_assert_eq(first.believed(), 0, "nor when another VM reports it");
 }
 
-// Guards against a VM that hears nothing more after messages were lost, came in another order, or
-// came from a relay that has started anew.
+// Guards against a VM that receives no more prefixes after messages were lost, arrived out of
+// order, or came from a relay that has restarted.
 Test(prefixes, lost_and_late_messages_cost_only_what_they_told)
 {
     Vm first("zone-a", 1);
@@ -178,7 +179,7 @@
     const v1::Report early = reportOf(zonePeer, relay);
     exchange(zonePeer, relay);
     cr_assert_eq(zonePeer.believed(), 6300);
-    answerReport(relay.node, early); // an older one comes late
+    answerReport(relay.node, early); // an older report arrives late
     PeerState &known = zonePeer.node.peers[relay.node.settings.peers];
     known.seenPrefix = 1'000'000; // of a log that the relay never had
     recordRead(relay.node.prefixes.table, 7, {{42, 5000}}, BootClock::now());
@@ -187,13 +188,13 @@
     cr_assert_eq(cachedPrefixTokens(zonePeer.node.prefixes.table, 7, {{42, 5000}}), 5000);
     Vm restarted("zone-a", 2);
     exchange(zonePeer, restarted);
-    cr_assert_eq(known.seenPrefix, 0, "the numbers of the former boot say nothing");
+    cr_assert_eq(known.seenPrefix, 0, "numbers of the previous boot are not valid");
     restarted.call(cachedPrefillTime);
     exchange(zonePeer, restarted);
     cr_assert_eq(known.seenPrefix, restarted.node.prefixes.log.last);
 }
 
-// Guards against bad values on the wire that are believed, or that end the VM.
+// Guards against invalid values on the wire that are accepted, or that crash the VM.
 Test(prefixes, bad_values_are_left_out)
 {
     PrefixUpdates update;
@@ -206,7 +207,7 @@
     update.reads.assign(1000, {3, {14, 5000}});
     cr_assert_eq(decodePrefixUpdates(encodePrefixUpdates(update)).reads.size(),
                  maxPrefixesPerMessage);
-    // Every way of cutting or changing a message can be read.
+    // Truncated and corrupted messages must be handled without a crash.
     const std::string valid = message.SerializeAsString();
     std::mt19937 random(7);
     for (int round = 0; round < 5000; ++round) {
@@ -214,7 +215,7 @@
         if (!bytes.empty())
             bytes[random() % bytes.size()] = static_cast<char>(random());
         v1::PrefixNews corrupted;
-        // What was read before the damage is kept.
+        // Entries parsed before the corrupted byte are kept.
         static_cast<void>(corrupted.ParseFromString(bytes));
         for (const PrefixRead &read : decodePrefixUpdates(corrupted).reads)
             cr_assert(read.prefix.tokens >= minReportedTokens);
@@ -223,7 +224,7 @@
 
 namespace {
 
-/** A second of answers to one VM: each tells what was logged since the last one. */
+/** Bytes per second of answers to one VM; each answer has what was logged since the last one. */
 double bytesPerSecond(double readsPerSecond, int engines, Duration spacing)
 {
     std::mt19937_64 random(11);
@@ -253,20 +254,20 @@
 
 } // namespace
 
-// Guards against news that take a weak link's bytes. Spacings are those of RelayLoops.cpp for the
-// VMs of one of four zones; each prefix is told once, as if no two calls shared any.
+// Guards against prefixes that take up a slow link. The intervals are those of RelayLoops.cpp for
+// the VMs of one of four zones; each prefix is sent once, as if no two calls shared any.
 Test(prefixes, the_bytes_to_each_vm_are_bounded)
 {
     using namespace std::chrono_literals;
     for (const int prefixes : {1, 2}) {
         const double today = bytesPerSecond(143 * prefixes, 90, 168ms);
         const double large = bytesPerSecond(500 * prefixes, 90, 600ms);
-        cr_log_info("%d a call: %.0f and %.0f bytes a second", prefixes, today, large);
+        cr_log_info("%d prefixes per call: %.0f and %.0f bytes/s", prefixes, today, large);
         cr_assert(today < 10'000 && large < 10'000);
     }
 }
 
-// Guards against bytes and work where no call names shared parts.
+// Guards against traffic and work while no call names shared parts.
 Test(prefixes, without_shared_parts_nothing_is_told)
 {
     Vm first("zone-a", 1);
--- a/libs/gateway/tests/UsageUpdates.cpp
+++ b/libs/gateway/tests/UsageUpdates.cpp
@@ -58,7 +58,7 @@
 
 } // namespace
 
-// Guards against a permit that counts for longer at a VM than at the one that told of it.
+// Guards against a permit that is valid for longer at a VM than at the relay that sent it.
 Test(spend_news, a_permit_ages_on_its_way)
 {
     GatewayNode relay(relaySettings);
@@ -72,14 +72,14 @@
     cr_assert_eq(allowedShare(zonePeer, "ferry", now), shareWithoutSnapshot);
     applyUsageUpdates(zonePeer, digest, false, now);
     cr_assert_eq(allowedShare(zonePeer, "ferry", now), shareWithoutSnapshot,
-                 "it is not of its own relay");
+                 "not sent by its own relay");
     applyUsageUpdates(zonePeer, digest, true, now);
     cr_assert_eq(allowedShare(zonePeer, "ferry", now), 0.8);
     cr_assert_eq(allowedShare(zonePeer, "ferry", now + 1s), shareWithoutSnapshot);
 }
 
-// Guards against a VM that starts late in a restart of all and counts what the others' new notes
-// permit as used.
+// Guards against a VM that starts late in a restart of all VMs, and counts as used what the new
+// snapshots of the others permit.
 Test(spend_news, what_was_read_at_the_start_is_told_to_those_that_start_later)
 {
     GatewayNode first(relaySettings);
@@ -94,10 +94,10 @@
     cr_assert_eq(second.spend.atStart.zones, std::vector<UsageSnapshot>{snapshotOf(60)});
     v1::Report later = zonePeerReport(2);
     later.set_known_boot(first.boot);
-    cr_assert_not(answerReport(first, later).has_spend(), "told once");
+    cr_assert_not(answerReport(first, later).has_spend(), "sent once");
 }
 
-// Guards against bytes for a feature that a deployment does not use.
+// Guards against traffic for a feature that a deployment does not use.
 Test(spend_news, without_limits_nothing_is_told)
 {
     GatewayNode node(relaySettings);
