--- a/libs/observe/include/observe/EventLimiter.h
+++ b/libs/observe/include/observe/EventLimiter.h
@@ -9,13 +9,16 @@
 
 namespace monsoonbay {
 
-/** Bounds how many events of each kind are written in a second. */
+/** Rate limiter for events: limits how many of each kind are written per second. */
 class EventLimiter
 {
 public:
     explicit EventLimiter(int perSecond);
 
-    /** Nothing: leave it out. Else the number of this kind left out since the last one written. */
+    /**
+     * Nothing if the event must not be written; otherwise the number of events of this kind that
+     * were left out since the last one written.
+     */
     std::optional<std::uint64_t> admit(EventId id, Instant now);
 
 private:
--- a/libs/observe/include/observe/Events.h
+++ b/libs/observe/include/observe/Events.h
@@ -8,7 +8,7 @@
 
 namespace monsoonbay {
 
-/** Numbered events of the daemon; docs/EVENTS.md explains each. Numbers are never reused. */
+/** Events that the daemon logs; docs/EVENTS.md documents each. Numbers are never reused. */
 enum class EventId : std::uint16_t {
     Started = 1001,
     Ready = 1002,
@@ -82,7 +82,7 @@
 
 enum class EventLevel : std::uint8_t { Info, Warning, Error };
 
-/** One row of the catalogue. */
+/** An entry of the event catalogue. */
 struct EventRow
 {
     EventId id;
@@ -104,20 +104,21 @@
 
 enum class LogFormat : std::uint8_t { Text, Json };
 
-/** Sets how events are written; `vm` goes with each of them. They go to standard error. */
+/** Sets up logging to standard error; `vm` is written with each event. */
 void setUpLog(LogFormat format, std::string_view vm);
 
 /**
- * As above, to standard output and at most `linesPerSecond` of each kind of event; a line tells how
- * many were left out. A reader that does not read loses lines; it never holds up the daemon.
+ * Sets up logging to standard output, with at most `linesPerSecond` events of each kind; a line
+ * reports how many were left out. If the reader of standard output is slow, lines are dropped; they
+ * never block the daemon.
  */
 void setUpLog(LogFormat format, std::string_view vm, int linesPerSecond);
 
-/** Writes an event. */
+/** Writes an event to the log, unless logging is not set up or the rate limit is exceeded. */
 void logEvent(EventId id, std::initializer_list<EventField> fields);
 void logEvent(EventId id, std::span<const EventField> fields);
 
-/** The line that logEvent writes, without time. */
+/** The text of the line that logEvent() writes, without the time. */
 std::string eventText(LogFormat format, std::string_view vm, const EventRow &row,
                       std::initializer_list<EventField> fields);
 
--- a/libs/observe/include/observe/Metrics.h
+++ b/libs/observe/include/observe/Metrics.h
@@ -28,28 +28,29 @@
     TokensStreamed,
     KeysRefused, ///< calls without a key that is known to be valid
     OverLimit, ///< calls beyond their workspace's limit
-    OverLimitSmall, ///< of these, by class; see quota/CallClass.h
+    OverLimitSmall, ///< this and the next three: the same by class; see quota/CallClass.h
     OverLimitRank0,
     OverLimitRank1,
     OverLimitRank2,
-    CachedTokens, ///< of prompts, that engines were believed to keep from former calls
-    PrefixesMissing, ///< times that they read the whole prompt all the same
-    LoadsShared, ///< that served several calls of one VM
-    LoadsJoined, ///< calls of a VM that found the load under way at the engine already
-    LoadsDeclinedOther, ///< the holder has not answered, or has said no reason
+    CachedTokens, ///< prompt tokens that engines were believed to have cached from earlier calls
+    PrefixesMissing, ///< calls whose prompt the engine had not cached, against that belief
+    LoadsShared, ///< loads that served several calls of one VM
+    LoadsJoined, ///< load requests that found the load in progress at the engine already
+    LoadsDeclinedOther, ///< the lease holder has not answered, or has given no reason
     LoadsDeclinedNoSlot,
     LoadsDeclinedQueue,
     LoadsDeclinedSilent, ///< the engine does not answer
     LoadsDeclinedModel,
-    LoadsDeclinedHolder, ///< the VM that was asked may not order the engine
-    CallsForwarded, ///< that another VM has taken
-    AnswersUnproved, ///< passed on, and ended with the target's connection
-    StreamsTakenUp, ///< by callers, of which is known what began them
-    ResumesUnknown, ///< refused, as it is not known
-    ResumesWithoutEngine, ///< refused or cut, as no engine of that version takes them
-    StreamOriginsTold, ///< to the VMs that keep them
-    ForwardsRefused, ///< offers of a call that another VM did not take
-    // Bytes of news sent to VMs of the own zone, by kind; see gateway/UpdateBytes.h.
+    LoadsDeclinedHolder, ///< the VM that was asked does not hold the lease for the engine
+    CallsForwarded, ///< calls that another VM has accepted
+    AnswersUnproved, ///< answers whose end only the target's closed connection showed
+    StreamsTakenUp, ///< streams resumed by callers whose origin is known
+    ResumesUnknown, ///< streams whose resumption was refused because their origin is not known
+    ResumesWithoutEngine, ///< refused or ended as no engine of the version that began them took
+                          ///< them
+    StreamOriginsTold, ///< stream origins sent to the VMs that keep them
+    ForwardsRefused, ///< forwarded calls that another VM did not accept
+    // Bytes of state updates sent to VMs of the own zone, by kind; see gateway/UpdateBytes.h.
     NewsToMatesUses,
     NewsToMatesEngines,
     NewsToMatesTargets,
@@ -68,9 +69,9 @@
     Count, ///< number of counters, not one of them
 };
 
-/** What goes up and down. */
+/** Values that can go up and down. */
 enum class Gauge : std::uint8_t {
-    CallsWaiting, ///< for a place at an engine
+    CallsWaiting, ///< calls that wait for capacity at an engine
     Count, ///< number of gauges, not one of them
 };
 
@@ -80,7 +81,7 @@
     BetweenPieces,
     Refusal, ///< seconds from arrival to a refusal
     ForecastError, ///< seconds by which a first event came earlier or later than expected
-    NoteAge, ///< seconds since the spend note that permits a VM more use, as it hears of it
+    NoteAge, ///< seconds from a usage snapshot until a VM receives the permit based on it
     Count, ///< number of timings, not one of them
 };
 
@@ -94,7 +95,7 @@
     double p99 = 0;
 };
 
-/** Counters and histograms of one daemon; histograms are sharded by thread. */
+/** Counters, gauges and histograms of one daemon; histograms are sharded by thread. */
 class Metrics
 {
 public:
@@ -110,7 +111,7 @@
     void record(Timing timing, double seconds);
     TimingSummary summary(Timing timing) const;
 
-    /** All of it in the OpenMetrics text format. */
+    /** All metrics in the OpenMetrics text format. */
     std::string openMetrics() const;
 
 private:
--- a/libs/observe/include/observe/Traces.h
+++ b/libs/observe/include/observe/Traces.h
@@ -11,7 +11,7 @@
 
 namespace monsoonbay {
 
-/** Place in a trace, as the W3C header "traceparent" carries it. */
+/** Position in a trace, as carried by the W3C header "traceparent". */
 struct TraceContext
 {
     std::string traceId; ///< 32 hex digits
@@ -20,14 +20,14 @@
     auto operator<=>(const TraceContext &) const = default;
 };
 
-/** Nothing if the header is malformed; a broken header must not break the request. */
+/** Nothing if the header is malformed: an invalid header must not make the request fail. */
 std::optional<TraceContext> parseTraceparent(std::string_view header);
 std::string traceparentOf(const TraceContext &context);
 
-/** A span below `parent`, or the root of a new trace. */
+/** A new child span of `parent`, or the root span of a new trace. */
 TraceContext childOf(const std::optional<TraceContext> &parent);
 
-/** One hop of a request. */
+/** The span of one hop of a request. */
 struct Span
 {
     TraceContext context;
@@ -42,7 +42,7 @@
 /** Wall-clock time for spans; never used for decisions. */
 std::uint64_t unixNanos() noexcept;
 
-/** Spans that wait to be exported; when it is full new ones are dropped and counted. */
+/** A bounded queue of spans to export; when it is full, new spans are dropped and counted. */
 class SpanQueue
 {
 public:
--- a/libs/observe/src/BoundedSink.cpp
+++ b/libs/observe/src/BoundedSink.cpp
@@ -11,8 +11,8 @@
     : descriptor(descriptor)
 { }
 
-// A pipe is writable, as poll tells it, when a line of up to PIPE_BUF bytes goes in whole; lines
-// are far shorter. The descriptor itself stays as it is, as others may share it.
+// poll() reports a pipe as writable when PIPE_BUF bytes fit, and lines are far shorter. The
+// descriptor is not made non-blocking, as other processes may share it.
 bool BoundedSink::writeLine(std::string_view line)
 {
     pollfd waiting{this->descriptor, POLLOUT, 0};
--- a/libs/observe/src/BoundedSink.h
+++ b/libs/observe/src/BoundedSink.h
@@ -8,8 +8,9 @@
 namespace monsoonbay {
 
 /**
- * Writes lines to a descriptor without ever waiting for its reader: a line that does not fit into
- * the pipe is dropped and counted, and the next that fits is preceded by a line with the count.
+ * A log sink that writes lines to a descriptor and never waits for its reader. A line that does not
+ * fit into the pipe is dropped; the next one that fits is preceded by a line with the number
+ * dropped.
  */
 class BoundedSink final : public spdlog::sinks::base_sink<std::mutex>
 {
--- a/libs/observe/tests/Catalogue.cpp
+++ b/libs/observe/tests/Catalogue.cpp
@@ -12,7 +12,8 @@
 
 using namespace monsoonbay;
 
-// Symptom: the on-call page did not know an event's number. Cause: catalogue and code drift apart.
+// Guards against an event whose number is missing in docs/EVENTS.md, because it and the code
+// differ.
 Test(events, code_and_catalogue_agree)
 {
     std::ifstream file(MONSOONBAY_SOURCE_DIR "/docs/EVENTS.md");
@@ -80,8 +81,7 @@
     for (int event = 0; event < 50; ++event)
         written += limiter.admit(EventId::CallRefused, start).has_value() ? 1 : 0;
     cr_assert_eq(written, 3);
-    cr_assert(limiter.admit(EventId::TargetGone, start).has_value(),
-              "another kind has its own bound");
+    cr_assert(limiter.admit(EventId::TargetGone, start).has_value(), "each kind has its own limit");
     const auto next = limiter.admit(EventId::CallRefused, start + std::chrono::seconds(1));
     cr_assert_eq(next.value_or(0), 47);
     cr_assert_eq(limiter.admit(EventId::CallRefused, start + std::chrono::seconds(1)).value_or(9),
--- a/libs/observe/tests/FullPipe.cpp
+++ b/libs/observe/tests/FullPipe.cpp
@@ -36,8 +36,8 @@
 
 } // namespace
 
-// Symptom: a daemon stood still while nobody read its log. Sequence: standard output is a pipe that
-// fills; the next line blocks the thread that serves. Here a test that hangs is the failure.
+// Guards against a daemon that blocks while nobody reads its log: standard output is a pipe, and
+// once it was full, the next line blocked the serving thread. This test fails by hanging.
 Test(full_pipe, lines_are_dropped_and_counted_not_waited_for)
 {
     Pipe pipe;
