--- a/libs/config/include/config/Acceptance.h
+++ b/libs/config/include/config/Acceptance.h
@@ -8,7 +8,10 @@
 
 namespace monsoonbay {
 
-/** Names one accepted manifest. The offset keeps a return to older contents apart from them. */
+/**
+ * Identifies one accepted manifest. Its offset tells it apart from an older manifest with the same
+ * contents.
+ */
 struct ManifestMark
 {
     std::uint64_t offset = 0; ///< 0: nothing accepted yet
@@ -17,7 +20,7 @@
     auto operator<=>(const ManifestMark &) const = default;
 };
 
-/** A record of the log's manifest stream. */
+/** A record of the manifest stream in the log. */
 struct ManifestRecord
 {
     std::uint64_t offset = 0;
@@ -26,21 +29,21 @@
     auto operator<=>(const ManifestRecord &) const = default;
 };
 
-/** What became of a record; the same on every VM. */
+/** Outcome of a record; all VMs come to the same one. */
 enum class RecordVerdict {
     Accepted,
-    Duplicate, ///< the record accepted last, appended once more
-    Conflict, ///< made from another manifest than the one in force
+    Duplicate, ///< the record accepted last, appended again
+    Conflict, ///< based on another manifest than the one in force
     Invalid,
-    Dangerous, ///< drops too much without acknowledging it
-    Snapshot, ///< a copy of accepted state; changes nothing for those who have it
-    NoBase, ///< cannot be judged here before a snapshot was taken
-    Old, ///< judged before
+    Dangerous, ///< drops too much without an acknowledgement
+    Snapshot, ///< a copy of accepted state; no effect on a reader that has that state
+    NoBase, ///< the reader needs a snapshot before it can evaluate the record
+    Old, ///< evaluated before
 };
 
 std::string_view verdictName(RecordVerdict verdict) noexcept;
 
-/** Verdict on one record with its reasons. */
+/** The outcome of one record, with the reasons. */
 struct JudgedRecord
 {
     std::uint64_t offset = 0;
@@ -49,32 +52,35 @@
     ManifestMark mark; ///< in force after this record
 };
 
-/** The fold over the manifest stream. Offsets only grow, whatever the source of records. */
+/**
+ * The state that results from applying the manifest stream in order. Its offsets only grow,
+ * whatever the source of records.
+ */
 struct AcceptedManifest
 {
     Manifest manifest;
     ManifestMark mark;
-    std::uint64_t readThrough = 0; ///< every manifest record up to here is judged
-    std::uint64_t lastBodyHash = 0;
-    bool based = false; ///< the state is complete: read from the log's start, or a snapshot
+    std::uint64_t readThrough = 0; ///< every manifest record up to here has been evaluated
+    std::uint64_t lastBodyHash = 0; ///< of the record accepted last
+    bool based = false; ///< the state is complete: read from the start of the log, or a snapshot
 };
 
-/** Judges the next record and applies it if accepted. */
+/** Evaluates the next record and applies it if it is accepted. */
 JudgedRecord judge(AcceptedManifest &state, const ManifestRecord &record);
 
 /**
- * Tells that the log's first retained offset is `first`. A reader at the very start of an
- * untruncated log has a complete (empty) base; one that comes later needs a snapshot.
+ * Records that the first retained offset of the log is `first`. A reader that starts with an
+ * untruncated log has a complete (empty) base; otherwise it needs a snapshot.
  */
 void noteLogStart(AcceptedManifest &state, std::uint64_t first);
 
 /** Body of a snapshot record of this state. */
 std::string writeSnapshot(const AcceptedManifest &state);
 
-/** Takes a snapshot's state if it is newer than what is held; never goes back. */
+/** Replaces the state by a snapshot if that is valid and newer; true if it was replaced. */
 bool adoptSnapshot(AcceptedManifest &state, std::string_view body);
 
-/** Body of a record that publishes a whole manifest, or a delta. */
+/** Body of a record that publishes a whole manifest or a delta. */
 std::string writePublication(std::string_view kind, const ManifestMark &base,
                              const std::vector<std::string> &acknowledge, std::string_view content);
 
--- a/libs/config/include/config/AdapterTable.h
+++ b/libs/config/include/config/AdapterTable.h
@@ -9,7 +9,7 @@
 
 namespace monsoonbay {
 
-/** One adapter in one version, as the manifest declares it. */
+/** One version of an adapter, as the manifest declares it. */
 struct AdapterEntry
 {
     AdapterRef ref;
@@ -18,7 +18,7 @@
     auto operator<=>(const AdapterEntry &) const = default;
 };
 
-/** Order-independent 128-bit digest of a set of entries; adding and removing one is O(1). */
+/** Order-independent 128-bit digest of a set of entries; adding or removing an entry is O(1). */
 struct SetDigest
 {
     std::uint64_t low = 0;
@@ -34,8 +34,8 @@
 };
 
 /**
- * Immutable set of adapters by id. A changed copy shares all buckets but the one touched, so
- * that a delta against 67,000 adapters costs microseconds and readers keep what they hold.
+ * Immutable map of adapters by id. A modified copy shares all buckets except the changed one. So a
+ * delta to 67,000 adapters costs microseconds, and readers can keep using the previous table.
  */
 class AdapterTable
 {
@@ -50,7 +50,7 @@
     AdapterTable with(const AdapterEntry &entry) const;
     AdapterTable without(AdapterId id) const;
 
-    /** Builds a table in one pass; much cheaper than repeated with(). */
+    /** Builds a table in one pass; much cheaper than repeated calls of with(). */
     static AdapterTable of(const std::vector<AdapterEntry> &entries);
 
 private:
--- a/libs/config/include/config/JsonReader.h
+++ b/libs/config/include/config/JsonReader.h
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-/** Reads typed values out of JSON and gathers every problem instead of stopping at the first. */
+/** Reads typed values from JSON, and collects all problems instead of stopping at the first. */
 class JsonReader
 {
 public:
@@ -23,7 +23,7 @@
     Json parseObject(std::string_view text);
     bool isObject(const Json &value, const std::string &path);
 
-    /** Complains of each key that is not among `known` and names the nearest one that is. */
+    /** Reports each key that is not among `known`, with the most similar one that is. */
     void onlyKeys(const Json &object, const std::string &path,
                   std::initializer_list<std::string_view> known);
 
--- a/libs/config/include/config/Manifest.h
+++ b/libs/config/include/config/Manifest.h
@@ -10,15 +10,15 @@
 
 namespace monsoonbay {
 
-/** A service that may call adapters, with its token's SHA-256. */
+/** A calling service, identified by the SHA-256 of its token, and what it may call. */
 struct Service
 {
     std::string name;
     std::string tokenSha256;
-    std::vector<std::string> adapters; ///< names, or prefixes ending in '*'
+    std::vector<std::string> adapters; ///< names, or prefixes that end in '*'
     std::vector<std::string> plainServices;
     int priority = 5; ///< 1 (first) to 9 (last)
-    double share = 0.5; ///< of an entry VM's queue places while others wait
+    double share = 0.5; ///< of an entry VM's queue capacity while other services wait
 
     auto operator<=>(const Service &) const = default;
 
@@ -26,22 +26,22 @@
     bool mayCallPlain(std::string_view plainName) const noexcept;
 };
 
-/** A plain service beside the engines and those of its calls that must not be repeated. */
+/** A service that is not a model engine, and those of its calls that must not be retried. */
 struct PlainService
 {
     std::string name;
     std::string path;
-    std::vector<std::string> nonIdempotent; ///< "METHOD /path", or a prefix ending in '*'
+    std::vector<std::string> nonIdempotent; ///< "METHOD /path", or a prefix that ends in '*'
 
     auto operator<=>(const PlainService &) const = default;
 };
 
-/** What the system has to know of a target beside its address. */
+/** Properties of a target, apart from its address. */
 struct TargetDeclaration
 {
     std::string name;
-    std::string baseModel; ///< of a model engine
-    std::string plainService; ///< of an app runner
+    std::string baseModel; ///< set for a model engine only
+    std::string plainService; ///< set for an app runner only
     int slots = 0;
     int maxBatch = 0;
     bool checksTokens = false;
@@ -49,7 +49,7 @@
     auto operator<=>(const TargetDeclaration &) const = default;
 };
 
-/** How much the two measures count in placement and routing; 0 to 1 each. */
+/** Weights of the two cost measures in placement and routing; 0 to 1 each. */
 struct Weights
 {
     double stall = 0.5;
@@ -58,7 +58,7 @@
     auto operator<=>(const Weights &) const = default;
 };
 
-/** Everything but the adapters; small, copied whole on a change. */
+/** All of a manifest except the adapters; small, and copied as a whole on each change. */
 struct ManifestHead
 {
     std::vector<std::string> baseModels;
@@ -72,17 +72,17 @@
     auto operator<=>(const ManifestHead &) const = default;
 };
 
-/** One accepted configuration: an immutable value. */
+/** A configuration of the system; an immutable value once it is accepted. */
 struct Manifest
 {
     ManifestHead head;
     AdapterTable adapters;
 
-    /** Canonical digest in hex; equal for equal contents however they were written. */
+    /** Canonical digest in hex, which does not depend on how the contents were formatted. */
     std::string digest() const;
 };
 
-/** A change to a manifest: adapters by entry, the head by replacement of its given parts. */
+/** A change to a manifest: single adapters, and parts of the head that are replaced. */
 struct ManifestDelta
 {
     std::vector<AdapterEntry> put;
@@ -90,7 +90,7 @@
     std::string headPatch; ///< JSON object with the replaced parts of the head, or empty
 };
 
-/** Result of reading a document: a value, or every problem at once. */
+/** The result of parsing a document: a value, or all its problems. */
 template <typename T> struct Parsed
 {
     T value;
@@ -106,7 +106,7 @@
 Parsed<ManifestDelta> parseDelta(std::string_view json);
 std::string writeManifest(const Manifest &manifest);
 
-/** Applies a delta; problems name what does not fit the manifest it is applied to. */
+/** Applies a delta; the problems name what does not match the manifest. */
 Parsed<Manifest> applyDelta(const Manifest &manifest, const ManifestDelta &delta);
 
 } // namespace monsoonbay
--- a/libs/config/include/config/Problem.h
+++ b/libs/config/include/config/Problem.h
@@ -5,7 +5,7 @@
 
 namespace monsoonbay {
 
-/** One thing wrong with a document: where (JSON pointer), what, and what to do about it. */
+/** A problem in a document: its place (JSON pointer), what is wrong, and how to correct it. */
 struct Problem
 {
     std::string path;
--- a/libs/config/include/config/Settings.h
+++ b/libs/config/include/config/Settings.h
@@ -7,7 +7,7 @@
 
 namespace monsoonbay {
 
-/** An IP number and a TCP port. */
+/** An IP address and a TCP port. */
 struct Endpoint
 {
     std::string address;
@@ -21,7 +21,7 @@
     }
 };
 
-/** Settings of one monsoonbayd; a process learns its addresses and zone only from here. */
+/** Settings of one monsoonbayd process; the only source of its addresses and zone. */
 struct Settings
 {
     std::string vm;
@@ -31,7 +31,7 @@
     Endpoint operators;
     Endpoint log;
     Endpoint vmList;
-    Endpoint traces; ///< collector of OTLP/JSON; port 0: no traces
+    Endpoint traces; ///< OTLP/JSON collector; port 0: no traces are exported
     int threads = 2;
     std::string placement = "forecast";
     std::string logFormat = "text";
--- a/libs/config/src/Acceptance.cpp
+++ b/libs/config/src/Acceptance.cpp
@@ -34,7 +34,7 @@
     reader.onlyKeys(root, "", {"kind", "base", "acknowledge", "content"});
     publication.kind = reader.text(root, "", "kind");
     if (publication.kind != "manifest" && publication.kind != "delta")
-        reader.complain("/kind", "'" + publication.kind + "' is no kind of publication",
+        reader.complain("/kind", "'" + publication.kind + "' is not a kind of publication",
                         "write manifest or delta");
     if (root.contains("base") && reader.isObject(root["base"], "/base")) {
         const Json &base = root["base"];
@@ -47,7 +47,8 @@
     for (std::size_t index = 0; index < publication.acknowledge.size(); ++index) {
         const std::string &what = publication.acknowledge[index];
         if (what != dropsAdapters && what != dropsServices)
-            reader.complain("/acknowledge/" + std::to_string(index), "'" + what + "' means nothing",
+            reader.complain("/acknowledge/" + std::to_string(index),
+                            "'" + what + "' is not a known acknowledgement",
                             "acknowledge drops-adapters or drops-services");
     }
     if (root.contains("content") && reader.isObject(root["content"], "/content"))
@@ -57,7 +58,7 @@
     return publication;
 }
 
-// A version that replaces another of the same name is no drop; only a name that goes is.
+// Counts names, not versions: replacing a version by another of the same name drops nothing.
 std::size_t droppedAdapters(const AdapterTable &before, const AdapterTable &after)
 {
     std::set<std::string> kept;
@@ -96,8 +97,8 @@
 {
     const std::uint64_t bodyHash = stableHash(record.body);
     if (publication.base != state.mark) {
-        // An append whose answer was lost is sent again by the pipeline: the same body right after
-        // it was accepted is the same publication, not a race of operators.
+        // The pipeline retries an append whose answer was lost. The same body right after it was
+        // accepted is therefore a duplicate, not a conflict between two operators.
         const bool isRepeat = bodyHash == state.lastBodyHash;
         judged.verdict = isRepeat ? RecordVerdict::Duplicate : RecordVerdict::Conflict;
         if (!isRepeat)
@@ -105,7 +106,7 @@
                 {"/base",
                  "was made from offset " + std::to_string(publication.base.offset)
                      + ", in force is offset " + std::to_string(state.mark.offset),
-                 "make it anew from the manifest in force"});
+                 "recreate it from the manifest in force"});
         return;
     }
     Parsed<Manifest> next;
@@ -161,8 +162,9 @@
     const bool isSnapshot = reader.problems.empty() && root.value("kind", Json()) == "snapshot";
     if (isSnapshot) {
         judged.verdict = RecordVerdict::Snapshot;
-        // What lies between the snapshot's state and its own offset has still to be judged, so a
-        // VM that adopts it goes on reading from there, not from here.
+        // Records between the snapshot's state and the snapshot's own offset still have to be
+        // evaluated, so a VM that adopts it continues reading from that state, not from this
+        // offset.
         const bool adopted = !state.based && adoptSnapshot(state, record.body);
         if (!adopted && state.based)
             state.readThrough = record.offset;
@@ -222,7 +224,7 @@
     if (offset != 0) {
         Parsed<Manifest> parsed = parseManifest(root.value("content", Json::object()).dump());
         const std::string digest = root["digest"];
-        // A snapshot that was cut or changed on its way must not become the state of a VM.
+        // A truncated or corrupted snapshot must not become the state of a VM.
         if (!parsed.ok() || parsed.value.digest() != digest)
             return false;
         adopted.manifest = std::move(parsed.value);
--- a/libs/config/src/AdapterTable.cpp
+++ b/libs/config/src/AdapterTable.cpp
@@ -42,8 +42,8 @@
     : buckets(bucketCount)
 { }
 
-// Ids are hashes already; the middle bits serve as the bucket because unordered_map users of
-// the same id tend to take the low ones.
+// Ids are hashes already. The bucket is taken from the middle bits, as an unordered_map keyed by
+// the same id tends to use the low ones.
 std::size_t AdapterTable::bucketOf(AdapterId id) noexcept
 {
     return (id.value >> 20U) % bucketCount;
--- a/libs/config/src/JsonReader.cpp
+++ b/libs/config/src/JsonReader.cpp
@@ -94,7 +94,7 @@
     const Json &value = object[key];
     if (value.is_string())
         return value.get<std::string>();
-    this->complain(path + "/" + key, "is not a text", "write it in quotes");
+    this->complain(path + "/" + key, "is not a string", "write it in quotes");
     return {};
 }
 
@@ -114,7 +114,7 @@
             values.push_back(array[index].get<std::string>());
             continue;
         }
-        this->complain(path + "/" + key + "/" + std::to_string(index), "is not a text",
+        this->complain(path + "/" + key + "/" + std::to_string(index), "is not a string",
                        "write it in quotes");
     }
     return values;
--- a/libs/config/src/Manifest.cpp
+++ b/libs/config/src/Manifest.cpp
@@ -40,7 +40,8 @@
 {
     std::string name = reader.text(object, path, key);
     if (!name.empty() && !isName(name))
-        reader.complain(path + "/" + key, "'" + name + "' is no name", std::string(nameRemedy));
+        reader.complain(path + "/" + key, "'" + name + "' is not a valid name",
+                        std::string(nameRemedy));
     return name;
 }
 
@@ -69,7 +70,7 @@
     plain.path = reader.text(object, path, "path");
     if (!plain.path.starts_with('/') || plain.path.starts_with("/v1/"))
         reader.complain(path + "/path", "'" + plain.path + "' cannot be a plain service's path",
-                        "start it with '/' and stay clear of /v1/");
+                        "start it with '/' and do not use /v1/");
     plain.nonIdempotent = reader.texts(object, path, "nonIdempotent");
     return plain;
 }
@@ -90,7 +91,7 @@
     target.maxBatch = static_cast<int>(reader.number(object, path, "maxBatch", 16, 1, 65536));
     target.checksTokens = reader.boolean(object, path, "checksTokens", false);
     if (isModel && target.slots == 0)
-        reader.complain(path + "/slots", "a model engine without slots serves nothing",
+        reader.complain(path + "/slots", "a model engine without slots cannot serve adapters",
                         "give the number of its adapter slots");
     return target;
 }
@@ -103,7 +104,7 @@
         if (seen.insert(items[index].name).second)
             continue;
         reader.complain(path + "/" + std::to_string(index) + "/name",
-                        "'" + items[index].name + "' stands twice", "remove one of the two");
+                        "'" + items[index].name + "' is defined twice", "remove one of the two");
     }
 }
 
@@ -116,8 +117,8 @@
     return weights;
 }
 
-// Reads the parts that are present over what `head` holds, so that one reader serves the whole
-// manifest (over an empty head) and the head patch of a delta.
+// Overwrites the parts of `head` that are present in `root`. Used both for a whole manifest, with
+// an empty head, and for the head patch of a delta.
 void readHeadParts(JsonReader &reader, const Json &root, ManifestHead &head)
 {
     if (root.contains("baseModels"))
@@ -170,8 +171,8 @@
     return entry;
 }
 
-// Two names with one 64-bit id would let a request reach its neighbour's adapter. It is rare
-// beyond seeing, so it is refused here rather than guarded everywhere.
+// Two names with the same 64-bit id would route a request to the wrong adapter. That is too rare to
+// be handled everywhere, so such a document is refused here.
 void reportIdCollisions(JsonReader &reader, const std::vector<AdapterEntry> &entries,
                         const std::string &path)
 {
@@ -181,7 +182,8 @@
         if (seen.insert(entries[index].ref.id()).second)
             continue;
         reader.complain(path + "/" + std::to_string(index),
-                        "'" + entries[index].ref.text() + "' stands twice or shares its id",
+                        "'" + entries[index].ref.text()
+                            + "' is defined twice, or has the same id as another adapter",
                         "remove one of the two, or rename it");
     }
 }
@@ -346,7 +348,7 @@
         const AdapterEntry *existing = changed.adapters.find(entry.ref.id());
         if (existing != nullptr && existing->ref != entry.ref)
             reader.complain("/putAdapters",
-                            "'" + entry.ref.text() + "' shares its id with '" + existing->ref.text()
+                            "'" + entry.ref.text() + "' has the same id as '" + existing->ref.text()
                                 + "'",
                             "rename it");
         changed.adapters = changed.adapters.with(entry);
--- a/libs/config/src/Settings.cpp
+++ b/libs/config/src/Settings.cpp
@@ -42,7 +42,7 @@
             return value;
         listed += (listed.empty() ? "" : ", ") + std::string(choice);
     }
-    reader.complain("/" + std::string(key), "'" + value + "' is no choice",
+    reader.complain("/" + std::string(key), "'" + value + "' is not a valid value",
                     "choose one of: " + listed);
     return fallback;
 }
--- a/libs/config/tests/AcceptanceFold.cpp
+++ b/libs/config/tests/AcceptanceFold.cpp
@@ -1,4 +1,4 @@
-// Acceptance against a naive fold over the whole log, and what must never happen to it.
+// Compares acceptance with a naive evaluation of the whole log, and tests its invariants.
 
 #include <map>
 #include <optional>
@@ -18,7 +18,7 @@
 
 using Json = nlohmann::json;
 
-/** The naive version: names in a set, the rules in the fewest plain lines. */
+/** State of the naive reference implementation: a set of names and the simplest rules. */
 struct NaiveState
 {
     std::set<std::string> adapters;
@@ -26,13 +26,13 @@
     std::string lastBody;
 };
 
-/** One operator's publication as drawn. */
+/** A randomly generated publication of an operator. */
 struct Draft
 {
     bool delta = false;
-    bool fromInForce = true; ///< or from an older base
+    bool fromInForce = true; ///< based on the manifest in force, or on an older one
     bool acknowledge = false;
-    bool again = false; ///< the last body once more
+    bool again = false; ///< repeats the last body
     std::vector<int> names;
 };
 
@@ -55,7 +55,7 @@
         return Json{{"format", 1}, {"baseModels", {"m"}}, {"adapters", list}}.dump();
     content["putAdapters"] = list;
     content["removeAdapters"] = Json::array();
-    // Every second held adapter goes, unless it is put.
+    // Removes every second adapter, unless the delta puts it.
     bool take = false;
     for (const std::string &name : held) {
         take = !take;
@@ -114,7 +114,7 @@
     return drafts;
 }
 
-/** The log that the drafts make, each published against what is in force then. */
+/** The log of the drafts, each published against the state in force then. */
 std::vector<ManifestRecord> makeLog(const std::vector<Draft> &drafts)
 {
     AcceptedManifest state;
@@ -179,9 +179,9 @@
     }));
 }
 
-// Symptom: a replaced VM served an older configuration. Sequence: the log's retention had taken the
-// base; the VM began from a snapshot, or from a peer, somewhere in the middle. Cause to rule out:
-// its fold differs from that of a VM that read everything.
+// Guards against a new VM that serves an older configuration. Retention had removed the start of
+// the log, so the VM began from a snapshot or a peer's state in the middle of it. It has to end in
+// the same state as a VM that read the whole log.
 Test(acceptance, a_vm_that_starts_from_any_snapshot_ends_like_all_others)
 {
     cr_assert(rc::check("snapshot anywhere", [] {
@@ -220,9 +220,9 @@
     }));
 }
 
-// Symptom: a configuration came back that had been replaced. Sequence: A is in force, B replaces
-// it, A' with A's contents replaces B; then the pipeline, whose answer to B was lost, appends B
-// again. Cause: a base named by its contents alone fits A' as well as A.
+// Guards against a replaced configuration that comes back in force. B replaces A, and A' with the
+// contents of A replaces B. Then the pipeline, which lost the answer to B, appends B again. If a
+// base were identified by its contents alone, A' would match it as well as A.
 Test(acceptance, a_lost_append_sent_again_after_a_return_to_the_old_contents_is_not_taken)
 {
     AcceptedManifest state;
@@ -249,8 +249,8 @@
     cr_assert_eq(state.mark.offset, 1);
 }
 
-// Symptom: two operators' manifests were merged. Sequence: both were made from the same base,
-// minutes apart. Cause to rule out: the second is judged without regard to its base.
+// Guards against merging the manifests of two operators who started from the same base, minutes
+// apart: the base of the second one has to be checked.
 Test(acceptance, the_second_of_two_racing_operators_is_told_conflict)
 {
     AcceptedManifest state;
@@ -265,8 +265,8 @@
     cr_assert_eq(state.manifest.adapters.size(), 6);
 }
 
-// Symptom: a VM applied a delta to the wrong state. Sequence: retention took records that it had
-// not read yet. Cause to rule out: it goes on folding over the gap.
+// Guards against a VM that applies a delta to the wrong state, because retention has removed
+// records that it had not read yet and it continues after the gap.
 Test(acceptance, over_a_gap_nothing_is_judged_before_a_snapshot)
 {
     AcceptedManifest whole;
@@ -284,8 +284,8 @@
     cr_assert_eq(gapped.manifest.adapters.size(), 6);
 }
 
-// Symptom: a new VM could not start from the snapshot on the log. Sequence: an empty delta was the
-// first record of all and was accepted. Cause: an empty state was taken for a base.
+// Guards against a snapshot that no new VM can start from: an empty delta was the very first record
+// of the log, and was accepted because an empty state counted as a base.
 Test(acceptance, a_delta_before_any_manifest_is_invalid)
 {
     AcceptedManifest state;
--- a/libs/config/tests/Documents.cpp
+++ b/libs/config/tests/Documents.cpp
@@ -72,12 +72,12 @@
     cr_assert_not_null(after.value.adapters.find(AdapterId::of("a@2")));
     cr_assert_not_null(after.value.adapters.find(AdapterId::of("b@2")));
     cr_assert_float_eq(after.value.head.weights.stall, 0.9, 1e-9);
-    cr_assert(before.adapters.find(AdapterId::of("a@1")) != nullptr, "the old value is untouched");
+    cr_assert(before.adapters.find(AdapterId::of("a@1")) != nullptr, "the old value is unchanged");
     cr_assert_eq(after.value.digest(), parseManifest(writeManifest(after.value)).value.digest());
 }
 
-// Symptom: a daemon died of a manifest from a broken pipeline. Sequence: bytes were lost or
-// changed on the way. Cause: a reader that trusts its input. 5,000 documents, fixed seed.
+// Guards against a daemon that crashes on a manifest in which a broken pipeline lost or changed
+// bytes. 5,000 documents, fixed seed.
 Test(manifest, mangled_documents_are_refused_or_read_but_never_crash)
 {
     std::mt19937 random(7);
@@ -95,7 +95,7 @@
         const Parsed<Manifest> parsed = parseManifest(text);
         refused += parsed.ok() ? 0 : 1;
         if (!parsed.ok())
-            cr_assert_eq(parsed.value.adapters.size(), 0, "nothing is half applied");
+            cr_assert_eq(parsed.value.adapters.size(), 0, "nothing is partially applied");
         parseDelta(text);
     }
     cr_assert_gt(refused, 1000);
