--- a/libs/gateway/src/Gateway.cpp
+++ b/libs/gateway/src/Gateway.cpp
@@ -106,11 +106,11 @@
         spawn(this->node, "follow platform", followPlatform(this->node));
         spawn(this->node, "lease", leaseLoop(this->node));
         spawn(this->node, "extend lease", extendLoop(this->node));
-        spawn(this->node, "load base models", modelLoadLoop(this->node));
+        spawn(this->node, "tend", modelLoadLoop(this->node));
         spawn(this->node, "wake calls", wakeWaitingCallsLoop(this->node));
         spawn(this->node, "report usage to lease holders", usageReportLoop(this->node));
         spawn(this->node, "stream origins", streamOriginLoop(this->node));
-        spawn(this->node, "confirm leases", leaseConfirmationLoop(this->node));
+        spawn(this->node, "words", leaseConfirmationLoop(this->node));
         spawn(this->node, "report to relay", upstreamLoop(this->node));
         spawn(this->node, "exchange with zones", otherZonesLoop(this->node));
         spawn(this->node, "read configuration", readConfigLoop(this->node));
