--- a/libs/config/src/Manifest.cpp
+++ b/libs/config/src/Manifest.cpp
@@ -40,7 +40,8 @@
 {
     std::string name = reader.text(object, path, key);
     if (!name.empty() && !isName(name))
-        reader.complain(path + "/" + key, "'" + name + "' is no name", std::string(nameRemedy));
+        reader.complain(path + "/" + key, "'" + name + "' is not a valid name",
+                        std::string(nameRemedy));
     return name;
 }
 
@@ -69,7 +70,7 @@
     plain.path = reader.text(object, path, "path");
     if (!plain.path.starts_with('/') || plain.path.starts_with("/v1/"))
         reader.complain(path + "/path", "'" + plain.path + "' cannot be a plain service's path",
-                        "start it with '/' and stay clear of /v1/");
+                        "start it with '/' and do not use /v1/");
     plain.nonIdempotent = reader.texts(object, path, "nonIdempotent");
     return plain;
 }
@@ -90,20 +91,20 @@
     target.maxBatch = static_cast<int>(reader.number(object, path, "maxBatch", 16, 1, 65536));
     target.checksTokens = reader.boolean(object, path, "checksTokens", false);
     if (isModel && target.slots == 0)
-        reader.complain(path + "/slots", "a model engine without slots serves nothing",
+        reader.complain(path + "/slots", "a model engine without slots cannot serve adapters",
                         "give the number of its adapter slots");
     return target;
 }
 
 template <typename T>
-void complainOfTwins(JsonReader &reader, const std::vector<T> &items, const std::string &path)
+void reportDuplicates(JsonReader &reader, const std::vector<T> &items, const std::string &path)
 {
     std::set<std::string> seen;
     for (std::size_t index = 0; index < items.size(); ++index) {
         if (seen.insert(items[index].name).second)
             continue;
         reader.complain(path + "/" + std::to_string(index) + "/name",
-                        "'" + items[index].name + "' stands twice", "remove one of the two");
+                        "'" + items[index].name + "' is defined twice", "remove one of the two");
     }
 }
 
@@ -116,23 +117,23 @@
     return weights;
 }
 
-// Reads the parts that are present over what `head` holds, so that one reader serves the whole
-// manifest (over an empty head) and the head patch of a delta.
+// Overwrites the parts of `head` that are present in `root`. Used both for a whole manifest, with
+// an empty head, and for the head patch of a delta.
 void readHeadParts(JsonReader &reader, const Json &root, ManifestHead &head)
 {
     if (root.contains("baseModels"))
         head.baseModels = reader.texts(root, "", "baseModels");
     if (root.contains("services")) {
         head.services = reader.items<Service>(root, "services", readService);
-        complainOfTwins(reader, head.services, "/services");
+        reportDuplicates(reader, head.services, "/services");
     }
     if (root.contains("plainServices")) {
         head.plainServices = reader.items<PlainService>(root, "plainServices", readPlainService);
-        complainOfTwins(reader, head.plainServices, "/plainServices");
+        reportDuplicates(reader, head.plainServices, "/plainServices");
     }
     if (root.contains("targets")) {
         head.targets = reader.items<TargetDeclaration>(root, "targets", readTarget);
-        complainOfTwins(reader, head.targets, "/targets");
+        reportDuplicates(reader, head.targets, "/targets");
     }
     if (root.contains("weights") && reader.isObject(root["weights"], "/weights"))
         head.weights = readWeights(reader, root["weights"], "/weights");
@@ -170,10 +171,10 @@
     return entry;
 }
 
-// Two names with one 64-bit id would let a request reach its neighbour's adapter. It is rare
-// beyond seeing, so it is refused here rather than guarded everywhere.
-void complainOfCollisions(JsonReader &reader, const std::vector<AdapterEntry> &entries,
-                          const std::string &path)
+// Two names with the same 64-bit id would route a request to the wrong adapter. That is too rare to
+// be handled everywhere, so such a document is refused here.
+void reportIdCollisions(JsonReader &reader, const std::vector<AdapterEntry> &entries,
+                        const std::string &path)
 {
     std::unordered_set<AdapterId> seen;
     seen.reserve(entries.size());
@@ -181,13 +182,14 @@
         if (seen.insert(entries[index].ref.id()).second)
             continue;
         reader.complain(path + "/" + std::to_string(index),
-                        "'" + entries[index].ref.text() + "' stands twice or shares its id",
+                        "'" + entries[index].ref.text()
+                            + "' is defined twice, or has the same id as another adapter",
                         "remove one of the two, or rename it");
     }
 }
 
-void complainOfBaseModels(JsonReader &reader, const std::vector<AdapterEntry> &entries,
-                          const std::string &path, const ManifestHead &head)
+void reportUnknownBaseModels(JsonReader &reader, const std::vector<AdapterEntry> &entries,
+                             const std::string &path, const ManifestHead &head)
 {
     for (std::size_t index = 0; index < entries.size(); ++index) {
         const std::string &model = entries[index].baseModel;
@@ -274,8 +276,8 @@
         readHeadParts(reader, root, parsed.value.head);
         checkHead(reader, parsed.value.head);
         const auto adapters = reader.items<AdapterEntry>(root, "adapters", readAdapter);
-        complainOfCollisions(reader, adapters, "/adapters");
-        complainOfBaseModels(reader, adapters, "/adapters", parsed.value.head);
+        reportIdCollisions(reader, adapters, "/adapters");
+        reportUnknownBaseModels(reader, adapters, "/adapters", parsed.value.head);
         if (reader.problems.empty())
             parsed.value.adapters = AdapterTable::of(adapters);
     }
@@ -291,7 +293,7 @@
     if (reader.problems.empty()) {
         reader.onlyKeys(root, "", {"putAdapters", "removeAdapters", "head"});
         parsed.value.put = reader.items<AdapterEntry>(root, "putAdapters", readAdapter);
-        complainOfCollisions(reader, parsed.value.put, "/putAdapters");
+        reportIdCollisions(reader, parsed.value.put, "/putAdapters");
         const std::vector<std::string> removed = reader.texts(root, "", "removeAdapters");
         for (std::size_t index = 0; index < removed.size(); ++index) {
             AdapterRef ref = parseAdapterRef(removed[index]);
@@ -320,18 +322,18 @@
                          "loadsPerSecond", "maxDroppedAdapterShare"});
         readHeadParts(reader, patch, changed.head);
         checkHead(reader, changed.head);
-        const bool dropsModel =
+        const bool removesModel =
             std::any_of(manifest.head.baseModels.begin(), manifest.head.baseModels.end(),
                         [&changed](const std::string &model) {
                             return std::find(changed.head.baseModels.begin(),
                                              changed.head.baseModels.end(), model)
                                 == changed.head.baseModels.end();
                         });
-        if (dropsModel)
+        if (removesModel)
             reader.complain("/head/baseModels", "drops a base model",
                             "publish a whole manifest to drop a base model");
     }
-    complainOfBaseModels(reader, delta.put, "/putAdapters", changed.head);
+    reportUnknownBaseModels(reader, delta.put, "/putAdapters", changed.head);
     for (std::size_t index = 0; index < delta.remove.size(); ++index) {
         const AdapterId id = delta.remove[index].id();
         if (changed.adapters.find(id) == nullptr) {
@@ -343,10 +345,10 @@
         changed.adapters = changed.adapters.without(id);
     }
     for (const AdapterEntry &entry : delta.put) {
-        const AdapterEntry *twin = changed.adapters.find(entry.ref.id());
-        if (twin != nullptr && twin->ref != entry.ref)
+        const AdapterEntry *existing = changed.adapters.find(entry.ref.id());
+        if (existing != nullptr && existing->ref != entry.ref)
             reader.complain("/putAdapters",
-                            "'" + entry.ref.text() + "' shares its id with '" + twin->ref.text()
+                            "'" + entry.ref.text() + "' has the same id as '" + existing->ref.text()
                                 + "'",
                             "rename it");
         changed.adapters = changed.adapters.with(entry);
--- a/libs/gateway/src/ConfigDownload.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -14,32 +14,35 @@
 
 namespace v1 = gateway::v1;
 
-/** For a part: 16 KB come in 13 ms over 10 Mbit/s, and within this over 0.3 Mbit/s. */
+/** For one part: 16 KB take 13 ms over 10 Mbit/s, and arrive in this time over 0.3 Mbit/s. */
 constexpr Duration partTimeout = std::chrono::milliseconds(500);
-/** After a failed read, and twice that after each further one. */
+/** Delay after a failed read; it doubles with each further failure. */
 constexpr Duration firstRetry = std::chrono::milliseconds(100);
-constexpr int mostRetryDoublings = 4;
-/** Before a VM that is still reading is asked for more; it gets some parts in this time. */
-constexpr Duration laterLook = std::chrono::milliseconds(20);
-/** A VM that has got no more in this time has lost its own source. */
-constexpr Duration growthPatience = std::chrono::milliseconds(300);
-/** Shorter ones take less of a link than the questions of VMs that would be sent on. */
-constexpr std::uint64_t shortDocument = 4096;
-/** Offers wake the loop; this only bounds what a lost one costs. */
-constexpr Duration offerLook = std::chrono::seconds(1);
+constexpr int maxRetryDoublings = 4;
+/** Delay before asking a VM again that is still downloading; it receives some parts meanwhile. */
+constexpr Duration sourceRecheckDelay = std::chrono::milliseconds(20);
+/** A source that has received nothing more in this time has lost its own source. */
+constexpr Duration maxSourceStall = std::chrono::milliseconds(300);
+/** A document up to this size costs less bandwidth than the requests of redirected VMs. */
+constexpr std::uint64_t smallDocument = 4096;
+/** The loop is woken by offers; this limits the delay when an offer is lost. */
+constexpr Duration maxOfferWait = std::chrono::seconds(1);
 
 bool offersNewer(const GatewayNode &node, const PeerState &peer)
 {
     return mayReplace(node.routes->config().version, peer.configVersion);
 }
 
-/** Mates first, as bytes between zones are paid for; then strong VMs, whose links carry more. */
-bool goesBefore(const GatewayNode &node, const PeerState &left, const PeerState &right)
+/**
+ * Zone peers come first, as traffic between zones is charged; then VMs with more cores, whose links
+ * have more bandwidth.
+ */
+bool isPreferredSource(const GatewayNode &node, const PeerState &left, const PeerState &right)
 {
-    const bool leftMate = left.zone == node.settings.zone;
-    const bool rightMate = right.zone == node.settings.zone;
-    if (leftMate != rightMate)
-        return leftMate;
+    const bool leftIsZonePeer = left.zone == node.settings.zone;
+    const bool rightIsZonePeer = right.zone == node.settings.zone;
+    if (leftIsZonePeer != rightIsZonePeer)
+        return leftIsZonePeer;
     if (left.capacity != right.capacity)
         return left.capacity > right.capacity;
     return left.configVersion > right.configVersion;
@@ -47,7 +50,7 @@
 
 Duration untilNextRead(const GatewayNode &node, Instant now)
 {
-    Duration soonest = offerLook;
+    Duration soonest = maxOfferWait;
     if (node.configDownload.decoding)
         return soonest;
     for (const auto &[endpoint, peer] : node.peers) {
@@ -57,7 +60,7 @@
     return soonest;
 }
 
-void noteReadFailed(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
+void recordReadFailure(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
 {
     if (peer.configFailures == 0)
         logEvent(EventId::ConfigUnread,
@@ -68,7 +71,7 @@
                   {"bytesSoFar", std::to_string(node.configDownload.partial.packed.bytes.size())},
                   {"ofBytes", std::to_string(node.configDownload.partial.totalBytes)}});
     peer.configRetryAt =
-        BootClock::now() + firstRetry * (1 << std::min(peer.configFailures, mostRetryDoublings));
+        BootClock::now() + firstRetry * (1 << std::min(peer.configFailures, maxRetryDoublings));
     ++peer.configFailures;
 }
 
@@ -98,17 +101,20 @@
     return message;
 }
 
-/** The source gives nothing: others are asked, and not to be sent on to one like it again. */
-void giveUpSource(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
+/**
+ * The source sends nothing: backs off from it. If it was reached by a redirect, other peers are
+ * asked not to redirect again.
+ */
+void abandonSource(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
 {
     ConfigDownload &reading = node.configDownload;
     reading.redirectFailed = reading.redirectFailed || reading.expected != 0;
     reading.expected = 0;
-    noteReadFailed(node, peer, why, waited);
+    recordReadFailure(node, peer, why, waited);
 }
 
-void putReadConfigInForce(GatewayNode &node, const Endpoint &source,
-                          std::optional<DecodedConfig> decoded, Instant readAt)
+void applyDownloadedConfig(GatewayNode &node, const Endpoint &source,
+                           std::optional<DecodedConfig> decoded, Instant readAt)
 {
     ConfigDownload &reading = node.configDownload;
     const PackedDocument read = std::move(reading.partial.packed);
@@ -122,7 +128,7 @@
     const std::string from = "peer " + peer.name;
     if (!decoded) {
         logEvent(EventId::DocumentUnreadable, {{"what", "configuration"}, {"source", from}});
-        noteReadFailed(node, peer, "it cannot be read", took);
+        recordReadFailure(node, peer, "it cannot be decoded", took);
         return;
     }
     applyConfig(node, std::move(*decoded), from);
@@ -136,15 +142,16 @@
               {"decodingMs", std::to_string(toMillis(BootClock::now() - readAt))}});
 }
 
-asio::awaitable<void> decodeRead(GatewayNode &node, Endpoint source, ConfigDecode decode)
+asio::awaitable<void> decodeDownload(GatewayNode &node, Endpoint source, ConfigDecode decode)
 {
     const Instant readAt = BootClock::now();
     std::optional<DecodedConfig> decoded = co_await decodeAside(node, std::move(decode));
-    putReadConfigInForce(node, source, std::move(decoded), readAt);
+    applyDownloadedConfig(node, source, std::move(decoded), readAt);
 }
 
-// The parts stay where they are until it is in force: VMs that read from this one go on meanwhile.
-void decodeReadConfig(GatewayNode &node, const Endpoint &source)
+// The parts are kept until the configuration is in force, as VMs that download from this one still
+// read them.
+void startDecoding(GatewayNode &node, const Endpoint &source)
 {
     ConfigDownload &reading = node.configDownload;
     reading.decoding = true;
@@ -153,13 +160,13 @@
         return decodeConfig(*platform, base, packed);
     };
     if (node.decoding)
-        spawn(node, "decode configuration", decodeRead(node, source, std::move(decode)));
+        spawn(node, "decode configuration", decodeDownload(node, source, std::move(decode)));
     else
-        putReadConfigInForce(node, source, decode(), BootClock::now());
+        applyDownloadedConfig(node, source, decode(), BootClock::now());
 }
 
-/** Has the next part asked of the VM that `answer` names. */
-void followTo(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
+/** Follows a redirect: the next part is requested from the VM that `answer` names. */
+void followRedirect(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
 {
     ConfigDownload &reading = node.configDownload;
     const Endpoint other{answer.ask_address(), static_cast<std::uint16_t>(answer.ask_port())};
@@ -176,27 +183,30 @@
     reading.lastProgressAt = BootClock::now();
 }
 
-/** The store may have given a newer one meanwhile, or another than the changes are of. */
-bool isOfUse(const GatewayNode &node, const PackedDocument &packed)
+/**
+ * False if the configuration in force is as new by now, or is not the one that the delta is based
+ * on: the store may have delivered another one meanwhile.
+ */
+bool isUsable(const GatewayNode &node, const PackedDocument &packed)
 {
     const bool fits = packed.baseDigest == 0 || packed.baseDigest == node.config.newest.digest;
     return fits && mayReplace(node.routes->config().version, packed.version);
 }
 
-asio::awaitable<void> readPartFrom(GatewayNode &node, Endpoint source)
+asio::awaitable<void> downloadPart(GatewayNode &node, Endpoint source)
 {
-    const Instant asked = BootClock::now();
+    const Instant requestedAt = BootClock::now();
     ConfigDownload &reading = node.configDownload;
     if (reading.source != source) {
         reading.source = source;
         reading.expected = 0;
-        reading.lastProgressAt = asked;
+        reading.lastProgressAt = requestedAt;
     }
-    if (!isOfUse(node, reading.partial.packed))
+    if (!isUsable(node, reading.partial.packed))
         reading.partial = PartialDocument();
     if (reading.partial.packed.bytes.empty() && reading.expected == 0) {
-        reading.begunAt = asked;
-        reading.lastProgressAt = asked;
+        reading.begunAt = requestedAt;
+        reading.lastProgressAt = requestedAt;
     }
     const auto answer =
         co_await node.peerLinks.readConfig(source, nextConfigRequest(node), partTimeout);
@@ -205,14 +215,14 @@
         co_return;
     if (!answer) {
         shrinkParts(reading.partSize);
-        giveUpSource(node, found->second, "no answer", BootClock::now() - asked);
+        abandonSource(node, found->second, "no answer", BootClock::now() - requestedAt);
         co_return;
     }
     growParts(reading.partSize);
     applyConfigPart(node, found->second, *answer);
     const bool waits = answer->bytes().empty() && answer->ask_address().empty();
     if (waits)
-        co_await pauseFor(node, laterLook);
+        co_await pauseFor(node, sourceRecheckDelay);
 }
 
 } // namespace
@@ -225,7 +235,7 @@
 
 namespace {
 
-/** What this VM has of the configuration that the asker has a part of. */
+/** The next part of the configuration that the asker has begun to download. */
 std::optional<DocumentPart> nextPart(GatewayNode &node, const PartRequest &wanted, Instant now)
 {
     if (wanted.version == 0)
@@ -240,7 +250,10 @@
     return partOf(soFar, wanted.offset, wanted.maxBytes);
 }
 
-/** The first part of the newest that this VM has, or is reading; nothing: the asker can't use it.*/
+/**
+ * The first part of the newest configuration that this VM has or is downloading; nothing: it is a
+ * delta to a configuration that the asker does not have.
+ */
 std::optional<DocumentPart> firstPart(GatewayNode &node, const PartRequest &wanted,
                                       std::int64_t expected, Instant now)
 {
@@ -255,7 +268,7 @@
     if (expected > node.config.newest.version) {
         DocumentPart later;
         later.version = expected;
-        later.totalBytes = 1; // not known yet, but there will be some
+        later.totalBytes = 1; // not known yet, but not empty
         return later;
     }
     PartRequest newest = wanted;
@@ -273,16 +286,16 @@
                              std::min<std::size_t>(request.most_bytes(), maxPartBytes),
                              request.base_digest()};
     std::optional<DocumentPart> part = nextPart(node, wanted, now);
-    const bool goesOn = part.has_value();
-    if (!goesOn)
+    const bool continues = part.has_value();
+    if (!continues)
         part = firstPart(node, wanted, request.expected(), now);
     if (!part)
         return {};
-    const ConfigPartRequest ask{decodeEndpoint(request.from()), request.from().zone(),
-                                part->version, request.only_here()};
-    const bool isLong = part->totalBytes > shortDocument;
-    if (!goesOn && isLong) {
-        const std::optional<Endpoint> other = redirectFor(node.configReaders, ask, now);
+    const ConfigPartRequest partRequest{decodeEndpoint(request.from()), request.from().zone(),
+                                        part->version, request.only_here()};
+    const bool isLong = part->totalBytes > smallDocument;
+    if (!continues && isLong) {
+        const std::optional<Endpoint> other = redirectFor(node.configReaders, partRequest, now);
         if (other) {
             v1::ConfigPart answer;
             answer.set_version(part->version);
@@ -292,7 +305,7 @@
         }
     }
     const bool last = part->offset + part->bytes.size() >= part->totalBytes;
-    recordPartSent(node.configReaders, ask, last, now);
+    recordPartSent(node.configReaders, partRequest, last, now);
     return encodePart(std::move(*part));
 }
 
@@ -321,7 +334,7 @@
 void applyConfigPart(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
 {
     ConfigDownload &reading = node.configDownload;
-    // A VM that was started anew may know less than it told before.
+    // A VM that has restarted may have an older configuration than the one it reported before.
     if (!mayReplace(node.routes->config().version, answer.version())) {
         reading.redirectFailed = reading.redirectFailed || reading.expected != 0;
         reading.expected = 0;
@@ -329,12 +342,12 @@
         return;
     }
     if (!answer.ask_address().empty()) {
-        followTo(node, peer, answer);
+        followRedirect(node, peer, answer);
         return;
     }
     const Instant now = BootClock::now();
     const PartOutcome outcome = appendPart(reading.partial, decodePart(answer));
-    if (outcome == PartOutcome::Whole && !isOfUse(node, reading.partial.packed)) {
+    if (outcome == PartOutcome::Whole && !isUsable(node, reading.partial.packed)) {
         reading.partial = PartialDocument();
         return;
     }
@@ -345,20 +358,21 @@
         return;
     case PartOutcome::Whole:
         peer.configFailures = 0;
-        decodeReadConfig(node, peer.endpoint);
+        startDecoding(node, peer.endpoint);
         return;
     case PartOutcome::Later:
-        if (now - reading.lastProgressAt > growthPatience)
-            giveUpSource(node, peer, "it has no more of it yet", now - reading.lastProgressAt);
+        if (now - reading.lastProgressAt > maxSourceStall)
+            abandonSource(node, peer, "it has received no further parts itself",
+                          now - reading.lastProgressAt);
         return;
     case PartOutcome::Useless:
-        giveUpSource(node, peer, "its part does not go on where the last one ended", {});
+        abandonSource(node, peer, "its part does not continue where the last one ended", {});
         return;
     }
 }
 
-// The peer that the last part came from goes on: another one may have a newer version only, and the
-// parts so far would be of no use.
+// Stays with the peer that sent the last part: another one may have only a newer version, and the
+// parts received so far would be lost.
 const PeerState *chooseConfigSource(const GatewayNode &node, Instant now)
 {
     const PeerState *best = nullptr;
@@ -367,17 +381,18 @@
             continue;
         if (endpoint == node.configDownload.source)
             return &peer;
-        if (best == nullptr || goesBefore(node, peer, *best))
+        if (best == nullptr || isPreferredSource(node, peer, *best))
             best = &peer;
     }
     return best;
 }
 
-// Symptom without a way of its own for the configuration: with 4,250 routes (1 MB) 64 of 70 VMs
-// went on with a replaced one, and of their calls 42 in 100 were late, refused or failed, 1 in 100
-// before. The answer to an exchange carried it whole; over 10 Mbit/s it took longer than an
-// exchange may, was dropped, and begun anew with the next, with all other news in it. Parts that
-// have come stay, so its length costs time only.
+// The configuration has an RPC of its own. When the answer to an exchange carried it whole, a
+// document with 4,250 routes (1 MB) took longer over 10 Mbit/s than an exchange may take: it was
+// dropped and restarted with each exchange, together with all other state updates in it. 64 of 70
+// VMs kept using a replaced configuration, and 42 in 100 of their calls were late, refused or
+// failed (1 in 100 before). Here the parts received so far are kept, so a longer document only
+// takes longer.
 asio::awaitable<void> readConfigLoop(GatewayNode &node)
 {
     while (!node.stopped) {
@@ -385,7 +400,7 @@
         const PeerState *source =
             node.configDownload.decoding ? nullptr : chooseConfigSource(node, now);
         if (source != nullptr)
-            co_await readPartFrom(node, source->endpoint);
+            co_await downloadPart(node, source->endpoint);
         else
             co_await node.configOffered.wait(untilNextRead(node, now));
     }
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -16,20 +16,20 @@
 
 namespace {
 
-/** Relays of other zones that have to be heard, so that news this VM reads late reaches it. */
-constexpr int backingRelays = 2;
+/** Relays of other zones that have to be reachable to report in time what this VM reads late. */
+constexpr int minBackupRelays = 2;
 
-/** An entry without what changes all the time; the holder of an engine tells that. */
+/** An entry without its adapters: they change often, and the engine's lease holder reports them. */
 TargetEntry withoutAdapters(TargetEntry entry)
 {
     entry.adapters.clear();
     return entry;
 }
 
-constexpr Duration sweepEvery = std::chrono::milliseconds(200);
+constexpr Duration sweepInterval = std::chrono::milliseconds(200);
 
-// All VMs of a large zone may hear of the list late at once, and their reads would hold it up more:
-// together they read about as often as one relay does.
+// In a large zone, all VMs may notice at the same time that the list is late, and their reads would
+// delay it further. This limits them: together they read about as often as one relay does.
 bool readsListItself(const GatewayNode &node, Instant now)
 {
     if (!isListStale(node.targetTable, now))
@@ -38,19 +38,20 @@
     return now - lastOwn > maxListAge * std::max(countZonePeers(node), 1);
 }
 
-void takeTarget(GatewayNode &node, TargetEntry entry)
+void applyTarget(GatewayNode &node, TargetEntry entry)
 {
     const std::string id = entry.id;
     if (recordStartTime(node, id, entry.startTime) == StartOrder::Older)
         return;
     const auto known = node.targetTable.records.find(id);
     const bool wasLeaving = known != node.targetTable.records.end() && known->second.entry.leaving;
-    // An older entry may be read after another VM's word, and must not be told on in its place.
+    // An older entry may be read after a peer reported that the target leaves. It must not replace
+    // that report, here or at the VMs that this one reports to.
     entry.leaving = entry.leaving || wasLeaving;
     const bool leaving = entry.leaving;
     const bool isNew = known == node.targetTable.records.end();
     TargetRuntime &runtime = runtimeOf(node, id);
-    // What the list says of an engine lags; the VM that orders it tells better.
+    // The list lags behind what the engine's lease holder reports.
     if (node.shared.engines.find(id) == nullptr) {
         ResidentVersions resident;
         for (const HeldAdapter &held : entry.adapters)
@@ -58,8 +59,8 @@
         setResident(node, id, std::move(resident));
         runtime.models = std::set<std::string>(entry.models.begin(), entry.models.end());
     }
-    const bool wasLapsed = !isNew && known->second.expiredAt != Instant{};
-    const bool sameForPeers = !isNew && !wasLapsed && leaving == wasLeaving
+    const bool wasExpired = !isNew && known->second.expiredAt != Instant{};
+    const bool sameForPeers = !isNew && !wasExpired && leaving == wasLeaving
         && withoutAdapters(known->second.entry) == withoutAdapters(entry);
     if (!sameForPeers)
         node.shared.targets.set(id, {entry, false}, node.shared.counter);
@@ -95,18 +96,18 @@
         node.reportedEngines.erase(id);
         node.reportedRuns.erase(id);
         const auto runtime = node.targets.find(id);
-        // Calls that are under way there still hold on to its counts.
+        // Calls in flight there still refer to its counters.
         if (runtime != node.targets.end() && runtime->second->ownUsage.runs == 0)
             node.targets.erase(runtime);
-        const auto scheduler = node.heldEngines.find(id);
-        if (scheduler != node.heldEngines.end() && !scheduler->second->commandInFlight)
-            scheduler->second->scheduler = AdapterScheduler();
+        const auto engine = node.heldEngines.find(id);
+        if (engine != node.heldEngines.end() && !engine->second->commandInFlight)
+            engine->second->scheduler = AdapterScheduler();
     }
 }
 
-/** Takes a configuration that was read from the store. */
-asio::awaitable<std::optional<ConfigFacts>> takeStoredConfig(GatewayNode &node,
-                                                             std::string document)
+/** Decodes and applies a configuration that was read from the store. */
+asio::awaitable<std::optional<ConfigFacts>> applyStoredConfig(GatewayNode &node,
+                                                              std::string document)
 {
     ConfigDecode decode = [platform = node.platform, base = node.config.newest,
                            document = std::move(document)] {
@@ -173,7 +174,7 @@
 void applyPeerTargets(GatewayNode &node, std::vector<TargetEntry> entries)
 {
     for (TargetEntry &entry : entries)
-        takeTarget(node, std::move(entry));
+        applyTarget(node, std::move(entry));
 }
 
 void dropTargetsUnlistedByPeer(GatewayNode &node, const std::set<std::string> &listed)
@@ -183,8 +184,8 @@
     sweep(node);
 }
 
-// The relay of this VM follows the list and has waited for entries that may come back. Another
-// zone's may not have seen the same outage.
+// This VM's relay reads the list and has already waited for expired entries to come back. A relay
+// of another zone may not have seen the same outage.
 void dropTargetByPeer(GatewayNode &node, const std::string &target, bool ownRelay)
 {
     const auto found = node.targetTable.records.find(target);
@@ -201,7 +202,7 @@
 {
     PlatformSink sink;
     sink.config = [&node](std::string document) {
-        return takeStoredConfig(node, std::move(document));
+        return applyStoredConfig(node, std::move(document));
     };
     sink.configConfirmed = [&node](std::int64_t version, Instant readBegan) {
         recordConfirmation(node.confirmations, {version, readBegan});
@@ -212,12 +213,13 @@
     };
     sink.listRead = [&node] {
         recordListRead(node.targetTable, BootClock::now());
-        // What was read here the relay may never have known, and would not say that it is gone.
+        // The relay may never have known the targets read here, so it would not report their
+        // removal: the next complete list from it has to be applied as a whole.
         node.listSource = ListSource();
         node.started.notifyAll();
     };
     sink.target = [&node](TargetEntry entry) {
-        takeTarget(node, std::move(entry));
+        applyTarget(node, std::move(entry));
     };
     sink.targetRemoved = [&node](const std::string &id) {
         recordRemoved(node.targetTable, id, BootClock::now());
@@ -226,7 +228,7 @@
     sink.wholeList = [&node](std::vector<TargetEntry> entries,
                              const std::vector<std::string> &unreadable) {
         for (const TargetEntry &entry : entries)
-            takeTarget(node, entry);
+            applyTarget(node, entry);
         recordFullList(node.targetTable, std::move(entries), unreadable, BootClock::now());
         sweep(node);
     };
@@ -239,8 +241,8 @@
     sink.peer = [&node](PlatformVm vm) {
         addPeer(node, vm.peers, {std::move(vm.name), std::move(vm.zone), vm.capacity});
     };
-    sink.spendNotes = [&node](std::vector<UsageSnapshot> notes) {
-        applyStoredSnapshots(node, std::move(notes));
+    sink.spendNotes = [&node](std::vector<UsageSnapshot> snapshots) {
+        applyStoredSnapshots(node, std::move(snapshots));
     };
     sink.peersRead = [&node] {
         node.vmListRead = true;
@@ -255,7 +257,7 @@
         const auto zones = std::count_if(
             node.reported.reports.begin(), node.reported.reports.end(),
             [&](const auto &report) { return report.first.starts_with(zoneReporter); });
-        return zones >= backingRelays;
+        return zones >= minBackupRelays;
     };
     sink.ownRecord = [&node](OwnRecord own) {
         node.bootCount = own.bootCount;
@@ -276,7 +278,7 @@
         sweep(node);
         pruneEvidence(node, BootClock::now());
         forgetUnused(node.prefixes.table, BootClock::now());
-        co_await pauseFor(node, sweepEvery);
+        co_await pauseFor(node, sweepInterval);
     }
 }
 
--- a/libs/gateway/src/FleetCount.cpp
+++ b/libs/gateway/src/FleetCount.cpp
@@ -8,10 +8,13 @@
 
 namespace {
 
-/** The store, or a VM that reaches it, was heard within this. */
-constexpr Duration storeHeard = std::chrono::seconds(5);
-/** When all start at once, they have found each other without the store within this. */
-constexpr Duration othersHeard = std::chrono::seconds(4);
+/**
+ * The store counts as reachable if the configuration was confirmed, by itself or through a peer,
+ * within this time.
+ */
+constexpr Duration storeFreshness = std::chrono::seconds(5);
+/** Time in which VMs that all start at once find each other without the store. */
+constexpr Duration discoveryTime = std::chrono::seconds(4);
 
 int namedPeers(const GatewayNode &node)
 {
@@ -29,8 +32,8 @@
 
 int reachableVms(const GatewayNode &node, Instant now)
 {
-    const int below = 1 + vmsReported(node.reported);
-    return isRelayLive(node, now) ? std::max(node.relayState.reachableVms, below) : below;
+    const int reporting = 1 + vmsReported(node.reported);
+    return isRelayLive(node, now) ? std::max(node.relayState.reachableVms, reporting) : reporting;
 }
 
 int knownVms(const GatewayNode &node, Instant now)
@@ -40,15 +43,16 @@
     return std::max({node.fleet.known, reachableVms(node, now), listed});
 }
 
-// A relay may have just started as well, and know of few: without the store's list its word counts
-// only after a while.
+// A relay may have just started as well, and know few VMs: without the store's list, its count is
+// trusted only after a while.
 bool knowsFleetSize(const GatewayNode &node, Instant now)
 {
-    const bool heardForLong = node.relayState.at != Instant{} && now - node.bootedAt > othersHeard;
-    return node.vmListRead || heardForLong;
+    const bool hasRelayForLong =
+        node.relayState.at != Instant{} && now - node.bootedAt > discoveryTime;
+    return node.vmListRead || hasRelayForLong;
 }
 
-// Use is told by workspace, so it needs a configuration as well.
+// Usage is reported by workspace, so a configuration is needed as well.
 bool reportsUsage(const GatewayNode &node, Instant now)
 {
     if (node.settings.firstStart)
@@ -62,7 +66,7 @@
     VmCount count;
     count.reachable = reachableVms(node, now);
     count.listed = 1 + namedPeers(node);
-    count.storeReachable = confirmed && now - *confirmed < storeHeard;
+    count.storeReachable = confirmed && now - *confirmed < storeFreshness;
     updateFleetSize(node.fleet, count, now);
 }
 
--- a/libs/gateway/src/Gateway.cpp
+++ b/libs/gateway/src/Gateway.cpp
@@ -22,13 +22,13 @@
 namespace {
 
 /**
- * New connections go on arriving until the platform has asked twice, once a second, whether this
- * VM is ready; they are served until then.
+ * The platform checks readiness once a second, and new connections keep arriving until it has
+ * checked twice; they are served until then.
  */
-constexpr Duration readinessNoticed = std::chrono::milliseconds(2600);
-constexpr Duration shutdownLook = std::chrono::milliseconds(50);
-/** The release of its engines goes out with the next report to the relay, within some 80 ms. */
-constexpr Duration releaseTold = std::chrono::milliseconds(120);
+constexpr Duration readinessDelay = std::chrono::milliseconds(2600);
+constexpr Duration shutdownPollInterval = std::chrono::milliseconds(50);
+/** The lease release is sent with the next report to the relay, within some 80 ms. */
+constexpr Duration releaseDelay = std::chrono::milliseconds(120);
 
 asio::awaitable<void> answerReadiness(GatewayNode &node, HttpExchange &exchange)
 {
@@ -49,7 +49,7 @@
         reply.body = R"({"ok":true})";
     } else {
         reply.status = 404;
-        reply.body = R"({"title":"ask for /metrics or /healthz"})";
+        reply.body = R"({"title":"unknown path; use /metrics or /healthz"})";
     }
     co_await exchange.respond(std::move(reply));
 }
@@ -108,16 +108,16 @@
         spawn(this->node, "extend lease", extendLoop(this->node));
         spawn(this->node, "tend", modelLoadLoop(this->node));
         spawn(this->node, "wake calls", wakeWaitingCallsLoop(this->node));
-        spawn(this->node, "tell holders", usageReportLoop(this->node));
+        spawn(this->node, "report usage to lease holders", usageReportLoop(this->node));
         spawn(this->node, "stream origins", streamOriginLoop(this->node));
         spawn(this->node, "words", leaseConfirmationLoop(this->node));
         spawn(this->node, "report to relay", upstreamLoop(this->node));
         spawn(this->node, "exchange with zones", otherZonesLoop(this->node));
         spawn(this->node, "read configuration", readConfigLoop(this->node));
-        spawn(this->node, "look for mates", zonePeersLoop(this->node));
+        spawn(this->node, "probe zone peers", zonePeersLoop(this->node));
         spawn(this->node, "sweep", sweepLoop(this->node));
-        spawn(this->node, "note use", usageSnapshotLoop(this->node));
-        spawn(this->node, "log news", updateLogLoop(this->node));
+        spawn(this->node, "write usage snapshots", usageSnapshotLoop(this->node));
+        spawn(this->node, "log update bytes", updateLogLoop(this->node));
     }
 
     asio::awaitable<void> shutDown()
@@ -129,8 +129,8 @@
                   {"connections", std::to_string(this->node.connections)}});
         this->node.reportDue.notifyAll();
         const Instant limit = begun + this->node.settings.shutdownLimit;
-        while (BootClock::now() < begun + readinessNoticed)
-            co_await pauseFor(this->node, shutdownLook);
+        while (BootClock::now() < begun + readinessDelay)
+            co_await pauseFor(this->node, shutdownPollInterval);
         this->front.stopAccepting();
         this->front.closeIdle();
         if (this->forwards) {
@@ -138,10 +138,10 @@
             this->forwards->closeIdle();
         }
         while (this->node.connections > 0 && BootClock::now() < limit)
-            co_await pauseFor(this->node, shutdownLook);
+            co_await pauseFor(this->node, shutdownPollInterval);
         co_await leaveLease(this->node);
         this->node.reportDue.notifyAll();
-        co_await pauseFor(this->node, releaseTold);
+        co_await pauseFor(this->node, releaseDelay);
         this->report.abortedCalls = this->node.callsInFlight;
         logEvent(this->report.abortedCalls == 0 ? EventId::ShutdownDone : EventId::ShutdownCut,
                  {{"requests", std::to_string(this->report.abortedCalls)}});
@@ -154,9 +154,9 @@
     std::optional<CallListener> forwards; ///< for calls that other VMs forward
     HttpServer readiness;
     HttpServer operators;
-    std::uint16_t peersPort = 0; ///< that is listened on
+    std::uint16_t peersPort = 0; ///< on which it listens
     GatewayShutdown report;
-    bool shutdownAsked = false;
+    bool shutdownRequested = false;
 };
 
 Gateway::Gateway(const GatewaySettings &settings)
@@ -195,9 +195,9 @@
 void Gateway::requestShutdown()
 {
     asio::post(this->impl->node.context, [this] {
-        if (this->impl->shutdownAsked)
+        if (this->impl->shutdownRequested)
             return;
-        this->impl->shutdownAsked = true;
+        this->impl->shutdownRequested = true;
         spawn(this->impl->node, "shutdown", this->impl->shutDown());
     });
 }
@@ -205,12 +205,12 @@
 void Gateway::reload(const GatewaySettings &settings)
 {
     asio::post(this->impl->node.context, [this, settings] {
-        GatewaySettings &mine = this->impl->node.settings;
-        mine.seeds = settings.seeds;
-        mine.retries = settings.retries;
-        mine.weights = settings.weights;
-        mine.shutdownLimit = settings.shutdownLimit;
-        logEvent(EventId::SettingsReloaded, {{"seeds", std::to_string(mine.seeds.size())}});
+        GatewaySettings &current = this->impl->node.settings;
+        current.seeds = settings.seeds;
+        current.retries = settings.retries;
+        current.weights = settings.weights;
+        current.shutdownLimit = settings.shutdownLimit;
+        logEvent(EventId::SettingsReloaded, {{"seeds", std::to_string(current.seeds.size())}});
     });
 }
 
--- a/libs/gateway/src/GatewaySettings.cpp
+++ b/libs/gateway/src/GatewaySettings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Reads "IP:PORT"; complains if it is something else. */
+/** Parses "IP:PORT"; reports a problem if the text is something else. */
 Endpoint readEndpoint(JsonReader &reader, const std::string &text, const std::string &path)
 {
     const std::size_t colon = text.rfind(':');
@@ -17,10 +17,10 @@
     const char *begin = text.data() + (colon == std::string::npos ? text.size() : colon + 1);
     const char *end = text.data() + text.size();
     const auto [parsed, error] = std::from_chars(begin, end, port);
-    const bool sound = colon != std::string::npos && colon > 0 && error == std::errc()
+    const bool valid = colon != std::string::npos && colon > 0 && error == std::errc()
         && parsed == end && port <= 65535;
-    if (!sound) {
-        reader.complain(path, "'" + text + "' is no address", "write IP:PORT");
+    if (!valid) {
+        reader.complain(path, "'" + text + "' is not an address", "write IP:PORT");
         return {};
     }
     return {text.substr(0, colon), static_cast<std::uint16_t>(port)};
@@ -33,10 +33,10 @@
 }
 
 Duration readMs(JsonReader &reader, const Json &object, const std::string &path, const char *key,
-                Duration fallback, double least, double most)
+                Duration fallback, double minimum, double maximum)
 {
     const double fallbackMs = toSeconds(fallback) * 1000;
-    return fromSeconds(reader.number(object, path, key, fallbackMs, least, most) / 1000);
+    return fromSeconds(reader.number(object, path, key, fallbackMs, minimum, maximum) / 1000);
 }
 
 std::vector<Endpoint> readSeeds(JsonReader &reader, const Json &root, std::uint16_t port)
@@ -47,7 +47,7 @@
     std::size_t index = 0;
     for (const std::string &text : reader.texts(root, "", "seeds")) {
         const Endpoint seed = readEndpoint(reader, text, "/seeds/" + std::to_string(index++));
-        // Seeds name VMs by another of their ports; peers are found at the same port as here.
+        // Seeds name another port; all VMs listen for peers at the same port as this one.
         seeds.push_back({seed.address, port});
     }
     return seeds;
@@ -182,7 +182,7 @@
             std::string names;
             for (const std::string &name : platformNames())
                 names += (names.empty() ? "" : ", ") + name;
-            reader.complain("/platform", "'" + settings.platform + "' is not known",
+            reader.complain("/platform", "'" + settings.platform + "' is not a known platform",
                             "choose one of: " + names);
         }
     }
--- a/libs/gateway/src/LostCalls.cpp
+++ b/libs/gateway/src/LostCalls.cpp
@@ -11,36 +11,38 @@
 
 namespace {
 
-/** The calls of one end break off together; the look at the target waits for all of them. */
-constexpr Duration lossGather = std::chrono::milliseconds(20);
+/** When a target ends, all its calls break off together; the probe waits for all of them. */
+constexpr Duration lossBatchDelay = std::chrono::milliseconds(20);
 
-/** Links within a deployment take a few ms. */
-constexpr Duration lookPatience = std::chrono::milliseconds(250);
+/** Connecting within a deployment takes a few ms. */
+constexpr Duration probeTimeout = std::chrono::milliseconds(250);
 
-/** Within this the looks at other targets that lost calls at the same time are over. */
-constexpr Duration othersLooked = std::chrono::milliseconds(150);
+/** By then, probes of other targets that lost calls at the same time are done. */
+constexpr Duration otherProbesWait = std::chrono::milliseconds(150);
 
-/** The list tells of a new start, or that the target is gone, within some renewals of its entry. */
-constexpr Duration listPatience = std::chrono::seconds(10);
+/** The list shows a restart, or that the target is gone, within a few renewals of its entry. */
+constexpr Duration maxListDelay = std::chrono::seconds(10);
 
-/** Lost calls of one target that are kept; as many as engines run at once. */
-constexpr std::size_t mostLostKept = 256;
+/** Lost calls that are kept for one target; engines run as many at once. */
+constexpr std::size_t maxLostCalls = 256;
 
-/** Calls of an end that a log line names; enough to find one that several ends have in common. */
-constexpr std::size_t mostCallsNamed = 16;
+/** Calls that a log line names; enough to find a call that several ended targets have in common. */
+constexpr std::size_t maxCallsLogged = 16;
 
 std::string callsText(const std::vector<CallIdentity> &calls)
 {
     std::string text;
-    for (std::size_t index = 0; index < std::min(calls.size(), mostCallsNamed); ++index)
+    for (std::size_t index = 0; index < std::min(calls.size(), maxCallsLogged); ++index)
         text += (index == 0 ? "" : " ") + identityText(calls[index]);
     return text;
 }
 
-/** The target ended under what was lost since `from`. `nextStartTime`: its new start; 0: not known.
+/**
+ * Records as evidence that the target ended during the calls that were lost since `from`.
+ * `nextStartTime`: its start time after that; 0: not known.
  */
-void noteEnd(GatewayNode &node, const std::string &target, Instant from, std::int64_t nextStartTime,
-             std::string_view seenBy)
+void recordEnd(GatewayNode &node, const std::string &target, Instant from,
+               std::int64_t nextStartTime, std::string_view seenBy)
 {
     CallEvidence evidence;
     evidence.target = target;
@@ -66,13 +68,14 @@
 }
 
 /**
- * The target refused a connection after calls were lost there. At a VM whose links are cut all
- * targets seem to end together, so this waits for what the others come to; calls that were lost to
- * the links are no evidence against anything.
+ * Handles a target that refused a connection after calls were lost there. To a VM that has lost its
+ * links, all targets seem to end at once, so this waits for the probes of the others. Calls that
+ * were lost because of the links are no evidence.
  */
-asio::awaitable<void> noteRefused(GatewayNode &node, std::string target, Instant firstLoss)
+asio::awaitable<void> handleRefusedConnection(GatewayNode &node, std::string target,
+                                              Instant firstLoss)
 {
-    co_await pauseFor(node, othersLooked);
+    co_await pauseFor(node, otherProbesWait);
     const auto found = node.targets.find(target);
     if (found == node.targets.end())
         co_return;
@@ -81,14 +84,14 @@
     if (isObservationDoubtful(node, target))
         lost.calls.clear();
     else
-        noteEnd(node, target, firstLoss, 0, "refused connection");
+        recordEnd(node, target, firstLoss, 0, "refused connection");
 }
 
-asio::awaitable<void> lookAt(GatewayNode &node, std::string target, Endpoint endpoint)
+asio::awaitable<void> probeTarget(GatewayNode &node, std::string target, Endpoint endpoint)
 {
-    const Instant firstLoss = BootClock::now() - lossGather;
-    co_await pauseFor(node, lossGather);
-    ConnectResult result = co_await connectTo(node.context, endpoint, lookPatience);
+    const Instant firstLoss = BootClock::now() - lossBatchDelay;
+    co_await pauseFor(node, lossBatchDelay);
+    ConnectResult result = co_await connectTo(node.context, endpoint, probeTimeout);
     const auto found = node.targets.find(target);
     if (found == node.targets.end())
         co_return;
@@ -98,12 +101,13 @@
     else
         recordLinkFailure(node, target);
     if (result.error == asio::error::connection_refused) {
-        co_await noteRefused(node, target, firstLoss);
+        co_await handleRefusedConnection(node, target, firstLoss);
         co_return;
     }
     runtime.lost.checking = false;
-    // Silence may be the link's, and who accepts may only stand before the target or have started
-    // anew at once: then the list tells. A connection serves the next call.
+    // Other outcomes prove nothing: the link may be the cause of silence, and a connection may have
+    // been accepted by a proxy or by a target that restarted at once. Then the list will show it.
+    // The connection is kept for the next call.
     if (result.connection)
         giveBack(runtime.pool, std::move(result.connection), Duration::zero(), BootClock::now());
 }
@@ -114,24 +118,24 @@
 {
     GatewayNode &node = run.node;
     TargetRuntime &runtime = runtimeOf(node, target);
-    // What leaves ends soon whatever it runs.
+    // A target that is shutting down ends soon whatever it runs.
     if (runtime.leaving)
         return;
     LostCalls &lost = runtime.lost;
     const Instant now = BootClock::now();
     lost.calls.push_back({identityOf(run), now});
-    while (lost.calls.size() > mostLostKept || now - lost.calls.front().at > listPatience)
+    while (lost.calls.size() > maxLostCalls || now - lost.calls.front().at > maxListDelay)
         lost.calls.pop_front();
     if (lost.checking)
         return;
     const TargetEntry *entry = entryOf(node, target);
     if (entry == nullptr) {
-        // One that fell silent is off the list before its connections are given up.
+        // A silent target is removed from the list before its connections are closed.
         recordEndByList(node, target, 0);
         return;
     }
     lost.checking = true;
-    spawn(node, "look at a target", lookAt(node, target, entry->endpoint));
+    spawn(node, "probe a target after a lost call", probeTarget(node, target, entry->endpoint));
 }
 
 void recordEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime)
@@ -139,7 +143,7 @@
     const auto found = node.targets.find(target);
     if (found == node.targets.end() || found->second->leaving)
         return;
-    noteEnd(node, target, BootClock::now() - listPatience, nextStartTime, "list");
+    recordEnd(node, target, BootClock::now() - maxListDelay, nextStartTime, "list");
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/TargetRestarts.cpp
+++ b/libs/gateway/src/TargetRestarts.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The counts of calls under way stay: each call takes its own off when it ends.
+// Keeps the counts of calls in flight: each call subtracts itself when it ends.
 void forgetTarget(TargetRuntime &runtime)
 {
     runtime.health = TargetHealth();
@@ -24,12 +24,12 @@
     runtime.loadMark = LoadBackoff();
 }
 
-void forgetEngine(GatewayNode &node, const std::string &target, std::int64_t born)
+void forgetEngine(GatewayNode &node, const std::string &target, std::int64_t startTime)
 {
     node.reportedRuns.erase(target);
     const auto held = node.heldEngines.find(target);
     if (held != node.heldEngines.end()) {
-        resetScheduler(held->second->scheduler, born);
+        resetScheduler(held->second->scheduler, startTime);
         held->second->retryAt = Instant{};
         held->second->refusals = 0;
         held->second->changed.notifyAll();
@@ -38,7 +38,7 @@
     if (known == nullptr)
         return;
     EngineRecord record = *known;
-    record.startTime = born;
+    record.startTime = startTime;
     record.resident.clear();
     record.models.clear();
     record.loading = 0;
@@ -47,37 +47,38 @@
 
 } // namespace
 
-// Without this, a target that came back under its id would be taken to hold what its former start
-// held: calls for those adapters bounce, its holder's orders are refused for the former count, and
-// one that said it was leaving would get nothing for ever.
-StartOrder recordStartTime(GatewayNode &node, const std::string &target, std::int64_t born)
+// Without this, a target that restarted under the same id would be believed to hold what it held
+// before: calls for those adapters would be refused there, commands of its lease holder would be
+// refused because of the old sequence, and a target that had announced its shutdown would never get
+// work again.
+StartOrder recordStartTime(GatewayNode &node, const std::string &target, std::int64_t startTime)
 {
     const auto found = node.targetTable.records.find(target);
     if (found == node.targetTable.records.end())
         return StartOrder::Same;
     TargetRecord &record = found->second;
-    const StartOrder age = compareStarts(record.entry.startTime, born);
+    const StartOrder age = compareStarts(record.entry.startTime, startTime);
     if (age == StartOrder::Same && record.entry.startTime == 0)
-        record.entry.startTime = born;
+        record.entry.startTime = startTime;
     if (age != StartOrder::Newer)
         return age;
     logEvent(EventId::TargetRestarted,
              {{"target", target},
               {"address", record.entry.endpoint.text()},
               {"bornBefore", std::to_string(record.entry.startTime)},
-              {"born", std::to_string(born)}});
-    recordEndByList(node, target, born);
+              {"born", std::to_string(startTime)}});
+    recordEndByList(node, target, startTime);
     forgetEngine(node.prefixes.table, engineKey(target, record.entry.startTime));
-    record.entry.startTime = born;
+    record.entry.startTime = startTime;
     record.entry.leaving = false;
-    record.entry.software.clear(); // it may have come back as another version
+    record.entry.software.clear(); // it may have restarted with another version
     record.entry.models.clear();
     record.entry.adapters.clear();
     record.gone = false;
     record.expiredAt = Instant{};
     node.shared.targets.set(target, {record.entry, false}, node.shared.counter);
     forgetTarget(runtimeOf(node, target));
-    forgetEngine(node, target, born);
+    forgetEngine(node, target, startTime);
     node.engineChanged.notifyAll();
     node.reportDue.notifyAll();
     return age;
