--- a/libs/access/include/access/Confirmation.h
+++ b/libs/access/include/access/Confirmation.h
@@ -52,6 +52,6 @@
 };
 
 /** True if the keys of the version in force may still be accepted. */
-bool mayTrustKeys(const AccessPolicy &policy, std::optional<Instant> confirmed, Instant now);
+bool mayAcceptKeys(const AccessPolicy &policy, std::optional<Instant> confirmed, Instant now);
 
 } // namespace monsoonbay
--- a/libs/access/include/access/KeyTable.h
+++ b/libs/access/include/access/KeyTable.h
@@ -46,7 +46,7 @@
 struct KeyChanges
 {
     int added = 0;
-    int taken = 0;
+    int removed = 0;
 
     auto operator<=>(const KeyChanges &) const = default;
 };
--- a/libs/access/src/Confirmation.cpp
+++ b/libs/access/src/Confirmation.cpp
@@ -53,7 +53,7 @@
 // bound: no call runs that was sent later than the bound after the revocation. C is taken from a
 // clock that keeps counting while the VM is suspended, so after a suspension the confirmation is
 // outdated.
-bool mayTrustKeys(const AccessPolicy &policy, std::optional<Instant> confirmed, Instant now)
+bool mayAcceptKeys(const AccessPolicy &policy, std::optional<Instant> confirmed, Instant now)
 {
     if (!policy.strict)
         return true;
--- a/libs/access/src/KeyTable.cpp
+++ b/libs/access/src/KeyTable.cpp
@@ -87,7 +87,7 @@
             if (found == table.workspaceByKey.end() || table.names[found->second] != held.name)
                 continue;
             table.workspaceByKey.erase(found);
-            ++changes.taken;
+            ++changes.removed;
         }
     }
     for (std::size_t index = 0; index < after.size(); ++index) {
--- a/libs/access/tests/Access.cpp
+++ b/libs/access/tests/Access.cpp
@@ -126,10 +126,10 @@
 Test(access, keys_are_trusted_for_as_long_as_the_bound_allows)
 {
     const AccessPolicy strict{true, 5s};
-    cr_assert(mayTrustKeys(strict, start, start + 3900ms));
-    cr_assert(!mayTrustKeys(strict, start, start + 4100ms));
-    cr_assert(!mayTrustKeys(strict, std::nullopt, start));
-    cr_assert(mayTrustKeys({false, 5s}, std::nullopt, start),
+    cr_assert(mayAcceptKeys(strict, start, start + 3900ms));
+    cr_assert(!mayAcceptKeys(strict, start, start + 4100ms));
+    cr_assert(!mayAcceptKeys(strict, std::nullopt, start));
+    cr_assert(mayAcceptKeys({false, 5s}, std::nullopt, start),
               "a partitioned zone continues to serve");
 }
 
--- a/libs/access/tests/AccessModel.cpp
+++ b/libs/access/tests/AccessModel.cpp
@@ -212,7 +212,7 @@
     bool accepts(const Vm &vm, Instant clock) const
     {
         const bool holds = vm.version > 0 && vm.version < revokedIn;
-        return holds && mayTrustKeys(policy(), confirmedAt(vm.confirmations, vm.version), clock);
+        return holds && mayAcceptKeys(policy(), confirmedAt(vm.confirmations, vm.version), clock);
     }
 
     AccessFault fault;
--- a/libs/daemon/src/PeerExchange.cpp
+++ b/libs/daemon/src/PeerExchange.cpp
@@ -82,7 +82,7 @@
     const std::vector<Member> gossip = membersOf(reply.members());
     const Instant now = BootClock::now();
     node.membership.with([&](MembershipState &state) {
-        noteHeard(state, peer, reply.incarnation(), now);
+        recordMessage(state, peer, reply.incarnation(), now);
         recordExchange(state, peer, now);
         applyGossip(state, gossip, now);
     });
@@ -250,7 +250,7 @@
     const std::vector<Member> gossip = membersOf(news.members());
     node.membership.with([&](MembershipState &state) {
         applyGossip(state, gossip, now);
-        noteHeard(state, from, news.incarnation(), now);
+        recordMessage(state, from, news.incarnation(), now);
     });
     node.ownership.with([&](OwnershipState &state) {
         const FencingToken peerHighest{news.highest_token(), news.highest_local()};
--- a/libs/gateway/include/gateway/GatewaySettings.h
+++ b/libs/gateway/include/gateway/GatewaySettings.h
@@ -42,7 +42,7 @@
     RetryPolicy retries;
     AccessPolicy access;
     QuotaPolicy quota;
-    bool quotaGiven =
+    bool hasQuotaPolicy =
         false; ///< then usage snapshots are kept in the store; see quota/UsageSnapshot.h
     LeaseTiming lease;
     EngineWeights weights;
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -72,7 +72,7 @@
     std::function<void()> listFailed; ///< an attempt to read the list failed
     std::function<void(PlatformVm)> peer; ///< another VM of the system
     /** Usage snapshots; called before the first `peersRead` unless one cannot be read. */
-    std::function<void(std::vector<UsageSnapshot>)> spendNotes;
+    std::function<void(std::vector<UsageSnapshot>)> usageSnapshots;
     std::function<void()> peersRead; ///< `peer` was called for all VMs in the store's list
     /** True while this VM should read the configuration and the target list. */
     std::function<bool()> isReading;
--- a/libs/gateway/src/AnswerHints.cpp
+++ b/libs/gateway/src/AnswerHints.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-bool takesCalls(GatewayNode &node, const std::string &target, Instant now)
+bool acceptsCalls(GatewayNode &node, const std::string &target, Instant now)
 {
     const auto found = node.targets.find(target);
     if (found == node.targets.end())
--- a/libs/gateway/src/AnswerHints.h
+++ b/libs/gateway/src/AnswerHints.h
@@ -13,7 +13,7 @@
 void applyAnswerHints(GatewayNode &node, const std::string &target, const AnswerMetadata &answer);
 
 /** True if the target takes calls of this VM now, by what it has stated. */
-bool takesCalls(GatewayNode &node, const std::string &target, Instant now);
+bool acceptsCalls(GatewayNode &node, const std::string &target, Instant now);
 
 /** A peer reports that the target, if started at `startTime`, is shutting down; 0: not stated. */
 void markLeavingByPeer(GatewayNode &node, const std::string &target, std::int64_t startTime);
--- a/libs/gateway/src/CallPlacement.cpp
+++ b/libs/gateway/src/CallPlacement.cpp
@@ -93,7 +93,7 @@
 {
     std::vector<const TargetRecord *> targets = targetsOf(call.node, call.service);
     std::erase_if(targets, [&](const TargetRecord *record) {
-        return !takesCalls(call.node, record->entry.id, now);
+        return !acceptsCalls(call.node, record->entry.id, now);
     });
     keepCompatibleTargets(call, targets);
     return targets;
@@ -131,8 +131,8 @@
 EngineWeights currentWeights(const ActiveCall &call)
 {
     EngineWeights weights = call.node.settings.weights;
-    const auto rate = call.node.prefillPaces.find(call.service);
-    if (rate != call.node.prefillPaces.end() && shortestObjective(call))
+    const auto rate = call.node.prefillRates.find(call.service);
+    if (rate != call.node.prefillRates.end() && shortestObjective(call))
         weights.promptTokensPerMs = prefillRate(rate->second, weights.promptTokensPerMs);
     return weights;
 }
@@ -284,7 +284,7 @@
         const auto record = node.targetTable.records.find(id);
         const bool mayTake =
             record != node.targetTable.records.end() && mayTakeWork(record->second);
-        if (!mayTake || !takesCalls(node, id, BootClock::now()))
+        if (!mayTake || !acceptsCalls(node, id, BootClock::now()))
             continue;
         // During the load, an update may have shown that it restarted as another version.
         std::vector<const TargetRecord *> chosen{&record->second};
@@ -381,14 +381,14 @@
     markRunsChanged(this->call.node, this->target);
 }
 
-void InFlightGuard::noteFirstEvent()
+void InFlightGuard::recordFirstEvent()
 {
     if (std::exchange(this->firstEventSeen, true))
         return;
     const Instant now = BootClock::now();
     GatewayNode &node = this->call.node;
     if (node.settings.placement.forecast)
-        addPrefillSample(node.prefillPaces[this->call.service],
+        addPrefillSample(node.prefillRates[this->call.service],
                          {this->waiting, this->waitingBefore, now - this->sentAt}, now);
     if (this->call.forecast > Duration::zero()) {
         const double missed = toSeconds(now - this->call.forecastAt - this->call.forecast);
@@ -396,7 +396,7 @@
     }
     this->runtime.ownUsage.waitingTokens -= this->waiting;
     this->waiting = 0;
-    this->prompt.noteFirstEvent(BootClock::now());
+    this->prompt.recordFirstEvent(BootClock::now());
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/CallPlacement.h
+++ b/libs/gateway/src/CallPlacement.h
@@ -28,7 +28,7 @@
     InFlightGuard &operator=(const InFlightGuard &) = delete;
 
     /** The first event has arrived: the engine has read the prompt. */
-    void noteFirstEvent();
+    void recordFirstEvent();
 
 private:
     ActiveCall &call;
--- a/libs/gateway/src/CallServing.cpp
+++ b/libs/gateway/src/CallServing.cpp
@@ -290,7 +290,7 @@
             co_return AttemptResult::Broken;
         }
         const std::function<void()> onPiece = [&inFlight] {
-            inFlight.noteFirstEvent();
+            inFlight.recordFirstEvent();
         };
         const AttemptResult end = co_await passAnswer(this->call, this->answer, exchange, onPiece);
         this->sendError = exchange.error();
--- a/libs/gateway/src/CallerAuthentication.cpp
+++ b/libs/gateway/src/CallerAuthentication.cpp
@@ -25,7 +25,7 @@
 
 bool mayTrustKeysNow(const GatewayNode &node)
 {
-    return mayTrustKeys(node.settings.access, configConfirmedAt(node), BootClock::now());
+    return mayAcceptKeys(node.settings.access, configConfirmedAt(node), BootClock::now());
 }
 
 /** True once the configuration in force is known to have been the newest at `since` or later. */
--- a/libs/gateway/src/CapacityWaiting.cpp
+++ b/libs/gateway/src/CapacityWaiting.cpp
@@ -64,7 +64,7 @@
                    const TargetUsage &usage, Instant now)
 {
     const double maxTokens = node.settings.weights.memoryShare * spec.kvTokens;
-    return takesCalls(node, entry.id, now) && usage.runs < spec.slots
+    return acceptsCalls(node, entry.id, now) && usage.runs < spec.slots
         && (usage.runs == 0 || usage.heldTokens < maxTokens) && !isFailing(usage)
         && !isEjected(runtimeOf(node, entry.id).health, now);
 }
@@ -106,22 +106,22 @@
         const std::string &target = record->entry.id;
         const TargetUsage usage = totalLoad(node, target);
         if (!canRunOneMore(node, record->entry, spec, usage, now)) {
-            available.unknownLater = true;
+            available.mayFreeAnytime = true;
             continue;
         }
         const TargetRuntime &runtime = runtimeOf(node, target);
         markLoadNotNeeded(node, serviceWaiters.queue, serviceWaiters, runtime, now);
         if (!canCommand(node, target))
             continue;
-        if (blocksLoadRequest(runtime.loadMark, now, Duration::zero())) {
-            available.unknownLater = available.unknownLater || !runtime.loadMark.forecast;
-            available.expectedAt.push_back(runtime.loadMark.until);
+        if (blocksLoadRequest(runtime.loadBackoff, now, Duration::zero())) {
+            available.mayFreeAnytime = available.mayFreeAnytime || !runtime.loadBackoff.forecast;
+            available.expectedAt.push_back(runtime.loadBackoff.until);
             continue;
         }
         const int idle =
             idleSlotsAt(node, record->entry, usage, capacity) - loadsRequestedAt(node, target);
         available.loads += std::clamp(idle, 0, maxLoadsPerEngine);
-        available.unknownLater = true;
+        available.mayFreeAnytime = true;
     }
     return available;
 }
--- a/libs/gateway/src/EngineCommands.cpp
+++ b/libs/gateway/src/EngineCommands.cpp
@@ -294,7 +294,7 @@
 bool mayRequestLoad(GatewayNode &node, const std::string &target, Duration begin)
 {
     const bool backedOff = node.settings.placement.keepDeclines
-        && blocksLoadRequest(runtimeOf(node, target).loadMark, BootClock::now(), begin);
+        && blocksLoadRequest(runtimeOf(node, target).loadBackoff, BootClock::now(), begin);
     return !backedOff && canCommand(node, target);
 }
 
@@ -454,7 +454,7 @@
     const bool slotKnown = decline.reason == DeclineReason::NoSlot && mayCommandNow(node, target);
     // After no answer, all engines of that lease holder are avoided for a while; see holderOf().
     if (reply && !invalid && !slotKnown)
-        runtimeOf(node, target).loadMark = backoffAfter(decline, BootClock::now());
+        runtimeOf(node, target).loadBackoff = backoffAfter(decline, BootClock::now());
     node.metrics.add(declinedCounter(decline.reason));
     return decline;
 }
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -86,7 +86,7 @@
         if (record.expiredAt != Instant{})
             node.shared.targets.set(id, {record.entry, false, true}, node.shared.counter);
     }
-    for (const std::string &id : dropGone(node.targetTable, BootClock::now())) {
+    for (const std::string &id : removeGone(node.targetTable, BootClock::now())) {
         node.prefill.reported.erase(id);
         node.prefill.held.erase(id);
         logEvent(EventId::TargetGone, {{"target", id}});
@@ -156,7 +156,7 @@
               {"routes", std::to_string(node.routes->config().routes.size())},
               {"bytes", std::to_string(plainBytes)},
               {"keysAdded", std::to_string(keys.added)},
-              {"keysTaken", std::to_string(keys.taken)},
+              {"keysTaken", std::to_string(keys.removed)},
               {"source", source}});
 }
 
@@ -180,7 +180,7 @@
 void dropTargetsUnlistedByPeer(GatewayNode &node, const std::set<std::string> &listed)
 {
     for (auto &[id, record] : node.targetTable.records)
-        record.gone = record.gone || listed.count(id) == 0;
+        record.removed = record.removed || listed.count(id) == 0;
     sweep(node);
 }
 
@@ -192,7 +192,7 @@
     if (found == node.targetTable.records.end())
         return;
     if (ownRelay)
-        found->second.gone = true;
+        found->second.removed = true;
     else
         recordRemoved(node.targetTable, target, BootClock::now());
     sweep(node);
@@ -241,7 +241,7 @@
     sink.peer = [&node](PlatformVm vm) {
         addPeer(node, vm.peers, {std::move(vm.name), std::move(vm.zone), vm.capacity});
     };
-    sink.spendNotes = [&node](std::vector<UsageSnapshot> snapshots) {
+    sink.usageSnapshots = [&node](std::vector<UsageSnapshot> snapshots) {
         applyStoredSnapshots(node, std::move(snapshots));
     };
     sink.peersRead = [&node] {
@@ -256,7 +256,7 @@
     sink.hasBackupRelays = [&node] {
         const auto zones = std::count_if(
             node.reported.reports.begin(), node.reported.reports.end(),
-            [&](const auto &report) { return report.first.starts_with(zoneReporter); });
+            [&](const auto &report) { return report.first.starts_with(zoneReporterPrefix); });
         return zones >= minBackupRelays;
     };
     sink.ownRecord = [&node](OwnRecord own) {
--- a/libs/gateway/src/FleetCount.cpp
+++ b/libs/gateway/src/FleetCount.cpp
@@ -32,7 +32,7 @@
 
 int reachableVms(const GatewayNode &node, Instant now)
 {
-    const int reporting = 1 + vmsReported(node.reported);
+    const int reporting = 1 + reportedVms(node.reported);
     return isRelayLive(node, now) ? std::max(node.relayState.reachableVms, reporting) : reporting;
 }
 
--- a/libs/gateway/src/Gateway.cpp
+++ b/libs/gateway/src/Gateway.cpp
@@ -91,8 +91,8 @@
         handlers.reservePrefill = [this](const gateway::v1::PrefillRequest &request) {
             return handlePrefillRequest(this->node, request);
         };
-        handlers.noteOrigins = [this](const gateway::v1::OriginNote &note) {
-            return handleOriginNote(this->node, note);
+        handlers.reportOrigins = [this](const gateway::v1::OriginNote &note) {
+            return handleOriginReport(this->node, note);
         };
         handlers.origin = [this](const gateway::v1::OriginRequest &request) {
             return handleOriginRequest(this->node, request);
--- a/libs/gateway/src/GatewayNode.cpp
+++ b/libs/gateway/src/GatewayNode.cpp
@@ -102,7 +102,7 @@
 void updateLiveGateways(GatewayNode &node, Instant now)
 {
     const int fromRelay = node.relayState.at == Instant{} ? 0 : node.relayState.vms;
-    const int counted = std::max(1 + vmsReported(node.reported), fromRelay);
+    const int counted = std::max(1 + reportedVms(node.reported), fromRelay);
     const bool expired = now - node.recentVmsAt > silentVmsCountFor;
     if (counted < node.recentVms && !expired)
         return;
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -93,7 +93,7 @@
     HostCopies copies; ///< adapters with a copy in host memory, which load fast
     std::set<std::string> models; ///< resident base models
     PendingLoads incoming;
-    LoadBackoff loadMark; ///< backoff after a declined load, for all calls of this VM
+    LoadBackoff loadBackoff; ///< backoff after a declined load, for all calls of this VM
 };
 
 /** The last lease confirmation of a zone peer: whether it may command engines of the zone. */
@@ -190,7 +190,7 @@
 {
     TargetEntry entry;
     bool gone = false;
-    bool lapsed = false; ///< its entry expired during an outage; it may be listed again
+    bool expired = false; ///< its entry expired during an outage; it may be listed again
 
     auto operator<=>(const SharedTarget &) const = default;
 };
@@ -247,11 +247,11 @@
 };
 
 /** Prefix of the reporter name that stands for another zone as a whole; see UsageLedger. */
-constexpr std::string_view zoneReporter = "zone ";
+constexpr std::string_view zoneReporterPrefix = "zone ";
 
 inline std::string zoneReporterName(const std::string &zone)
 {
-    return std::string(zoneReporter) + zone;
+    return std::string(zoneReporterPrefix) + zone;
 }
 
 /** The latest state received from this VM's relay. */
@@ -357,7 +357,7 @@
     PartitionLease lease;
     Instant bootedAt;
     bool mayHoldLease = false; ///< it takes part in the lease group of the zone
-    Instant joinedLeaseAt{}; ///< when it joined that group first; zero: not yet
+    Instant joinedLeaseGroupAt{}; ///< when it joined that group first; zero: not yet
     bool leaseYielded = false; ///< lease left to zone peers until this VM reaches engines again
     bool leaseRenewed = false; ///< the last renewal was granted
     bool renewalFailing = false;
@@ -369,7 +369,7 @@
     /** By engine and adapter. */
     std::map<std::pair<std::string, std::string>, std::shared_ptr<LoadInFlight>> loadsInFlight;
     LoadEstimator loadEstimator;
-    std::unordered_map<std::string, PrefillRate> prefillPaces; ///< by service
+    std::unordered_map<std::string, PrefillRate> prefillRates; ///< by service
     PrefillCounts prefill;
     HarmfulCalls harmful; ///< derived from the evidence
     bool evidenceChanged = false; ///< since the last evaluation
--- a/libs/gateway/src/GatewayPeers.cpp
+++ b/libs/gateway/src/GatewayPeers.cpp
@@ -71,7 +71,7 @@
                                           const v1::OriginNote *note,
                                           v1::OriginsNoted *noted) override
     {
-        return this->answerAtOnce(call, note, noted, this->handlers.noteOrigins);
+        return this->answerAtOnce(call, note, noted, this->handlers.reportOrigins);
     }
 
     grpc::ServerUnaryReactor *AskOrigin(grpc::CallbackServerContext *call,
@@ -297,7 +297,7 @@
 }
 
 asio::awaitable<std::optional<v1::OriginsNoted>>
-GatewayPeers::noteOrigins(Endpoint peer, v1::OriginNote note, Duration timeout)
+GatewayPeers::reportOrigins(Endpoint peer, v1::OriginNote note, Duration timeout)
 {
     auto shared = std::make_shared<const v1::OriginNote>(std::move(note));
     return this->impl->unary<v1::OriginNote, v1::OriginsNoted>(
--- a/libs/gateway/src/GatewayPeers.h
+++ b/libs/gateway/src/GatewayPeers.h
@@ -24,7 +24,7 @@
     std::function<gateway::v1::UseNoted(const gateway::v1::UseNote &)> reportUsage;
     std::function<asio::awaitable<gateway::v1::LoadReply>(gateway::v1::LoadRequest)> load;
     std::function<gateway::v1::PrefillReply(const gateway::v1::PrefillRequest &)> reservePrefill;
-    std::function<gateway::v1::OriginsNoted(const gateway::v1::OriginNote &)> noteOrigins;
+    std::function<gateway::v1::OriginsNoted(const gateway::v1::OriginNote &)> reportOrigins;
     std::function<gateway::v1::OriginReply(const gateway::v1::OriginRequest &)> origin;
 };
 
@@ -64,7 +64,7 @@
     reservePrefill(Endpoint peer, gateway::v1::PrefillRequest request, Duration timeout);
 
     asio::awaitable<std::optional<gateway::v1::OriginsNoted>>
-    noteOrigins(Endpoint peer, gateway::v1::OriginNote note, Duration timeout);
+    reportOrigins(Endpoint peer, gateway::v1::OriginNote note, Duration timeout);
 
     asio::awaitable<std::optional<gateway::v1::OriginReply>>
     askOrigin(Endpoint peer, gateway::v1::OriginRequest request, Duration timeout);
--- a/libs/gateway/src/GatewaySettings.cpp
+++ b/libs/gateway/src/GatewaySettings.cpp
@@ -173,7 +173,7 @@
         readRetries(reader, root, settings.retries);
         readAccess(reader, root, settings.access);
         readQuota(reader, root, settings.quota);
-        settings.quotaGiven = root.contains("quota");
+        settings.hasQuotaPolicy = root.contains("quota");
         readLease(reader, root, settings.lease);
         readPlacement(reader, root, settings.placement);
         settings.logLinesPerSecond = static_cast<int>(
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -67,7 +67,7 @@
     // address. They forget a VM only after it has been down for `goneAfter`.
     if (node.heldBefore)
         return false;
-    if (now - node.joinedLeaseAt >= newMemberWait)
+    if (now - node.joinedLeaseGroupAt >= newMemberWait)
         return false;
     for (const auto &[endpoint, peer] : node.peers) {
         if (peer.zone == node.settings.zone && peer.leaseConfirmation.askedAt == Instant{})
@@ -243,8 +243,8 @@
             continue;
         }
         node.leaseYielded = false;
-        if (node.joinedLeaseAt == Instant{})
-            node.joinedLeaseAt = BootClock::now();
+        if (node.joinedLeaseGroupAt == Instant{})
+            node.joinedLeaseGroupAt = BootClock::now();
         const LeaseRenewal renewal = renewalOf(node);
         const Instant sentAt = BootClock::now();
         auto grant = co_await node.platform->renew(node.http, node.settings, renewal, renewTimeout);
@@ -314,7 +314,7 @@
         std::vector<Endpoint> due;
         for (auto &[endpoint, peer] : node.peers) {
             const bool zonePeer = peer.zone == node.settings.zone && !peer.name.empty();
-            if (!zonePeer || node.joinedLeaseAt == Instant{} || node.leftLeaseGroup)
+            if (!zonePeer || node.joinedLeaseGroupAt == Instant{} || node.leftLeaseGroup)
                 continue;
             if (now - peer.leaseConfirmation.triedAt < confirmationSpacing(node, peer))
                 continue;
@@ -352,7 +352,7 @@
     node.leftLeaseGroup = true;
     dropLease(node.lease, BootClock::now());
     retractEngines(node);
-    if (node.joinedLeaseAt == Instant{})
+    if (node.joinedLeaseGroupAt == Instant{})
         co_return;
     co_await node.platform->leave(node.http, node.settings, renewal, renewTimeout);
 }
--- a/libs/gateway/src/PeerCodec.cpp
+++ b/libs/gateway/src/PeerCodec.cpp
@@ -249,7 +249,7 @@
     message.set_leaving(entry.leaving);
     message.set_born(entry.startTime);
     message.set_software(entry.software);
-    message.set_lapsed(fact.lapsed);
+    message.set_lapsed(fact.expired);
     for (const std::string &model : entry.models)
         message.add_models(model);
     for (const HeldAdapter &held : entry.adapters) {
@@ -263,7 +263,7 @@
 {
     SharedTarget fact;
     fact.gone = message.gone();
-    fact.lapsed = message.lapsed();
+    fact.expired = message.lapsed();
     fact.entry.id = message.id();
     fact.entry.service = message.service();
     fact.entry.endpoint = {message.address(), portOf(message.port())};
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -64,7 +64,7 @@
 {
     TargetUsages uses = ownUses(node);
     for (const auto &[reporter, report] : node.reported.reports) {
-        if (!reporter.starts_with(zoneReporter))
+        if (!reporter.starts_with(zoneReporterPrefix))
             addUsages(uses, report.targets);
     }
     return uses;
@@ -79,7 +79,7 @@
 {
     int vms = ownVms(node);
     for (const auto &[reporter, report] : node.reported.reports) {
-        if (!reporter.starts_with(zoneReporter))
+        if (!reporter.starts_with(zoneReporterPrefix))
             vms += report.vms;
     }
     return vms;
@@ -153,7 +153,7 @@
     for (const auto &[target, use] : wholeZone ? zoneUses(node) : ownUses(node))
         encodeUse(target, use, *report->add_uses());
     for (const auto &[workspace, use] :
-         wholeZone ? zoneWorkspaceUses(node, now) : ownWorkspaceUses(node, now))
+         wholeZone ? zoneWorkspaceUsage(node, now) : ownWorkspaceUsage(node, now))
         encodeWorkspaceUse(workspace, use, *report->add_workspaces());
     fillUnitsByAge(node, wholeZone, *report);
     for (const auto &[target, entry] : node.shared.engines.all()) {
@@ -218,10 +218,10 @@
         encodeUse(target, use, *digest.add_others());
     digest.set_vms(static_cast<std::uint32_t>(liveGateways(node)));
     WorkspaceUses workspaces = workspacesExcept(node.reported, asker.endpoint.text());
-    addUsages(workspaces, ownWorkspaceUses(node, BootClock::now()));
+    addUsages(workspaces, ownWorkspaceUsage(node, BootClock::now()));
     for (const auto &[workspace, use] : workspaces)
         encodeWorkspaceUse(workspace, use, *digest.add_other_workspaces());
-    digest.set_vms_in_touch(static_cast<std::uint32_t>(ownVms(node) + vmsReported(node.reported)));
+    digest.set_vms_in_touch(static_cast<std::uint32_t>(ownVms(node) + reportedVms(node.reported)));
 }
 
 /** Time since this VM's configuration was last confirmed as the newest, plus 1 ms; 0: never. */
@@ -257,7 +257,7 @@
 bool mayHoldBeside(GatewayNode &node, const Endpoint &asker)
 {
     const ZonePeers zone = zonePeersOf(node, node.settings.zone);
-    for (const std::size_t index : chooseLeaseHolders(zone.mates, holdersPerZone - 1)) {
+    for (const std::size_t index : chooseLeaseHolders(zone.candidates, holdersPerZone - 1)) {
         if (zone.peers[index]->endpoint == asker)
             return true;
     }
@@ -362,7 +362,7 @@
         applyReleases(node, report.released());
     }
 
-    tellNews(node, report, zonePeer, digest);
+    addStateUpdates(node, report, zonePeer, digest);
     addPrefixesToDigest(node, report, zonePeer, digest);
     addUsageUpdates(node, report, zonePeer, digest);
     if (zonePeer)
@@ -406,7 +406,7 @@
         recordZoneRelay(node, peer, digest);
     recordConfigOffer(node, peer, digest.config_version());
     applyDigestPrefixes(node, peer, digest);
-    takeNews(node, peer, digest, upstream);
+    applyStateUpdates(node, peer, digest, upstream);
     if (peer.zone == node.settings.zone)
         applyReleases(node, digest.released());
     if (!upstream)
--- a/libs/gateway/src/PrefixSharing.cpp
+++ b/libs/gateway/src/PrefixSharing.cpp
@@ -54,7 +54,7 @@
 
 // Only the time of the first event is evidence for what was cached. That the call was sent there is
 // not: it only shows what was believed.
-void PrefillObservation::noteFirstEvent(Instant now)
+void PrefillObservation::recordFirstEvent(Instant now)
 {
     if (!this->waiting)
         return;
--- a/libs/gateway/src/PrefixSharing.h
+++ b/libs/gateway/src/PrefixSharing.h
@@ -21,7 +21,7 @@
     PrefillObservation(ActiveCall &run, const std::string &target, Instant now);
 
     /** Call when the first event arrives, so prefill is done. Only the first call has an effect. */
-    void noteFirstEvent(Instant now);
+    void recordFirstEvent(Instant now);
 
 private:
     ActiveCall &run;
--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -132,8 +132,8 @@
         }
         const ZonePeers zone = zonePeersOf(node, node.settings.zone);
         const RelayRank self = ownRank(node);
-        setRelaying(node, isRelay(self, isStarting(node), zone.mates));
-        const auto upstream = chooseUpstream(self, isStarting(node), zone.mates);
+        setRelaying(node, isRelay(self, isStarting(node), zone.candidates));
+        const auto upstream = chooseUpstream(self, isStarting(node), zone.candidates);
         if (!upstream) {
             node.relayState = RelayState();
             const bool listSettled =
@@ -170,10 +170,10 @@
     }
     const ZonePeers zone = zonePeersOf(node, name);
     const PeerState *best = nullptr;
-    for (std::size_t index = 0; index < zone.mates.size(); ++index) {
-        if (!zone.mates[index].reachable)
+    for (std::size_t index = 0; index < zone.candidates.size(); ++index) {
+        if (!zone.candidates[index].reachable)
             continue;
-        if (best == nullptr || ranksBefore(zone.mates[index].rank, rankOf(*best)))
+        if (best == nullptr || ranksBefore(zone.candidates[index].rank, rankOf(*best)))
             best = zone.peers[index];
     }
     return best;
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -56,7 +56,7 @@
     TargetRuntime &runtime = runtimeOf(node, target);
     const bool otherHolder = known == nullptr || known->holder != record.holder;
     if (otherHolder)
-        runtime.loadMark = LoadBackoff();
+        runtime.loadBackoff = LoadBackoff();
     if (otherHolder && !runtime.ownAdapterRuns.empty())
         markRunsChanged(node, target);
     runtime.models = record.models;
@@ -241,7 +241,7 @@
     for (const auto &[target, entry] : node.shared.engines.all()) {
         const auto listed = node.targetTable.records.find(target);
         if (!entry.value.holderLive || listed == node.targetTable.records.end()
-            || listed->second.gone)
+            || listed->second.removed)
             continue;
         loads += entry.value.loading;
     }
--- a/libs/gateway/src/StateUpdates.cpp
+++ b/libs/gateway/src/StateUpdates.cpp
@@ -101,7 +101,7 @@
         if (digest.complete())
             peer.fullSyncTargets.insert(fact.entry.id);
         // This VM has dropped the target already, and the peer only waits whether it comes back.
-        const bool isDropped = fact.lapsed && wasDropped(node.targetTable, fact.entry.id);
+        const bool isDropped = fact.expired && wasRemoved(node.targetTable, fact.entry.id);
         if (appliesList && !isDropped)
             listed.push_back(std::move(fact.entry));
     }
@@ -122,7 +122,8 @@
 // The number of changes is limited because an answer with all of them (3.3 MB for 12,000 engines)
 // takes longer over a slow link than an exchange may take, and would be dropped and restarted with
 // each exchange.
-void tellNews(const GatewayNode &node, const v1::Report &report, bool zonePeer, v1::Digest &digest)
+void addStateUpdates(const GatewayNode &node, const v1::Report &report, bool zonePeer,
+                     v1::Digest &digest)
 {
     const bool isFirstSync = report.known_boot() != node.boot;
     const std::uint64_t seen = isFirstSync ? 0 : report.known_change();
@@ -184,7 +185,7 @@
 
 } // namespace
 
-void takeNews(GatewayNode &node, PeerState &peer, const v1::Digest &digest, bool ownRelay)
+void applyStateUpdates(GatewayNode &node, PeerState &peer, const v1::Digest &digest, bool ownRelay)
 {
     if (peer.seenBoot != digest.from().boot() || !digest.complete())
         peer.fullSyncTargets.clear();
--- a/libs/gateway/src/StateUpdates.h
+++ b/libs/gateway/src/StateUpdates.h
@@ -9,11 +9,12 @@
  * Adds to the digest the changes of the shared state that the sender of `report` has not received
  * yet, oldest first, up to the limit of one answer. `zonePeer`: the sender is of this VM's zone.
  */
-void tellNews(const GatewayNode &node, const gateway::v1::Report &report, bool zonePeer,
-              gateway::v1::Digest &digest);
+void addStateUpdates(const GatewayNode &node, const gateway::v1::Report &report, bool zonePeer,
+                     gateway::v1::Digest &digest);
 
 /** Applies the changes that another VM added. `ownRelay`: that VM is the relay of this one. */
-void takeNews(GatewayNode &node, PeerState &peer, const gateway::v1::Digest &digest, bool ownRelay);
+void applyStateUpdates(GatewayNode &node, PeerState &peer, const gateway::v1::Digest &digest,
+                       bool ownRelay);
 
 /** Applies another VM's evidence on calls. */
 void applyPeerEvidence(
--- a/libs/gateway/src/StreamResuming.cpp
+++ b/libs/gateway/src/StreamResuming.cpp
@@ -157,7 +157,7 @@
 asio::awaitable<void> reportToReplica(GatewayNode &node, Endpoint replica, v1::OriginNote note)
 {
     const auto recorded =
-        co_await node.peerLinks.noteOrigins(replica, std::move(note), reportTimeout);
+        co_await node.peerLinks.reportOrigins(replica, std::move(note), reportTimeout);
     static_cast<void>(recorded); // two other VMs store it
 }
 
@@ -357,7 +357,7 @@
     }
 }
 
-v1::OriginsNoted handleOriginNote(GatewayNode &node, const v1::OriginNote &note)
+v1::OriginsNoted handleOriginReport(GatewayNode &node, const v1::OriginNote &note)
 {
     const Instant now = BootClock::now();
     for (const v1::StreamOrigin &reportedOrigin : note.origins()) {
--- a/libs/gateway/src/StreamResuming.h
+++ b/libs/gateway/src/StreamResuming.h
@@ -40,7 +40,8 @@
 /** Checks the versions in service, and reports streams to other VMs. */
 asio::awaitable<void> streamOriginLoop(GatewayNode &node);
 
-gateway::v1::OriginsNoted handleOriginNote(GatewayNode &node, const gateway::v1::OriginNote &note);
+gateway::v1::OriginsNoted handleOriginReport(GatewayNode &node,
+                                             const gateway::v1::OriginNote &note);
 gateway::v1::OriginReply handleOriginRequest(GatewayNode &node,
                                              const gateway::v1::OriginRequest &request);
 
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -140,7 +140,7 @@
 
 asio::awaitable<bool> TargetExchange::connect()
 {
-    this->link = takeIdle(this->pool(), BootClock::now());
+    this->link = acquireIdle(this->pool(), BootClock::now());
     if (!this->link) {
         ConnectResult result =
             co_await connectTo(this->node.context, this->endpoint, connectTimeout);
--- a/libs/gateway/src/TargetPool.cpp
+++ b/libs/gateway/src/TargetPool.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TargetConnectionPtr takeIdle(TargetPool &pool, Instant now)
+TargetConnectionPtr acquireIdle(TargetPool &pool, Instant now)
 {
     while (!pool.idle.empty()) {
         TargetConnectionPtr connection = std::move(pool.idle.back());
--- a/libs/gateway/src/TargetPool.h
+++ b/libs/gateway/src/TargetPool.h
@@ -37,7 +37,7 @@
 };
 
 /** An idle connection that still looks usable; null if there is none. */
-TargetConnectionPtr takeIdle(TargetPool &pool, Instant now);
+TargetConnectionPtr acquireIdle(TargetPool &pool, Instant now);
 
 /** Keeps a connection for the next call; `keepAlive` is the target's own timeout, or zero. */
 void giveBack(TargetPool &pool, TargetConnectionPtr connection, Duration keepAlive, Instant now);
--- a/libs/gateway/src/TargetRestarts.cpp
+++ b/libs/gateway/src/TargetRestarts.cpp
@@ -21,7 +21,7 @@
     runtime.copies = HostCopies();
     runtime.models.clear();
     runtime.incoming = PendingLoads();
-    runtime.loadMark = LoadBackoff();
+    runtime.loadBackoff = LoadBackoff();
 }
 
 void forgetEngine(GatewayNode &node, const std::string &target, std::int64_t startTime)
@@ -74,7 +74,7 @@
     record.entry.software.clear(); // it may have restarted with another version
     record.entry.models.clear();
     record.entry.adapters.clear();
-    record.gone = false;
+    record.removed = false;
     record.expiredAt = Instant{};
     node.shared.targets.set(target, {record.entry, false}, node.shared.counter);
     forgetTarget(runtimeOf(node, target));
--- a/libs/gateway/src/UsageSnapshots.cpp
+++ b/libs/gateway/src/UsageSnapshots.cpp
@@ -66,7 +66,7 @@
         const auto found = report.unitsByAge.find(workspace);
         if (found == report.unitsByAge.end())
             continue;
-        if (scope == UnitsOf::AllZones || !reporter.starts_with(zoneReporter))
+        if (scope == UnitsOf::AllZones || !reporter.starts_with(zoneReporterPrefix))
             addUnits(units, found->second, policy, now - report.at);
     }
     return units;
@@ -79,7 +79,7 @@
         if (!isLimitedWorkspace(workspace))
             continue;
         const int percent =
-            percentNeeded(workspace.limit, node.settings.quota, fleetUseOf(node, workspace, now));
+            percentNeeded(workspace.limit, node.settings.quota, fleetUsageOf(node, workspace, now));
         if (percent > 0)
             wanted[workspace.name] = percent;
     }
@@ -136,7 +136,7 @@
 bool keepsUsageSnapshots(const GatewayNode &node)
 {
     const auto &workspaces = node.routes->config().workspaces;
-    return node.settings.quotaGiven
+    return node.settings.hasQuotaPolicy
         && std::any_of(workspaces.begin(), workspaces.end(), isLimitedWorkspace);
 }
 
--- a/libs/gateway/src/WorkspaceQuota.cpp
+++ b/libs/gateway/src/WorkspaceQuota.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-FleetUsage fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now)
+FleetUsage fleetUsageOf(GatewayNode &node, const Workspace &workspace, Instant now)
 {
     FleetUsage fleet = othersUsageOf(node, workspace, now);
     addUsage(fleet.usage, ownUsageOf(node, workspace, now));
@@ -165,7 +165,7 @@
              call.unitsChargedAt, BootClock::now());
 }
 
-WorkspaceUses ownWorkspaceUses(GatewayNode &node, Instant now)
+WorkspaceUses ownWorkspaceUsage(GatewayNode &node, Instant now)
 {
     WorkspaceUses usages;
     for (const Workspace &workspace : node.routes->config().workspaces) {
@@ -178,11 +178,11 @@
     return usages;
 }
 
-WorkspaceUses zoneWorkspaceUses(GatewayNode &node, Instant now)
+WorkspaceUses zoneWorkspaceUsage(GatewayNode &node, Instant now)
 {
-    WorkspaceUses usages = ownWorkspaceUses(node, now);
+    WorkspaceUses usages = ownWorkspaceUsage(node, now);
     for (const auto &[reporter, report] : node.reported.reports) {
-        if (!reporter.starts_with(zoneReporter))
+        if (!reporter.starts_with(zoneReporterPrefix))
             addUsages(usages, report.workspaces);
     }
     return usages;
--- a/libs/gateway/src/WorkspaceQuota.h
+++ b/libs/gateway/src/WorkspaceQuota.h
@@ -19,12 +19,12 @@
 void refundQuota(ActiveCall &call);
 
 /** What all reachable VMs use of a workspace's limit. */
-FleetUsage fleetUseOf(GatewayNode &node, const Workspace &workspace, Instant now);
+FleetUsage fleetUsageOf(GatewayNode &node, const Workspace &workspace, Instant now);
 
 /** Usage by calls of this VM, by workspace. */
-WorkspaceUses ownWorkspaceUses(GatewayNode &node, Instant now);
+WorkspaceUses ownWorkspaceUsage(GatewayNode &node, Instant now);
 
 /** The same for this VM and those of its zone that report to it. */
-WorkspaceUses zoneWorkspaceUses(GatewayNode &node, Instant now);
+WorkspaceUses zoneWorkspaceUsage(GatewayNode &node, Instant now);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/ZonePeers.cpp
+++ b/libs/gateway/src/ZonePeers.cpp
@@ -43,7 +43,7 @@
         candidate.starting = peer.starting;
         candidate.leaseHolder = peer.leaseHolder;
         candidate.linksLost = peer.linksLost;
-        found.mates.push_back(candidate);
+        found.candidates.push_back(candidate);
         found.peers.push_back(&peer);
     }
     return found;
--- a/libs/gateway/src/ZonePeers.h
+++ b/libs/gateway/src/ZonePeers.h
@@ -13,7 +13,7 @@
 /** The VMs of one zone as candidates for its relay. */
 struct ZonePeers
 {
-    std::vector<ZonePeer> mates;
+    std::vector<ZonePeer> candidates;
     std::vector<PeerState *> peers; ///< in the same order
 };
 
--- a/libs/gateway/tests/ConfigDownloads.cpp
+++ b/libs/gateway/tests/ConfigDownloads.cpp
@@ -98,7 +98,7 @@
 }
 
 // Guards against a download that restarts each time a link fails in the middle of it.
-Test(config_reading, what_has_come_stays_when_another_mate_goes_on)
+Test(config_reading, received_parts_are_kept_when_the_source_changes)
 {
     GatewayNode relay(settingsOf("relay"));
     GatewayNode zonePeer(settingsOf("mate"));
@@ -120,7 +120,7 @@
 
 // Guards against a VM that keeps asking a zone peer that has restarted and has no configuration
 // yet.
-Test(config_reading, a_mate_that_knows_less_than_it_told_is_not_asked_again)
+Test(config_reading, a_zone_peer_with_an_older_version_than_reported_is_not_asked_again)
 {
     GatewayNode restarted(settingsOf("reborn"));
     GatewayNode reader(settingsOf("reader"));
@@ -130,7 +130,7 @@
     cr_assert_null(chooseConfigSource(reader, BootClock::now()));
 }
 
-Test(config_reading, the_strongest_mate_goes_first_and_one_that_failed_waits)
+Test(config_reading, the_strongest_source_goes_first_and_a_failed_one_waits)
 {
     GatewayNode reader(settingsOf("reader"));
     addZonePeer(reader, "weak", 0.1, 9);
@@ -162,7 +162,7 @@
 }
 
 // Guards against an older configuration in force again, sent by a zone peer that is behind.
-Test(config_reading, an_older_configuration_is_never_taken)
+Test(config_reading, an_older_configuration_is_never_applied)
 {
     GatewayNode behind(settingsOf("behind"));
     GatewayNode reader(settingsOf("reader"));
@@ -191,7 +191,7 @@
 }
 
 // Guards against downloads that restart or stall at a zone peer that is still downloading itself.
-Test(config_reading, a_mate_passes_on_what_it_has_not_read_to_its_end)
+Test(config_reading, a_zone_peer_passes_on_parts_of_an_unfinished_download)
 {
     GatewayNode relay(settingsOf("relay"));
     GatewayNode first(settingsOf("first"));
--- a/libs/gateway/tests/ConfigReaders.cpp
+++ b/libs/gateway/tests/ConfigReaders.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 // Guards against all VMs of a zone downloading over the one link of the VM that has it first.
-Test(config_readers, seventy_mates_read_from_many_and_not_from_one)
+Test(config_readers, seventy_readers_are_spread_over_many_sources)
 {
     std::map<Endpoint, ConfigReaders> vms;
     std::map<Endpoint, int> served;
@@ -47,7 +47,7 @@
 }
 
 // Guards against a VM that is redirected from one zone peer that has ended to the next.
-Test(config_readers, who_got_nothing_elsewhere_is_served)
+Test(config_readers, a_reader_whose_redirect_failed_is_served)
 {
     ConfigReaders readers;
     for (int number = 1; number <= 2; ++number)
@@ -59,7 +59,7 @@
 }
 
 // Guards against waiting for readers that ended in the middle of their download.
-Test(config_readers, silent_readers_take_no_place_and_get_nobody)
+Test(config_readers, silent_readers_are_not_counted_and_get_no_redirects)
 {
     ConfigReaders readers;
     for (int number = 1; number <= 2; ++number)
@@ -72,7 +72,7 @@
 }
 
 // Guards against traffic between zones for a configuration that a VM of the same zone has.
-Test(config_readers, nobody_is_sent_on_to_another_zone)
+Test(config_readers, readers_are_not_redirected_to_another_zone)
 {
     ConfigReaders readers;
     for (int number = 1; number <= 2; ++number)
--- a/libs/gateway/tests/LinkWatches.cpp
+++ b/libs/gateway/tests/LinkWatches.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 // Guards against a VM that has lost its links and reports healthy targets as failing.
-Test(link_watch, a_vm_that_lost_its_links_knows_it_and_keeps_its_sights_to_itself)
+Test(link_watch, a_vm_detects_its_lost_links_and_reports_no_failures)
 {
     GatewayNode node((GatewaySettings()));
     listTargets(node, 5, 30);
@@ -47,7 +47,7 @@
 
 // Guards against a VM that accepts calls for a service that it has not called since it lost its
 // links.
-Test(link_watch, one_lost_service_has_the_others_looked_at)
+Test(link_watch, one_lost_service_makes_the_others_be_checked)
 {
     GatewayNode node((GatewaySettings()));
     listTargets(node, 5, 30);
@@ -71,7 +71,7 @@
 
 // Guards against VMs of a zone that lose their links together and take each other's failures for
 // failures of the targets.
-Test(link_watch, failures_that_other_cut_vms_tell_of_hide_no_cut)
+Test(link_watch, failures_reported_by_other_cut_off_vms_hide_no_lost_links)
 {
     GatewayNode node((GatewaySettings()));
     listTargets(node, 5, 4);
@@ -84,7 +84,7 @@
 }
 
 // Guards against an extra hop for each call while targets are down for all VMs.
-Test(link_watch, targets_that_fail_for_others_too_are_not_the_links_fault)
+Test(link_watch, targets_that_fail_for_all_vms_are_not_a_link_fault)
 {
     GatewayNode node((GatewaySettings()));
     listTargets(node, 5, 0);
@@ -170,7 +170,7 @@
 } // namespace
 
 // Guards against a lease holder that reaches no engine and delays the loads of all VMs.
-Test(link_watch, a_holder_that_reaches_no_engine_yields_to_a_mate_that_does)
+Test(link_watch, a_lease_holder_without_links_yields_to_a_linked_zone_peer)
 {
     CutHolder holder;
     cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "no other VM reports");
--- a/libs/gateway/tests/LoadCounts.cpp
+++ b/libs/gateway/tests/LoadCounts.cpp
@@ -24,7 +24,7 @@
 // Guards against counting loads that are long over because the VM that reported them is cut off or
 // gone. The weight store would look busy, every load would be expected to take several times as
 // long as it does, and as calls wait for that time, still more loads would be counted.
-Test(load_counts, loads_of_engines_that_nobody_orders_are_not_under_way)
+Test(load_counts, loads_of_engines_without_a_lease_holder_do_not_count)
 {
     GatewayNode node{GatewaySettings()};
     listEngine(node, "e1", 3, true);
@@ -33,13 +33,13 @@
 }
 
 // Guards against the same for an engine that ended during a load.
-Test(load_counts, loads_of_engines_that_are_gone_are_not_under_way)
+Test(load_counts, loads_of_engines_that_are_gone_do_not_count)
 {
     GatewayNode node{GatewaySettings()};
     listEngine(node, "e1", 3, true);
     listEngine(node, "e2", 4, true);
     recordRemoved(node.targetTable, "e2", BootClock::now());
     cr_assert_eq(loadsUnderWay(node), 3);
-    dropGone(node.targetTable, BootClock::now());
+    removeGone(node.targetTable, BootClock::now());
     cr_assert_eq(loadsUnderWay(node), 3);
 }
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -11,7 +11,7 @@
 // Guards against two VMs that command one engine. A VM starts while a zone peer is cut off from the
 // store and from it. It knows that peer as a seed, which has no zone, and ignored the zone when the
 // store named it later. So it did not wait for that peer's lease confirmation.
-Test(peers, the_zone_of_a_seed_is_taken_when_it_is_told)
+Test(peers, the_zone_of_a_seed_is_filled_in_later)
 {
     GatewaySettings settings;
     settings.zone = "zone-a";
@@ -65,7 +65,7 @@
 // target leaves, and then read the target's last two entries: an older one, and the one that says
 // so. It reported the older entry as "stays", and took the newer one for no change. The relay knew
 // after 0.3 s, but two VMs sent calls to the target for two seconds.
-Test(peers, leaving_is_told_on_whatever_older_entries_say)
+Test(peers, leaving_is_reported_despite_older_entries)
 {
     GatewayNode node(settingsOfVm1());
     applyPeerTargets(node, {listedTarget("t", false)});
@@ -81,7 +81,7 @@
 // Guards against a target that restarts under its id and never gets work again. A peer that did not
 // know of the restart reported that the target leaves, which was true of its previous run. This VM
 // knew the new start, applied the report to it, and passed that on to all VMs.
-Test(peers, leaving_is_said_of_one_start_of_a_target)
+Test(peers, leaving_applies_to_one_start_of_a_target)
 {
     GatewayNode node(settingsOfVm1());
     TargetEntry entry = listedTarget("t", false);
@@ -100,7 +100,7 @@
 // relay stepped down, the next VM tried for a second and stepped down, too, because zone peers of
 // unknown state were assumed to reach the store. In a zone of 21 VMs, calls were refused for 4 s
 // with "no engine has room", while the engines were half empty.
-Test(peers, a_relay_steps_down_only_for_a_mate_that_reaches_the_store)
+Test(peers, a_relay_steps_down_only_for_a_zone_peer_that_reaches_the_store)
 {
     GatewayNode node(settingsOfVm1());
     auto report = reportFrom("vm-7", 0, 0, 1);
@@ -121,7 +121,7 @@
 // Guards against usage that is counted twice after a change of the relay. The previous relay kept
 // the last reports of the other VMs and passed them on to the new relay, which got them directly,
 // too. For some seconds, engines with half of their slots in use were taken as full.
-Test(peers, a_former_relay_does_not_tell_on_what_it_was_told)
+Test(peers, a_former_relay_does_not_forward_old_reports)
 {
     GatewayNode node(settingsOfVm1());
     setRelaying(node, true);
@@ -139,7 +139,7 @@
 // relay asked it while it was starting, and did not ask it again once it sent reports, which did
 // not say that it had started. So two of 21 VMs held all engines of the zone; when three more
 // joined in the third second of a run, no engine got commands for 3 to 6 s.
-Test(peers, a_mate_that_has_started_may_hold)
+Test(peers, a_zone_peer_that_has_started_may_hold_leases)
 {
     GatewayNode node(settingsOfVm1());
     auto report = reportFrom("vm-7", 0, 0, 1);
@@ -221,7 +221,7 @@
 // Guards against calls to targets that are gone, and targets that get no calls, at a VM that has
 // received the full state in several answers. While these are sent, one target goes and one comes;
 // another, which the relay never knew, was gone before.
-Test(peers, news_in_pieces_end_with_what_the_relay_knows)
+Test(peers, a_full_sync_in_several_answers_ends_with_the_state_of_the_relay)
 {
     const auto relay = relayAtFullSize();
     recordListRead(relay->targetTable, BootClock::now());
@@ -246,7 +246,7 @@
 
 // Guards against a VM that keeps outdated targets for ever, because its relay ends while it sends
 // the full state and the next one sends it from the beginning.
-Test(peers, news_in_pieces_begin_anew_with_another_boot)
+Test(peers, a_full_sync_restarts_with_another_boot)
 {
     const auto relay = relayAtFullSize();
     GatewayNode asker(settingsOfVm7());
@@ -275,7 +275,7 @@
 
 // Guards against calls to a target that has left, by a VM whose relay sent its list in an exchange
 // from before it was the relay.
-Test(peers, what_a_relay_told_before_it_was_the_relay_is_heard_in_whole_again)
+Test(peers, a_new_relay_is_asked_for_its_full_state)
 {
     const auto relay = relayWithTarget("stays");
     GatewayNode asker(settingsOfVm7());
@@ -288,7 +288,7 @@
 }
 
 // Guards against calls to a target that came and left while another VM was the relay.
-Test(peers, a_relay_that_comes_back_is_heard_in_whole)
+Test(peers, a_relay_that_comes_back_is_asked_for_its_full_state)
 {
     const auto relay = relayWithTarget("stays");
     GatewaySettings settings = settingsOfVm1();
@@ -308,7 +308,7 @@
 
 // Guards against a target that gets no calls for a moment, because this VM read of it just before
 // the relay came back, which has not read of it yet.
-Test(peers, a_list_that_is_older_than_the_own_read_drops_nothing)
+Test(peers, a_list_older_than_the_own_read_removes_nothing)
 {
     const auto relay = relayWithTarget("stays");
     GatewayNode asker(settingsOfVm7());
@@ -325,7 +325,7 @@
 
 // Guards against calls to a target that this VM has dropped, while its relay, which had an outage
 // of its own, still waits whether the target is listed again.
-Test(peers, a_dropped_target_does_not_come_back_by_one_that_waits_for_it)
+Test(peers, a_removed_target_is_not_restored_by_a_waiting_relay)
 {
     const auto relay = relayWithTarget("left");
     recordListFailure(relay->targetTable, BootClock::now() - std::chrono::seconds(4));
--- a/libs/gateway/tests/Prefixes.cpp
+++ b/libs/gateway/tests/Prefixes.cpp
@@ -56,7 +56,7 @@
         const Instant now = BootClock::now();
         PrefillObservation reading(run, "engine-1", now);
         if (untilFirst)
-            reading.noteFirstEvent(now + *untilFirst);
+            reading.recordFirstEvent(now + *untilFirst);
         cr_assert_eq(run.cachedTokens, atPlacement,
                      "the same for placement and for waiting tokens");
         return run.cachedTokens;
@@ -99,7 +99,7 @@
 
 // Guards against prompts that are read again at an engine that has cached them for another VM's
 // call: each VM saw only its own calls, one in 83.
-Test(prefixes, what_one_vm_learns_is_used_in_its_zone_and_in_others)
+Test(prefixes, prefixes_seen_by_one_vm_are_used_in_all_zones)
 {
     Vm first("zone-a", 1);
     Vm relay("zone-a", 2);
@@ -126,7 +126,7 @@
 
 // Guards against estimates from before a restart of the engine, also by messages that arrive late,
 // and from before its adapter was unloaded or replaced.
-Test(prefixes, a_restart_or_an_unloaded_adapter_leaves_none)
+Test(prefixes, a_restart_or_an_unloaded_adapter_drops_its_prefixes)
 {
     Vm vm("zone-a", 1);
     Vm late("zone-a", 2);
@@ -147,7 +147,7 @@
 
 // Guards against a belief that confirms itself: calls are placed by it, and each one would renew
 // it. If it were passed on at once, it would come back from the other VMs.
-Test(prefixes, a_prefix_that_was_found_missing_is_neither_believed_nor_told)
+Test(prefixes, a_missing_prefix_is_neither_believed_nor_reported)
 {
     Vm first("zone-a", 1);
     Vm relay("zone-a", 2);
@@ -168,7 +168,7 @@
 
 // Guards against a VM that receives no more prefixes after messages were lost, arrived out of
 // order, or came from a relay that has restarted.
-Test(prefixes, lost_and_late_messages_cost_only_what_they_told)
+Test(prefixes, lost_and_late_messages_cost_only_their_content)
 {
     Vm first("zone-a", 1);
     Vm relay("zone-a", 2);
@@ -268,14 +268,14 @@
 }
 
 // Guards against traffic and work while no call names shared parts.
-Test(prefixes, without_shared_parts_nothing_is_told)
+Test(prefixes, without_shared_parts_nothing_is_sent)
 {
     Vm first("zone-a", 1);
     Vm relay("zone-a", 2);
     ActiveCall run(first.node, first.caller, HttpRequest());
     run.facts.promptTokens = 9190;
     PrefillObservation reading(run, "engine-1", BootClock::now());
-    reading.noteFirstEvent(BootClock::now());
+    reading.recordFirstEvent(BootClock::now());
     const v1::Report report = reportOf(first, relay);
     const v1::Digest digest = answerReport(relay.node, report);
     cr_assert_not(report.has_prefixes());
--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -144,7 +144,7 @@
 Test(waiting, no_capacity_in_time_is_refused_at_once_with_the_time)
 {
     WaitingCalls waitingCalls;
-    runtimeOf(waitingCalls.node, "e").loadMark =
+    runtimeOf(waitingCalls.node, "e").loadBackoff =
         backoffAfter({DeclineReason::EngineSilent, 900ms}, BootClock::now());
     waitingCalls.wait(0);
     cr_assert(waitingCalls.refused.empty(), "it has 50 s");
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -57,7 +57,7 @@
 
     std::int64_t used()
     {
-        return ownWorkspaceUses(this->node, BootClock::now())["ferry"].unitsInWindow;
+        return ownWorkspaceUsage(this->node, BootClock::now())["ferry"].unitsInWindow;
     }
 
     GatewayNode node;
--- a/libs/membership/include/membership/Membership.h
+++ b/libs/membership/include/membership/Membership.h
@@ -85,7 +85,7 @@
 void applyGossip(MembershipState &state, const std::vector<Member> &gossip, Instant now);
 
 /** A message from this VM itself was received. */
-void noteHeard(MembershipState &state, VmId vm, std::uint64_t incarnation, Instant now);
+void recordMessage(MembershipState &state, VmId vm, std::uint64_t incarnation, Instant now);
 
 /** The member answered a direct message of this VM, so it has received its content. */
 void recordExchange(MembershipState &state, VmId vm, Instant now);
--- a/libs/membership/src/Membership.cpp
+++ b/libs/membership/src/Membership.cpp
@@ -181,7 +181,7 @@
     }
 }
 
-void noteHeard(MembershipState &state, VmId vm, std::uint64_t incarnation, Instant now)
+void recordMessage(MembershipState &state, VmId vm, std::uint64_t incarnation, Instant now)
 {
     Known *known = findKnown(state, vm);
     if (known == nullptr)
@@ -216,7 +216,7 @@
     Known *known = findKnown(state, vm);
     if (known == nullptr || !answered)
         return;
-    noteHeard(state, vm, known->member.incarnation, now);
+    recordMessage(state, vm, known->member.incarnation, now);
 }
 
 std::vector<Probe> tick(MembershipState &state, Instant now)
--- a/libs/membership/tests/Detector.cpp
+++ b/libs/membership/tests/Detector.cpp
@@ -52,11 +52,11 @@
             return false;
         const std::vector<Member> gossip = nextGossip(this->vms[from]);
         applyGossip(this->vms[to], gossip, this->now);
-        noteHeard(this->vms[to], VmId{from + 1}, this->vms[from].self.incarnation, this->now);
+        recordMessage(this->vms[to], VmId{from + 1}, this->vms[from].self.incarnation, this->now);
         if (!this->reaches(to, from))
             return false;
         const std::vector<Member> answer = nextGossip(this->vms[to]);
-        noteHeard(this->vms[from], VmId{to + 1}, this->vms[to].self.incarnation, this->now);
+        recordMessage(this->vms[from], VmId{to + 1}, this->vms[to].self.incarnation, this->now);
         applyGossip(this->vms[from], answer, this->now);
         return true;
     }
--- a/libs/serving/include/serving/CapacityQueue.h
+++ b/libs/serving/include/serving/CapacityQueue.h
@@ -92,7 +92,7 @@
 struct ServiceCapacity
 {
     int loads = 0; ///< loads that can start now
-    bool unknownLater = false; ///< some engine may get capacity at any moment
+    bool mayFreeAnytime = false; ///< some engine may get capacity at any moment
     std::vector<Instant> expectedAt; ///< when the other engines can start a load, by their
                                      ///< lease holders' estimates
 
--- a/libs/serving/include/serving/PrefixIndex.h
+++ b/libs/serving/include/serving/PrefixIndex.h
@@ -36,7 +36,7 @@
     int tokens = 0; ///< 0: assumed not to be cached
     Instant readAt{}; ///< when it was last known to be read
     Instant reportedAt{}; ///< when it was last sent to or received from other VMs; zero: never
-    Instant doubtedUntil{}; ///< set by a cache miss
+    Instant distrustedUntil{}; ///< set by a cache miss
 
     auto operator<=>(const CachedPrefix &) const = default;
 };
--- a/libs/serving/include/serving/TargetTable.h
+++ b/libs/serving/include/serving/TargetTable.h
@@ -12,7 +12,7 @@
 struct TargetRecord
 {
     TargetEntry entry;
-    bool gone = false; ///< its entry was removed while the list could be read
+    bool removed = false; ///< its entry was removed while the list could be read
     Instant expiredAt{}; ///< when the entry was found missing after an outage of the store; zero:
                          ///< it is there
 
@@ -23,7 +23,7 @@
 struct TargetTable
 {
     std::unordered_map<std::string, TargetRecord> records;
-    std::unordered_map<std::string, Instant> droppedAt; ///< recently removed targets
+    std::unordered_map<std::string, Instant> removedAt; ///< recently removed targets
     Instant lastReadAt{}; ///< last read of the list by any VM; zero: never
     Instant lastOwnReadAt{}; ///< last read by this VM
     Instant failingSince{}; ///< reads have failed since then; zero: the last one succeeded
@@ -76,10 +76,10 @@
                     const std::vector<std::string> &unreadable, Instant now);
 
 /** Removes targets that are gone for good and returns their ids. */
-std::vector<std::string> dropGone(TargetTable &table, Instant now);
+std::vector<std::string> removeGone(TargetTable &table, Instant now);
 
 /** True if the target was removed within the last minute and has not been listed since. */
-bool wasDropped(const TargetTable &table, const std::string &id);
+bool wasRemoved(const TargetTable &table, const std::string &id);
 
 /** True if new work may be sent to this target. */
 bool mayTakeWork(const TargetRecord &record) noexcept;
--- a/libs/serving/include/serving/UsageLedger.h
+++ b/libs/serving/include/serving/UsageLedger.h
@@ -46,6 +46,6 @@
 WorkspaceUses workspacesExcept(const UsageLedger &ledger, const std::string &reporter);
 
 /** Number of VMs that the reports cover. */
-int vmsReported(const UsageLedger &ledger) noexcept;
+int reportedVms(const UsageLedger &ledger) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/src/CapacityQueue.cpp
+++ b/libs/serving/src/CapacityQueue.cpp
@@ -142,7 +142,7 @@
 Instant loadStartTime(const ServiceCapacity &capacity, std::size_t ahead, Duration loadTime,
                       Instant now)
 {
-    if (capacity.unknownLater || capacity.expectedAt.empty()
+    if (capacity.mayFreeAnytime || capacity.expectedAt.empty()
         || ahead < static_cast<std::size_t>(capacity.loads))
         return now;
     std::vector<Instant> startTimes = capacity.expectedAt;
--- a/libs/serving/src/PrefixIndex.cpp
+++ b/libs/serving/src/PrefixIndex.cpp
@@ -113,7 +113,7 @@
         return toReport;
     for (const PromptPrefix &prefix : prefixes) {
         CachedPrefix &cached = findOrAddPrefix(index, *enginePrefixes, prefix.hash);
-        if (now < cached.doubtedUntil)
+        if (now < cached.distrustedUntil)
             continue;
         markCached(*enginePrefixes, cached, prefix.tokens, now);
         const bool isReportable =
@@ -134,7 +134,7 @@
         return false;
     CachedPrefix &cached = findOrAddPrefix(index, *enginePrefixes, prefix.hash);
     const bool toReport = isReportDue(cached, now);
-    if (now >= cached.doubtedUntil)
+    if (now >= cached.distrustedUntil)
         markCached(*enginePrefixes, cached, prefix.tokens, now);
     return toReport;
 }
@@ -152,7 +152,7 @@
             continue;
         enginePrefixes.tokens -= cached->second.tokens;
         cached->second.tokens = 0;
-        cached->second.doubtedUntil = now + missingPrefixHold;
+        cached->second.distrustedUntil = now + missingPrefixHold;
     }
 }
 
--- a/libs/serving/src/TargetTable.cpp
+++ b/libs/serving/src/TargetTable.cpp
@@ -75,9 +75,9 @@
     record.entry = std::move(entry);
     record.entry.startTime = startTime;
     record.entry.leaving = leaving;
-    record.gone = false;
+    record.removed = false;
     record.expiredAt = Instant{};
-    table.droppedAt.erase(record.entry.id);
+    table.removedAt.erase(record.entry.id);
 }
 
 // While the list could not be read, targets could not renew their entries either, and these may
@@ -99,7 +99,7 @@
             record.expiredAt = now;
         return;
     }
-    record.gone = true;
+    record.removed = true;
 }
 
 void recordFullList(TargetTable &table, std::vector<TargetEntry> entries,
@@ -116,7 +116,7 @@
     }
 }
 
-std::vector<std::string> dropGone(TargetTable &table, Instant now)
+std::vector<std::string> removeGone(TargetTable &table, Instant now)
 {
     std::vector<std::string> dropped;
     for (const auto &[id, record] : table.records) {
@@ -125,26 +125,26 @@
         const bool afterOutage = record.expiredAt - table.outageEndedAt < relistGrace;
         const Instant countsFrom = afterOutage ? table.outageEndedAt : record.expiredAt;
         const bool expired = record.expiredAt != Instant{} && now - countsFrom >= relistGrace;
-        if (record.gone || expired)
+        if (record.removed || expired)
             dropped.push_back(id);
     }
     for (const std::string &id : dropped) {
         table.records.erase(id);
-        table.droppedAt[id] = now;
+        table.removedAt[id] = now;
     }
-    std::erase_if(table.droppedAt,
+    std::erase_if(table.removedAt,
                   [now](const auto &entry) { return now - entry.second > droppedRetention; });
     return dropped;
 }
 
-bool wasDropped(const TargetTable &table, const std::string &id)
+bool wasRemoved(const TargetTable &table, const std::string &id)
 {
-    return table.droppedAt.count(id) > 0;
+    return table.removedAt.count(id) > 0;
 }
 
 bool mayTakeWork(const TargetRecord &record) noexcept
 {
-    return !record.entry.leaving && !record.gone;
+    return !record.entry.leaving && !record.removed;
 }
 
 } // namespace monsoonbay
--- a/libs/serving/src/UsageLedger.cpp
+++ b/libs/serving/src/UsageLedger.cpp
@@ -55,7 +55,7 @@
     return sumExcept(ledger, reporter, &UsageLedger::workspaceTotal, &ReporterUsage::workspaces);
 }
 
-int vmsReported(const UsageLedger &ledger) noexcept
+int reportedVms(const UsageLedger &ledger) noexcept
 {
     int vms = 0;
     for (const auto &[reporter, report] : ledger.reports)
--- a/libs/serving/tests/CapacityQueues.cpp
+++ b/libs/serving/tests/CapacityQueues.cpp
@@ -125,9 +125,9 @@
     cr_assert(expectedCapacityWait(none, call, capacity, 100ms, start) == Duration::zero());
     capacity.expectedAt = {start + 500ms, start + 400ms};
     cr_assert(expectedCapacityWait(none, call, capacity, 100ms, start) == Duration(400ms));
-    capacity.unknownLater = true;
+    capacity.mayFreeAnytime = true;
     cr_assert(expectedCapacityWait(none, call, capacity, 100ms, start) == Duration::zero());
-    capacity.unknownLater = false;
+    capacity.mayFreeAnytime = false;
     CapacityQueue queue;
     for (std::uint64_t id = 2; id < 5; ++id)
         enqueueCall(queue, callOf(id, 0, start - 1ms, 300ms), start);
@@ -184,7 +184,7 @@
             return;
         }
         ServiceCapacity capacity;
-        capacity.unknownLater = true;
+        capacity.mayFreeAnytime = true;
         const bool late =
             expectedCapacityWait(this->queue, call, capacity, 300ms, this->now) > 350ms;
         mine.refusedAtOnce += late ? 1 : 0;
--- a/libs/serving/tests/Prefixes.cpp
+++ b/libs/serving/tests/Prefixes.cpp
@@ -24,7 +24,7 @@
     bool note(std::uint64_t engine, const PromptPrefix &prefix, bool own, Instant now)
     {
         CachedPrefix &cached = this->rows[{engine, prefix.hash}];
-        const bool distrusted = now < cached.doubtedUntil;
+        const bool distrusted = now < cached.distrustedUntil;
         if (!distrusted) {
             cached.tokens = prefix.tokens;
             cached.readAt = now;
@@ -111,7 +111,7 @@
                     if (row == reference.rows.end())
                         continue;
                     row->second.tokens = 0;
-                    row->second.doubtedUntil = now + missingPrefixHold;
+                    row->second.distrustedUntil = now + missingPrefixHold;
                 }
             } else if (kind == 4) {
                 const double tokens = *rc::gen::inRange(0, 8000);
--- a/libs/serving/tests/Relays.cpp
+++ b/libs/serving/tests/Relays.cpp
@@ -185,7 +185,7 @@
             RC_ASSERT((found == ledger.total.end() ? 0 : found->second.waitingTokens)
                       == sum.second);
         }
-        RC_ASSERT(vmsReported(ledger) == static_cast<int>(reference.size()));
+        RC_ASSERT(reportedVms(ledger) == static_cast<int>(reference.size()));
     });
     cr_assert(holds);
 }
--- a/libs/serving/tests/Targets.cpp
+++ b/libs/serving/tests/Targets.cpp
@@ -40,7 +40,7 @@
     recordListRead(table, start + 700ms);
     recordRemoved(table, "a", start + 700ms);
     cr_assert(!mayTakeWork(table.records.at("a")));
-    cr_assert_eq(dropGone(table, start + 700ms), std::vector<std::string>{"a"});
+    cr_assert_eq(removeGone(table, start + 700ms), std::vector<std::string>{"a"});
     cr_assert(mayTakeWork(table.records.at("b")));
 }
 
@@ -52,8 +52,8 @@
     recordListFailure(table, start + 1s);
     recordListRead(table, start + 5s);
     recordRemoved(table, "left", start + 7s);
-    cr_assert(dropGone(table, start + 7s).empty());
-    cr_assert_eq(dropGone(table, start + 5s + relistGrace), std::vector<std::string>{"left"});
+    cr_assert(removeGone(table, start + 7s).empty());
+    cr_assert_eq(removeGone(table, start + 5s + relistGrace), std::vector<std::string>{"left"});
 }
 
 // Guards against calls to a target that has left, by a VM whose relay reads the list late.
@@ -80,12 +80,12 @@
     recordListRead(table, returned);
     recordRemoved(table, "back", returned);
     recordRemoved(table, "dead", returned);
-    cr_assert(dropGone(table, returned + 1s).empty());
+    cr_assert(removeGone(table, returned + 1s).empty());
     cr_assert(mayTakeWork(table.records.at("back")));
     recordListRead(table, returned + 1s);
     recordListed(table, entry("back"));
     recordListRead(table, returned + 2300ms);
-    cr_assert_eq(dropGone(table, returned + 2300ms), std::vector<std::string>{"dead"});
+    cr_assert_eq(removeGone(table, returned + 2300ms), std::vector<std::string>{"dead"});
     cr_assert_eq(table.records.count("back"), 1);
 }
 
@@ -110,7 +110,7 @@
     recordListFailure(table, start + 700ms);
     recordListRead(table, start + 5s);
     recordRemoved(table, "a", start + 5s);
-    cr_assert_eq(dropGone(table, start + 5s).size(), 1);
+    cr_assert_eq(removeGone(table, start + 5s).size(), 1);
 }
 
 // Guards against work for a target that left seconds ago: the VM that reads the list is killed
@@ -122,7 +122,7 @@
     recordPeerListRead(table, start + 1s, 0ms, start + 1s);
     recordListRead(table, start + 4s);
     recordRemoved(table, "a", start + 4s);
-    cr_assert_eq(dropGone(table, start + 4s).size(), 1);
+    cr_assert_eq(removeGone(table, start + 4s).size(), 1);
 }
 
 // The counterpart: the former reader had failed reads and reported them.
@@ -132,7 +132,7 @@
     recordPeerListRead(table, start, 3s, start + 3s);
     recordListRead(table, start + 4s);
     recordRemoved(table, "a", start + 4s);
-    cr_assert(dropGone(table, start + 4s).empty());
+    cr_assert(removeGone(table, start + 4s).empty());
 }
 
 // Guards against treating running engines as gone for seconds: entries expire while the store is
@@ -144,11 +144,11 @@
     TargetTable table = following({"a"});
     recordListFailure(table, start + 700ms);
     recordRemoved(table, "a", start + 8s);
-    cr_assert(dropGone(table, start + 8s).empty());
+    cr_assert(removeGone(table, start + 8s).empty());
     cr_assert(mayTakeWork(table.records.at("a")));
     recordListRead(table, start + 8100ms);
-    cr_assert(dropGone(table, start + 9s).empty());
-    cr_assert_eq(dropGone(table, start + 10400ms).size(), 1);
+    cr_assert(removeGone(table, start + 9s).empty());
+    cr_assert_eq(removeGone(table, start + 10400ms).size(), 1);
 }
 
 // As above, but a zone peer that does not read the list itself reports its state while the relay's
@@ -160,7 +160,7 @@
     recordPeerListRead(table, start, 0ms, start + 4s);
     recordListRead(table, start + 5s);
     recordRemoved(table, "a", start + 5s);
-    cr_assert(dropGone(table, start + 5s).empty());
+    cr_assert(removeGone(table, start + 5s).empty());
 }
 
 Test(targets, a_whole_list_removes_what_it_lacks)
@@ -168,7 +168,7 @@
     TargetTable table = following({"a", "b"});
     recordListRead(table, start + 100ms);
     recordFullList(table, {entry("b"), entry("c")}, {}, start + 100ms);
-    cr_assert_eq(dropGone(table, start + 100ms), std::vector<std::string>{"a"});
+    cr_assert_eq(removeGone(table, start + 100ms), std::vector<std::string>{"a"});
     cr_assert_eq(table.records.size(), 2);
 }
 
@@ -179,7 +179,7 @@
     TargetTable table = following({"a", "b"});
     recordListRead(table, start + 100ms);
     recordFullList(table, {entry("b")}, {"a", "stranger"}, start + 100ms);
-    cr_assert(dropGone(table, start + 100ms).empty());
+    cr_assert(removeGone(table, start + 100ms).empty());
     cr_assert(mayTakeWork(table.records.at("a")));
     cr_assert_eq(table.records.count("stranger"), 0);
 }
--- a/libs/transport/src/HttpClient.cpp
+++ b/libs/transport/src/HttpClient.cpp
@@ -49,7 +49,7 @@
         : context(context)
     { }
 
-    std::optional<tcp::socket> takeIdle(const Endpoint &endpoint)
+    std::optional<tcp::socket> acquireIdle(const Endpoint &endpoint)
     {
         const std::lock_guard guard(this->mutex);
         std::deque<tcp::socket> &sockets = this->idle[endpoint];
@@ -142,7 +142,7 @@
     stream->timer.emplace(co_await asio::this_coro::executor);
     this->waitAtMost(timeout);
 
-    std::optional<tcp::socket> idle = stream->client->takeIdle(stream->endpoint);
+    std::optional<tcp::socket> idle = stream->client->acquireIdle(stream->endpoint);
     if (idle) {
         stream->socket = std::move(*idle);
     } else {
--- a/tools/capacity/src/Main.cpp
+++ b/tools/capacity/src/Main.cpp
@@ -273,7 +273,7 @@
         points.push_back({static_cast<double>(members), microsecondsOf(500, [&](int) {
                               now += std::chrono::milliseconds(50);
                               for (const Probe &probe : tick(state, now))
-                                  noteHeard(state, probe.to, 1, now);
+                                  recordMessage(state, probe.to, 1, now);
                               nextGossip(state);
                           })});
     }
