--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -260,7 +260,7 @@
     Endpoint relay;
     Instant at{}; ///< zero: no relay answers
     TargetUsages others; ///< of all VMs except those that this VM reports for
-    int vms = 1; ///< known lately, in all zones
+    int vms = 1; ///< seen recently, in all zones
     int linkedZonePeers = 0; ///< other VMs of the zone that reach engines
     WorkspaceUses otherWorkspaces; ///< of all reachable VMs except those that this one reports for
     int reachableVms = 1; ///< reachable VMs, including this one and those it reports for
@@ -378,7 +378,7 @@
 
     Signal started; ///< the first configuration, or the first target list, has arrived
     Signal engineChanged; ///< resident adapters or loads of engines changed
-    Signal callStartedWaiting; ///< a call has begun to wait for capacity
+    Signal callStartedWaiting; ///< a call has started to wait for capacity
     Signal reportDue; ///< a change should reach the relay before the next regular report
     bool storeUp = false;
     Instant storeFailedAt{}; ///< latest failed read since the store last answered; zero: none
@@ -431,7 +431,7 @@
 /** Targets of a service that may get work, including those that refuse calls of this VM now. */
 std::vector<const TargetRecord *> targetsOf(const GatewayNode &node, const std::string &service);
 
-/** Usage of one target by calls of all VMs, not split by adapter, and how calls ended lately. */
+/** Usage of one target by calls of all VMs, not split by adapter, and how calls ended recently. */
 TargetUsage totalLoad(const GatewayNode &node, const std::string &target);
 
 /** The same for the calls of all other VMs. */
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -166,7 +166,8 @@
     }
     if (!zonePeer)
         return report;
-    // If the peer has rebooted since the last exchange, everything is sent again.
+    // The peer's boot is only known from its messages. If it has changed since the last exchange,
+    // everything is sent again.
     const std::uint64_t lastSent = peer.sentBoot == peer.boot ? peer.sentChange : 0;
     const auto isOurs = [&](const std::string &target, const EngineRecord &record) {
         return record.holder == node.settings.peers || node.reportedEngines.count(target) > 0;
@@ -321,8 +322,8 @@
     peer.stopping = report.stopping();
     // These have to be read from reports, too: a relay sends no requests to zone peers that report
     // to it. Otherwise it treated all zone peers that it had asked during their start as starting
-    // for ever, and let only one of 21 VMs hold engines beside itself. When another VM became the
-    // relay, three more joined, and no engine got commands for 3 to 6 s.
+    // permanently, and let only one of 21 VMs hold engines beside itself. When another VM became
+    // the relay, three more joined, and no engine got commands for 3 to 6 s.
     peer.starting = report.starting();
     peer.storeUnreachable = report.store_away();
     peer.leaseHolder = report.holding();
--- a/libs/gateway/src/UsageReports.cpp
+++ b/libs/gateway/src/UsageReports.cpp
@@ -49,7 +49,7 @@
         const auto engine = node.heldEngines.find(target);
         if (engine != node.heldEngines.end())
             engine->second->changed.notifyAll();
-        // Includes a lease holder that did not answer lately: it may still reuse slots.
+        // Includes a lease holder that did not answer recently: it may still reuse slots.
         const EngineRecord *record = node.shared.engines.find(target);
         if (record == nullptr || !record->holderLive || record->holder == node.settings.peers)
             continue;
--- a/libs/gateway/src/ZonePeers.h
+++ b/libs/gateway/src/ZonePeers.h
@@ -26,7 +26,7 @@
 /** Number of other VMs of the own zone that are known. */
 int countZonePeers(const GatewayNode &node);
 
-/** True if it has not failed to answer lately and is not stopping. */
+/** True if it has not failed to answer recently and is not stopping. */
 bool isReachable(const PeerState &peer, Instant now);
 
 RelayRank rankOf(const PeerState &peer);
--- a/libs/gateway/tests/ConfigDownloads.cpp
+++ b/libs/gateway/tests/ConfigDownloads.cpp
@@ -209,7 +209,7 @@
     cr_assert_eq(versionOf(second), 1);
 }
 
-// Guards against a reader that is redirected for ever, or stuck at a zone peer that sends nothing.
+// Guards against a reader that is redirected endlessly, or stuck at a zone peer that sends nothing.
 Test(config_reading, a_reader_that_is_sent_on_comes_back_if_it_gets_nothing)
 {
     GatewayNode relay(settingsOf("relay"));
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -135,9 +135,9 @@
     cr_assert_eq(totalLoad(node, "t").runs, 0);
 }
 
-// Guards against a zone peer that counts as starting for ever and never becomes a lease holder. The
-// relay asked it while it was starting, and did not ask it again once it sent reports, which did
-// not say that it had started. So two of 21 VMs held all engines of the zone; when three more
+// Guards against a zone peer that counts as starting permanently and never becomes a lease holder.
+// The relay asked it while it was starting, and did not ask it again once it sent reports, which
+// did not say that it had started. So two of 21 VMs held all engines of the zone; when three more
 // joined in the third second of a run, no engine got commands for 3 to 6 s.
 Test(peers, a_mate_that_has_started_may_hold)
 {
@@ -184,8 +184,8 @@
 
 // Guards against a VM that starts in a large deployment and never gets any state from its relay.
 // The answer with the full state grew with the deployment: at 12,000 engines and 840 VMs it has 3.3
-// MB, but 10 Mbit/s carry 625 KB in the 0.5 s of an exchange. So it was cut off and sent again for
-// ever.
+// MB, but 10 Mbit/s carry 625 KB in the 0.5 s of an exchange. So it was cut off and sent
+// again and again.
 Test(peers, an_answer_fits_the_time_of_an_exchange_at_full_size)
 {
     constexpr std::size_t carried = 10 * 1000 * 1000 / 8 / 2;
@@ -244,8 +244,8 @@
     cr_assert(!exchangeOnce(asker, *relay, ++sequence), "nothing is sent twice");
 }
 
-// Guards against a VM that keeps outdated targets for ever, because its relay ends while it sends
-// the full state and the next one sends it from the beginning.
+// Guards against a VM that keeps outdated targets permanently, because its relay ends while it
+// sends the full state and the next one sends it from the beginning.
 Test(peers, news_in_pieces_begin_anew_with_another_boot)
 {
     const auto relay = relayAtFullSize();
