--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -282,7 +282,7 @@
 {
     v1::WordRequest request;
     encodeSelf(node, *request.mutable_from());
-    const Instant askedAt = BootClock::now();
+    const Instant requestedAt = BootClock::now();
     const auto confirmation = co_await node.peerLinks.askLeaseConfirmation(
         endpoint, std::move(request), confirmationTimeout);
     const auto found = node.peers.find(endpoint);
@@ -292,8 +292,8 @@
     peer.lastHeardAt = BootClock::now();
     peer.leftLeaseGroup = confirmation->left();
     // It is valid from the time of the request, as the answer may have been in transit for long.
-    peer.leaseConfirmation.askedAt = askedAt;
-    peer.leaseConfirmation.confirmation = {askedAt, confirmation->generation(),
+    peer.leaseConfirmation.askedAt = requestedAt;
+    peer.leaseConfirmation.confirmation = {requestedAt, confirmation->generation(),
                                            !confirmation->may_hold()};
 }
 
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -44,7 +44,7 @@
 }
 
 /** Usage by this VM's calls in flight, and the busy slots of the engines that it holds. */
-TargetUsages ownUses(GatewayNode &node)
+TargetUsages ownUsages(GatewayNode &node)
 {
     TargetUsages uses;
     const Instant now = BootClock::now();
@@ -60,9 +60,9 @@
 }
 
 /** The total usage of this VM and of the zone peers that report to it. */
-TargetUsages zoneUses(GatewayNode &node)
+TargetUsages zoneUsages(GatewayNode &node)
 {
-    TargetUsages uses = ownUses(node);
+    TargetUsages uses = ownUsages(node);
     for (const auto &[reporter, report] : node.reported.reports) {
         if (!reporter.starts_with(zoneReporter))
             addUsages(uses, report.targets);
@@ -121,7 +121,7 @@
 
 } // namespace
 
-std::shared_ptr<v1::Report> buildReport(GatewayNode &node, const PeerState &peer, bool withUse)
+std::shared_ptr<v1::Report> buildReport(GatewayNode &node, const PeerState &peer, bool withUsage)
 {
     auto report = std::make_shared<v1::Report>();
     encodeSelf(node, *report->mutable_from());
@@ -139,7 +139,7 @@
         report->set_store_reached_ago_ms(sinceMs(node.storeReachedAt));
     for (const std::string &target : peer.missingEngines)
         report->add_engines_wanted(target);
-    if (!withUse)
+    if (!withUsage)
         return report;
     const bool zonePeer = peer.zone == node.settings.zone;
     const Instant now = BootClock::now();
@@ -150,7 +150,7 @@
     // with each report.
     const bool wholeZone = !zonePeer && !peer.zone.empty();
     report->set_vms(static_cast<std::uint32_t>(wholeZone ? zoneVms(node) : ownVms(node)));
-    for (const auto &[target, use] : wholeZone ? zoneUses(node) : ownUses(node))
+    for (const auto &[target, use] : wholeZone ? zoneUsages(node) : ownUsages(node))
         encodeUse(target, use, *report->add_uses());
     for (const auto &[workspace, use] :
          wholeZone ? zoneWorkspaceUses(node, now) : ownWorkspaceUses(node, now))
@@ -214,7 +214,7 @@
     digest.set_carries_use(true);
     TargetUsages others = usagesExcept(node.reported, asker.endpoint.text());
     addUsages(others, node.relayState.others);
-    addUsages(others, ownUses(node));
+    addUsages(others, ownUsages(node));
     for (const auto &[target, use] : others)
         encodeUse(target, use, *digest.add_others());
     digest.set_vms(static_cast<std::uint32_t>(liveGateways(node)));
@@ -426,14 +426,14 @@
     node.relayState.otherWorkspaces = decodeWorkspaceUses(digest.other_workspaces(), digest.from());
 }
 
-asio::awaitable<bool> exchangeWith(GatewayNode &node, Endpoint endpoint, bool withUse,
+asio::awaitable<bool> exchangeWith(GatewayNode &node, Endpoint endpoint, bool withUsage,
                                    bool upstream)
 {
     PeerState &peer = node.peers.at(endpoint);
     peer.exchangeRunning = true;
     const std::uint64_t lastChange = node.shared.counter.last;
     const std::uint64_t lastPrefix = node.prefixes.log.last;
-    const std::shared_ptr<const v1::Report> report = buildReport(node, peer, withUse);
+    const std::shared_ptr<const v1::Report> report = buildReport(node, peer, withUsage);
     countSent(node, peer.zone, bytesOf(*report));
     const Instant sentAt = BootClock::now();
     const auto digest = co_await node.peerLinks.exchange(endpoint, report, reportTimeout);
@@ -458,7 +458,7 @@
     applyDigest(node, endpoint, *digest, upstream);
     applyConfirmation(node, *digest, sentAt);
     applyUsageUpdates(node, *digest, upstream, sentAt);
-    if (withUse && bootBefore == digest->from().boot()) {
+    if (withUsage && bootBefore == digest->from().boot()) {
         answered.sentBoot = bootBefore;
         answered.sentChange = lastChange;
         answered.sentPrefix = lastPrefix;
--- a/libs/gateway/src/PeerExchange.h
+++ b/libs/gateway/src/PeerExchange.h
@@ -10,11 +10,11 @@
 void addPeer(GatewayNode &node, const Endpoint &endpoint, const SharedVm &fact);
 
 /**
- * Builds this VM's report to a peer. `withUse` adds usage of targets and limits: for a zone peer,
+ * Builds this VM's report to a peer. `withUsage` adds usage of targets and limits: for a zone peer,
  * that of this VM; for a VM of another zone, also that of the zone peers that report to this VM.
  */
 std::shared_ptr<gateway::v1::Report> buildReport(GatewayNode &node, const PeerState &peer,
-                                                 bool withUse);
+                                                 bool withUsage);
 
 /** Applies a peer's report and answers it with the changes that the peer has not received yet. */
 gateway::v1::Digest answerReport(GatewayNode &node, const gateway::v1::Report &report);
@@ -24,7 +24,7 @@
                  bool upstream);
 
 /** Sends a report to a known peer and applies the answer. True if it was answered. */
-asio::awaitable<bool> exchangeWith(GatewayNode &node, Endpoint endpoint, bool withUse,
+asio::awaitable<bool> exchangeWith(GatewayNode &node, Endpoint endpoint, bool withUsage,
                                    bool upstream);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -79,9 +79,9 @@
 }
 
 /** An exchange other than the regular ones with this VM's relay. */
-asio::awaitable<void> extraExchange(GatewayNode &node, Endpoint endpoint, bool withUse)
+asio::awaitable<void> extraExchange(GatewayNode &node, Endpoint endpoint, bool withUsage)
 {
-    const bool answered = co_await exchangeWith(node, endpoint, withUse, false);
+    const bool answered = co_await exchangeWith(node, endpoint, withUsage, false);
     static_cast<void>(answered); // recorded in the peer's state
 }
 
@@ -101,13 +101,13 @@
         lastReport = std::max(lastReport, report.at);
     const Instant allReportedAt =
         node.fleet.seenAt == Instant{} ? node.bootedAt : node.fleet.seenAt;
-    UpdateAgeInputs facts;
-    facts.regular = loadReportAge(node);
-    facts.sinceLastUpdate = lastReport == Instant{} ? Duration::zero() : now - lastReport;
-    facts.sinceAllReported = now - allReportedAt;
-    facts.vmsReporting = reachableVms(node, now);
-    facts.knownVms = knownVms(node, now);
-    return updateAge(facts);
+    UpdateAgeInputs inputs;
+    inputs.regular = loadReportAge(node);
+    inputs.sinceLastUpdate = lastReport == Instant{} ? Duration::zero() : now - lastReport;
+    inputs.sinceAllReported = now - allReportedAt;
+    inputs.vmsReporting = reachableVms(node, now);
+    inputs.knownVms = knownVms(node, now);
+    return updateAge(inputs);
 }
 
 namespace {
@@ -133,14 +133,14 @@
         const ZonePeers zone = zonePeersOf(node, node.settings.zone);
         const RelayRank self = ownRank(node);
         setRelaying(node, isRelay(self, isStarting(node), zone.mates));
-        const auto upstream = chooseUpstream(self, isStarting(node), zone.mates);
-        if (!upstream) {
+        const auto relayIndex = chooseUpstream(self, isStarting(node), zone.mates);
+        if (!relayIndex) {
             node.relayState = RelayState();
             const bool listSettled =
                 !node.settings.firstStart || now - node.bootedAt > 2 * listWait;
             node.mayHoldLease = node.mayHoldLease || listSettled;
-        } else if (!zone.peers[*upstream]->exchangeRunning) {
-            const Endpoint endpoint = zone.peers[*upstream]->endpoint;
+        } else if (!zone.peers[*relayIndex]->exchangeRunning) {
+            const Endpoint endpoint = zone.peers[*relayIndex]->endpoint;
             // A relay that gets state from another VM while it starts does not report usage to it:
             // each would count the other's calls as its own.
             const bool answered =
@@ -162,9 +162,9 @@
 const PeerState *relayOfZone(GatewayNode &node, const std::string &name)
 {
     const Instant now = BootClock::now();
-    const auto named = node.zoneRelays.find(name);
-    if (named != node.zoneRelays.end()) {
-        const auto peer = node.peers.find(named->second);
+    const auto knownRelay = node.zoneRelays.find(name);
+    if (knownRelay != node.zoneRelays.end()) {
+        const auto peer = node.peers.find(knownRelay->second);
         if (peer != node.peers.end() && isReachable(peer->second, now))
             return &peer->second;
     }
--- a/libs/gateway/src/UsageSnapshots.cpp
+++ b/libs/gateway/src/UsageSnapshots.cpp
@@ -96,7 +96,7 @@
     return names;
 }
 
-void logCounted(const GatewayNode &node, const char *source)
+void logCountedUsage(const GatewayNode &node, const char *source)
 {
     std::size_t named = 0;
     for (const UsageSnapshot &snapshot : node.spend.atStart.zones)
@@ -155,7 +155,7 @@
         return;
     node.spend.atStart = {true, now, std::move(snapshots)};
     if (!node.spend.atStart.zones.empty())
-        logCounted(node, "store");
+        logCountedUsage(node, "store");
 }
 
 void fillUnitsByAge(GatewayNode &node, bool wholeZone, v1::Report &report)
@@ -237,7 +237,7 @@
     const StartupSnapshots before = node.spend.atStart;
     adoptSnapshots(node.spend.atStart, received, node.settings.quota, now);
     if (node.spend.atStart != before)
-        logCounted(node, "another VM");
+        logCountedUsage(node, "another VM");
 }
 
 } // namespace
