--- a/libs/transport/include/transport/HttpClient.h
+++ b/libs/transport/include/transport/HttpClient.h
@@ -26,8 +26,8 @@
 /** How long a call whose answer may be long is waited for. */
 struct HttpPatience
 {
-    Duration head{}; ///< until the head of the answer
-    Duration silence{}; ///< after that, between two of its pieces
+    Duration header{}; ///< until the head of the answer
+    Duration idle{}; ///< after that, between two of its pieces
 
     auto operator<=>(const HttpPatience &) const = default;
 };
@@ -61,7 +61,7 @@
     asio::awaitable<HttpResult> call(Endpoint endpoint, HttpCall call, Duration timeout);
 
     /** A whole call that may go on for as long as bytes of its answer come. */
-    asio::awaitable<HttpResult> call(Endpoint endpoint, HttpCall call, HttpPatience patience);
+    asio::awaitable<HttpResult> call(Endpoint endpoint, HttpCall call, HttpPatience timeouts);
 
     struct Impl;
 
@@ -87,7 +87,7 @@
     asio::awaitable<HttpResult> begin(HttpCall call, Duration timeout);
 
     /** From now on everything is cancelled after `timeout`, whatever was said before. */
-    void waitAtMost(Duration timeout);
+    void resetTimeout(Duration timeout);
 
     /** Reads some of the body into `piece`; an empty piece without error is the end. */
     asio::awaitable<std::error_code> read(std::string &piece);
--- a/libs/transport/include/transport/HttpServer.h
+++ b/libs/transport/include/transport/HttpServer.h
@@ -64,7 +64,7 @@
 private:
     boost::beast::tcp_stream &stream;
     HttpRequest received;
-    bool begunAnswer = false;
+    bool responseStarted = false;
     bool aborted = false;
 };
 
--- a/libs/transport/include/transport/OpenCalls.h
+++ b/libs/transport/include/transport/OpenCalls.h
@@ -20,10 +20,10 @@
     std::uint64_t add(std::function<void()> end)
     {
         std::unique_lock guard(this->mutex);
-        const std::uint64_t call = ++this->last;
+        const std::uint64_t call = ++this->lastId;
         ++this->open;
-        if (!this->closed) {
-            this->ends[call] = std::move(end);
+        if (!this->allEnded) {
+            this->endHandlers[call] = std::move(end);
             return call;
         }
         // A server takes calls until its shutdown takes effect, and waits for each of them.
@@ -36,7 +36,7 @@
     bool take(std::uint64_t call)
     {
         const std::lock_guard guard(this->mutex);
-        return this->ends.erase(call) > 0;
+        return this->endHandlers.erase(call) > 0;
     }
 
     /** The call is over; nothing of it runs any more. */
@@ -50,13 +50,13 @@
     /** Ends all that are open, and each that comes from now on. */
     void endAll()
     {
-        std::map<std::uint64_t, std::function<void()>> taken;
+        std::map<std::uint64_t, std::function<void()>> toEnd;
         {
             const std::lock_guard guard(this->mutex);
-            this->closed = true;
-            taken.swap(this->ends);
+            this->allEnded = true;
+            toEnd.swap(this->endHandlers);
         }
-        for (const auto &[call, end] : taken)
+        for (const auto &[call, end] : toEnd)
             end();
     }
 
@@ -70,10 +70,10 @@
 private:
     std::mutex mutex;
     std::condition_variable changed;
-    std::map<std::uint64_t, std::function<void()>> ends;
-    std::uint64_t last = 0;
+    std::map<std::uint64_t, std::function<void()>> endHandlers;
+    std::uint64_t lastId = 0;
     int open = 0;
-    bool closed = false; ///< nobody is left to end what comes
+    bool allEnded = false; ///< nobody is left to end what comes
 };
 
 } // namespace monsoonbay
--- a/libs/transport/src/HttpClient.cpp
+++ b/libs/transport/src/HttpClient.cpp
@@ -30,7 +30,7 @@
 
 constexpr auto nothrowAwaitable = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t maxIdlePerEndpoint = 512;
-constexpr std::uint64_t maxAnswerBytes = 256ULL * 1024 * 1024;
+constexpr std::uint64_t maxResponseBytes = 256ULL * 1024 * 1024;
 
 // A connection that the other side closed while it was idle looks fine until the answer fails to
 // come, and by then the request may have run. Peeking first keeps such a request "not sent".
@@ -62,7 +62,7 @@
         return std::nullopt;
     }
 
-    void giveBack(const Endpoint &endpoint, tcp::socket socket)
+    void putIdle(const Endpoint &endpoint, tcp::socket socket)
     {
         const std::lock_guard guard(this->mutex);
         std::deque<tcp::socket> &sockets = this->idle[endpoint];
@@ -111,7 +111,7 @@
     const bool reusable = stream.connected && !stream.cancelled && stream.parser.is_done()
         && stream.parser.get().keep_alive() && stream.buffer.size() == 0;
     if (reusable)
-        stream.client->giveBack(stream.endpoint, std::move(stream.socket));
+        stream.client->putIdle(stream.endpoint, std::move(stream.socket));
 }
 
 void HttpClientStream::cancel()
@@ -121,17 +121,17 @@
     this->impl->socket.close(ignored);
 }
 
-void HttpClientStream::waitAtMost(Duration timeout)
+void HttpClientStream::resetTimeout(Duration timeout)
 {
     this->impl->timer->expires_after(timeout);
     this->impl->timer->async_wait(
         [weak = std::weak_ptr<Impl>(this->impl)](boost::system::error_code error) {
-            const std::shared_ptr<Impl> late = weak.lock();
-            if (error || !late)
+            const std::shared_ptr<Impl> stream = weak.lock();
+            if (error || !stream)
                 return;
-            late->cancelled = true;
+            stream->cancelled = true;
             boost::system::error_code ignored;
-            late->socket.close(ignored);
+            stream->socket.close(ignored);
         });
 }
 
@@ -140,7 +140,7 @@
     const std::shared_ptr<Impl> stream = this->impl;
     HttpResult result;
     stream->timer.emplace(co_await asio::this_coro::executor);
-    this->waitAtMost(timeout);
+    this->resetTimeout(timeout);
 
     std::optional<tcp::socket> idle = stream->client->takeIdle(stream->endpoint);
     if (idle) {
@@ -176,7 +176,7 @@
         result.error = writeError;
         co_return result;
     }
-    stream->parser.body_limit(maxAnswerBytes);
+    stream->parser.body_limit(maxResponseBytes);
     auto [readError, read] = co_await http::async_read_header(stream->socket, stream->buffer,
                                                               stream->parser, nothrowAwaitable);
     if (readError) {
@@ -193,14 +193,14 @@
 {
     const std::shared_ptr<Impl> stream = this->impl;
     piece.clear();
-    std::array<char, 16384> space{};
+    std::array<char, 16384> readBuffer{};
     while (!stream->parser.is_done()) {
         auto &body = stream->parser.get().body();
-        body.data = space.data();
-        body.size = space.size();
+        body.data = readBuffer.data();
+        body.size = readBuffer.size();
         auto [error, bytes] = co_await http::async_read_some(stream->socket, stream->buffer,
                                                              stream->parser, nothrowAwaitable);
-        const std::size_t filled = space.size() - body.size;
+        const std::size_t filled = readBuffer.size() - body.size;
         const bool broken = error && error != http::error::need_buffer;
         if (broken) {
             stream->cancelled = true;
@@ -208,7 +208,7 @@
         }
         if (filled == 0)
             continue;
-        piece.assign(space.data(), filled);
+        piece.assign(readBuffer.data(), filled);
         co_return std::error_code();
     }
     co_return std::error_code();
@@ -216,13 +216,13 @@
 
 namespace {
 
-asio::awaitable<void> readBody(HttpClientStream &stream, std::optional<Duration> silence,
+asio::awaitable<void> readBody(HttpClientStream &stream, std::optional<Duration> idleTimeout,
                                HttpResult &result)
 {
     std::string piece;
     while (true) {
-        if (silence)
-            stream.waitAtMost(*silence);
+        if (idleTimeout)
+            stream.resetTimeout(*idleTimeout);
         result.error = co_await stream.read(piece);
         if (result.error || piece.empty())
             co_return;
@@ -244,12 +244,12 @@
 // A limit on the whole call cuts off a long answer on a slow link each time, however well it comes
 // along: a configuration of 4,250 routes (1 MB) was never read over 10 Mbit/s within 0.5 s.
 asio::awaitable<HttpResult> HttpClient::call(Endpoint endpoint, HttpCall call,
-                                             HttpPatience patience)
+                                             HttpPatience timeouts)
 {
     HttpClientStream stream(*this, std::move(endpoint));
-    HttpResult result = co_await stream.begin(std::move(call), patience.head);
+    HttpResult result = co_await stream.begin(std::move(call), timeouts.header);
     if (!result.error)
-        co_await readBody(stream, patience.silence, result);
+        co_await readBody(stream, timeouts.idle, result);
     co_return result;
 }
 
--- a/libs/transport/src/HttpServer.cpp
+++ b/libs/transport/src/HttpServer.cpp
@@ -68,17 +68,17 @@
 
 bool HttpExchange::begun() const noexcept
 {
-    return this->begunAnswer;
+    return this->responseStarted;
 }
 
 bool HttpExchange::keepAlive() const noexcept
 {
-    return !this->aborted && this->begunAnswer && this->received.keep_alive();
+    return !this->aborted && this->responseStarted && this->received.keep_alive();
 }
 
 asio::awaitable<std::error_code> HttpExchange::respond(HttpReply reply)
 {
-    this->begunAnswer = true;
+    this->responseStarted = true;
     http::response<http::string_body> response(static_cast<http::status>(reply.status),
                                                this->received.version());
     response.set(http::field::content_type, reply.contentType);
@@ -95,7 +95,7 @@
 
 asio::awaitable<std::error_code> HttpExchange::beginStream(int status, std::string contentType)
 {
-    this->begunAnswer = true;
+    this->responseStarted = true;
     http::response<http::empty_body> head(static_cast<http::status>(status),
                                           this->received.version());
     head.set(http::field::content_type, contentType);
@@ -133,7 +133,7 @@
 void HttpExchange::abort()
 {
     this->aborted = true;
-    this->begunAnswer = true;
+    this->responseStarted = true;
 }
 
 // The reactor may report a socket readable for bytes that were read long before. A blocking peek
@@ -148,8 +148,8 @@
             co_return;
         char byte = 0;
         const auto peeked = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        const bool nothingYet = peeked < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-        if (nothingYet)
+        const bool noDataYet = peeked < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+        if (noDataYet)
             continue;
         if (peeked <= 0)
             co_return;
@@ -163,7 +163,7 @@
 
 namespace {
 
-asio::awaitable<void> refuseUnreadable(beast::tcp_stream &stream, beast::error_code error)
+asio::awaitable<void> rejectMalformedRequest(beast::tcp_stream &stream, beast::error_code error)
 {
     const bool tooLarge = error == http::error::body_limit || error == http::error::header_limit;
     const bool closed = error == http::error::end_of_stream || error == beast::error::timeout
@@ -209,7 +209,7 @@
         auto [error, bytes] = co_await http::async_read(stream, buffer, parser, nothrowAwaitable);
         if (error) {
             stream.expires_after(state->limits.writeTimeout);
-            co_await refuseUnreadable(stream, error);
+            co_await rejectMalformedRequest(stream, error);
             break;
         }
         stream.expires_never();
--- a/libs/transport/src/PeerClient.cpp
+++ b/libs/transport/src/PeerClient.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr int maxMessageBytes = 64 * 1024 * 1024;
-constexpr int firstReconnectMs = 50;
-constexpr int longestReconnectMs = 500;
+constexpr int minReconnectMs = 50;
+constexpr int maxReconnectMs = 500;
 
 std::chrono::system_clock::time_point deadlineIn(Duration timeout)
 {
@@ -31,9 +31,9 @@
         this->context.set_deadline(deadlineIn(timeout));
     }
 
-    void begin(v1::EntryVm::Stub &stub, std::shared_ptr<RunReader> keep)
+    void begin(v1::EntryVm::Stub &stub, std::shared_ptr<RunReader> selfReference)
     {
-        this->self = std::move(keep);
+        this->self = std::move(selfReference);
         stub.async()->Run(&this->context, &this->request, this);
         this->AddHold();
         this->call = this->calls.add([this] { this->end(); });
@@ -54,7 +54,7 @@
     }
 
     /** The reader is needed no more; gRPC may end the call. */
-    void letGo()
+    void endIfOpen()
     {
         if (this->calls.take(this->call))
             this->end();
@@ -102,9 +102,9 @@
         if (!stub) {
             grpc::ChannelArguments arguments;
             arguments.SetMaxReceiveMessageSize(maxMessageBytes);
-            arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, firstReconnectMs);
-            arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, longestReconnectMs);
-            arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, firstReconnectMs);
+            arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, minReconnectMs);
+            arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, maxReconnectMs);
+            arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, minReconnectMs);
             // A proxy named in the environment must never stand between two entry VMs.
             arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
             arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
@@ -199,7 +199,7 @@
 {
     auto reader = std::make_shared<RunReader>(this->impl->calls, request, timeout);
     reader->begin(*this->impl->stubFor(peer), reader);
-    return std::shared_ptr<RemoteRun>(reader.get(), [reader](RemoteRun *) { reader->letGo(); });
+    return std::shared_ptr<RemoteRun>(reader.get(), [reader](RemoteRun *) { reader->endIfOpen(); });
 }
 
 void PeerClient::forget(const Endpoint &peer)
--- a/libs/transport/src/PeerServer.cpp
+++ b/libs/transport/src/PeerServer.cpp
@@ -99,9 +99,9 @@
         reactor->finish(grpc::Status::OK);
 }
 
-asio::awaitable<void> answerNews(const PeerHandlers &handlers, OpenCalls &calls, v1::PeerNews news,
-                                 v1::PeerNewsReply *reply, grpc::ServerUnaryReactor *reactor,
-                                 std::uint64_t call)
+asio::awaitable<void> serveTell(const PeerHandlers &handlers, OpenCalls &calls, v1::PeerNews news,
+                                v1::PeerNewsReply *reply, grpc::ServerUnaryReactor *reactor,
+                                std::uint64_t call)
 {
     v1::PeerNewsReply answer = co_await handlers.tell(std::move(news));
     // After a shutdown has ended the call, its reply is gone.
@@ -142,7 +142,7 @@
         const std::uint64_t call =
             this->calls.add([reactor] { reactor->Finish(grpc::Status::CANCELLED); });
         asio::co_spawn(asio::make_strand(this->context),
-                       answerNews(this->handlers, this->calls, *news, reply, reactor, call),
+                       serveTell(this->handlers, this->calls, *news, reply, reactor, call),
                        asio::detached);
         return reactor;
     }
