--- a/tools/monsoonbayctl/src/Client.cpp
+++ b/tools/monsoonbayctl/src/Client.cpp
@@ -4,20 +4,20 @@
 
 namespace {
 
-constexpr Duration patience = std::chrono::seconds(10);
+constexpr Duration callTimeout = std::chrono::seconds(10);
 
 } // namespace
 
-HttpResult callNow(const Endpoint &endpoint, const HttpCall &call)
+HttpResult sendCall(const Endpoint &endpoint, const HttpCall &call)
 {
-    return callBlocking(endpoint, call, patience);
+    return callBlocking(endpoint, call, callTimeout);
 }
 
-HttpResult getNow(const Endpoint &endpoint, const std::string &path)
+HttpResult sendGet(const Endpoint &endpoint, const std::string &path)
 {
     HttpCall call;
     call.path = path;
-    return callNow(endpoint, call);
+    return sendCall(endpoint, call);
 }
 
 } // namespace monsoonbay::ctl
--- a/tools/monsoonbayctl/src/Client.h
+++ b/tools/monsoonbayctl/src/Client.h
@@ -7,9 +7,9 @@
 namespace monsoonbay::ctl {
 
 /** One call, to its end. */
-HttpResult callNow(const Endpoint &endpoint, const HttpCall &call);
+HttpResult sendCall(const Endpoint &endpoint, const HttpCall &call);
 
 /** GET of a path. */
-HttpResult getNow(const Endpoint &endpoint, const std::string &path);
+HttpResult sendGet(const Endpoint &endpoint, const std::string &path);
 
 } // namespace monsoonbay::ctl
--- a/tools/monsoonbayctl/src/Commands.cpp
+++ b/tools/monsoonbayctl/src/Commands.cpp
@@ -20,7 +20,7 @@
 
 using Json = nlohmann::json;
 
-constexpr auto pollEvery = std::chrono::milliseconds(200);
+constexpr auto pollInterval = std::chrono::milliseconds(200);
 
 std::optional<std::string> readFile(const std::string &path)
 {
@@ -32,9 +32,9 @@
     return text.str();
 }
 
-std::optional<Json> askVm(const Endpoint &vm, const std::string &path)
+std::optional<Json> queryVm(const Endpoint &vm, const std::string &path)
 {
-    const HttpResult result = getNow(vm, path);
+    const HttpResult result = sendGet(vm, path);
     if (!result.ok())
         return std::nullopt;
     Json json = Json::parse(result.body, nullptr, false);
@@ -43,10 +43,10 @@
     return json;
 }
 
-std::optional<Json> askFirst(const CommandOptions &options, const std::string &path)
+std::optional<Json> queryFirst(const CommandOptions &options, const std::string &path)
 {
     for (const Endpoint &vm : options.vms) {
-        if (std::optional<Json> json = askVm(vm, path))
+        if (std::optional<Json> json = queryVm(vm, path))
             return json;
     }
     std::cerr << "no entry VM answers; give another --vm ADDRESS:PORT (its operators' address)\n";
@@ -68,7 +68,7 @@
 
 std::optional<InForce> readInForce(const CommandOptions &options)
 {
-    const std::optional<Json> status = askFirst(options, "/v1/status");
+    const std::optional<Json> status = queryFirst(options, "/v1/status");
     if (!status)
         return std::nullopt;
     InForce inForce;
@@ -76,7 +76,7 @@
     inForce.mark = ManifestMark{mark.value("offset", std::uint64_t{0}), mark.value("digest", "")};
     if (inForce.mark.offset == 0)
         return inForce;
-    const std::optional<Json> manifest = askFirst(options, "/v1/manifest");
+    const std::optional<Json> manifest = queryFirst(options, "/v1/manifest");
     if (!manifest)
         return std::nullopt;
     inForce.manifest = parseManifest(manifest->dump()).value;
@@ -84,8 +84,8 @@
 }
 
 /** The manifest that a document gives when applied to the one in force. */
-Parsed<Manifest> resultOf(const CommandOptions &options, const std::string &text,
-                          const Manifest &before)
+Parsed<Manifest> resultingManifest(const CommandOptions &options, const std::string &text,
+                                   const Manifest &before)
 {
     if (!options.delta)
         return parseManifest(text);
@@ -120,7 +120,7 @@
 {
     std::vector<std::uint64_t> offsets;
     for (const Endpoint &vm : options.vms) {
-        const std::optional<Json> status = askVm(vm, "/v1/status");
+        const std::optional<Json> status = queryVm(vm, "/v1/status");
         offsets.push_back(status ? (*status)["manifest"].value("offset", std::uint64_t{0}) : 0);
     }
     return offsets;
@@ -133,12 +133,12 @@
     call.method = "POST";
     call.path = "/v1/append";
     call.body = record.dump();
-    const HttpResult result = callNow(options.log, call);
+    const HttpResult result = sendCall(options.log, call);
     const Json reply = result.ok() ? Json::parse(result.body, nullptr, false) : Json();
     return reply.is_object() ? reply.value("offset", std::uint64_t{0}) : 0;
 }
 
-ExitCode codeOf(const std::string &verdict)
+ExitCode exitCodeFor(const std::string &verdict)
 {
     if (verdict == "accepted" || verdict == "duplicate")
         return ExitCode::Done;
@@ -150,25 +150,23 @@
 /** Waits for the verdict on an offset; empty if none came in time. */
 std::optional<Json> awaitVerdict(const CommandOptions &options, std::uint64_t offset)
 {
-    const auto until =
-        std::chrono::steady_clock::now() + std::chrono::seconds(options.patienceSeconds);
+    const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(options.waitSeconds);
     while (std::chrono::steady_clock::now() < until) {
-        const std::optional<Json> verdicts = askFirst(options, "/v1/verdicts");
+        const std::optional<Json> verdicts = queryFirst(options, "/v1/verdicts");
         if (!verdicts)
             return std::nullopt;
         for (const Json &verdict : *verdicts) {
             if (verdict.value("offset", std::uint64_t{0}) == offset)
                 return verdict;
         }
-        std::this_thread::sleep_for(pollEvery);
+        std::this_thread::sleep_for(pollInterval);
     }
     return std::nullopt;
 }
 
 ExitCode awaitInForce(const CommandOptions &options, std::uint64_t offset)
 {
-    const auto until =
-        std::chrono::steady_clock::now() + std::chrono::seconds(options.patienceSeconds);
+    const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(options.waitSeconds);
     std::size_t reached = 0;
     while (true) {
         const std::vector<std::uint64_t> offsets = offsetsInForce(options);
@@ -180,10 +178,10 @@
             return ExitCode::Done;
         if (std::chrono::steady_clock::now() >= until)
             break;
-        std::this_thread::sleep_for(pollEvery);
+        std::this_thread::sleep_for(pollInterval);
     }
     for (const Endpoint &vm : options.vms) {
-        const std::optional<Json> status = askVm(vm, "/v1/status");
+        const std::optional<Json> status = queryVm(vm, "/v1/status");
         if (!status)
             std::cerr << vm.text() << ": does not answer\n";
         else if ((*status)["manifest"].value("offset", std::uint64_t{0}) < offset)
@@ -205,8 +203,9 @@
 void printNames(const std::string &mark, const std::vector<T> &only, const std::vector<T> &other)
 {
     for (const T &item : only) {
-        const bool both = std::any_of(other.begin(), other.end(),
-                                      [&item](const T &twin) { return twin.name == item.name; });
+        const bool both = std::any_of(other.begin(), other.end(), [&item](const T &candidate) {
+            return candidate.name == item.name;
+        });
         if (!both)
             std::cout << mark << " " << item.name << "\n";
     }
@@ -251,7 +250,7 @@
     InForce inForce;
 };
 
-DocumentAndForce readBoth(const CommandOptions &options, const std::string &file)
+DocumentAndForce readDocumentAndForce(const CommandOptions &options, const std::string &file)
 {
     const CheckedText checked = readChecked(options, file);
     if (checked.code != ExitCode::Done)
@@ -266,7 +265,7 @@
 
 ExitCode showStatus(const CommandOptions &options)
 {
-    const std::optional<Json> status = askFirst(options, "/v1/status");
+    const std::optional<Json> status = queryFirst(options, "/v1/status");
     if (!status)
         return ExitCode::Unreachable;
     if (options.json) {
@@ -308,7 +307,7 @@
         std::cerr << "'" << adapter << "' is not adapter@version\n";
         return ExitCode::Usage;
     }
-    std::optional<Json> explained = askFirst(options, "/v1/explain?adapter=" + adapter);
+    std::optional<Json> explained = queryFirst(options, "/v1/explain?adapter=" + adapter);
     if (!explained)
         return ExitCode::Unreachable;
     if (options.json) {
@@ -348,7 +347,7 @@
     HttpCall call;
     call.method = "POST";
     call.path = "/v1/drain?target=" + target + (options.off ? "&on=false" : "");
-    const HttpResult result = callNow(options.vms.front(), call);
+    const HttpResult result = sendCall(options.vms.front(), call);
     if (result.error) {
         std::cerr << options.vms.front().text() << ": does not answer; give another --vm\n";
         return ExitCode::Unreachable;
@@ -359,7 +358,7 @@
 
 ExitCode showVerdicts(const CommandOptions &options)
 {
-    const std::optional<Json> verdicts = askFirst(options, "/v1/verdicts");
+    const std::optional<Json> verdicts = queryFirst(options, "/v1/verdicts");
     if (!verdicts)
         return ExitCode::Unreachable;
     if (options.json) {
@@ -378,10 +377,10 @@
 
 ExitCode showDifference(const CommandOptions &options, const std::string &file)
 {
-    const DocumentAndForce both = readBoth(options, file);
+    const DocumentAndForce both = readDocumentAndForce(options, file);
     if (both.code != ExitCode::Done)
         return both.code;
-    const Parsed<Manifest> next = resultOf(options, both.text, both.inForce.manifest);
+    const Parsed<Manifest> next = resultingManifest(options, both.text, both.inForce.manifest);
     printProblems(file, next.problems);
     if (!next.ok())
         return ExitCode::Invalid;
@@ -400,7 +399,7 @@
 
 ExitCode publishDocument(const CommandOptions &options, const std::string &file)
 {
-    const DocumentAndForce both = readBoth(options, file);
+    const DocumentAndForce both = readDocumentAndForce(options, file);
     if (both.code != ExitCode::Done)
         return both.code;
     const std::string body = writePublication(options.delta ? "delta" : "manifest",
@@ -415,7 +414,7 @@
     const JudgedRecord judged = judge(trial, ManifestRecord{both.inForce.mark.offset + 1, body});
     printProblems(file, judged.problems);
     if (judged.verdict != RecordVerdict::Accepted)
-        return codeOf(std::string(verdictName(judged.verdict)));
+        return exitCodeFor(std::string(verdictName(judged.verdict)));
     const std::uint64_t offset = appendRecord(options, body);
     if (offset == 0) {
         std::cerr << "the log did not answer; it may have taken the record: run publish again, a "
@@ -428,7 +427,7 @@
         return ExitCode::NotInForce;
     }
     printVerdict(*verdict);
-    const ExitCode code = codeOf(verdict->value("verdict", ""));
+    const ExitCode code = exitCodeFor(verdict->value("verdict", ""));
     return code == ExitCode::Done ? awaitInForce(options, offset) : code;
 }
 
--- a/tools/monsoonbayctl/src/Commands.h
+++ b/tools/monsoonbayctl/src/Commands.h
@@ -26,7 +26,7 @@
     bool json = false;
     bool delta = false; ///< the document is a delta
     std::vector<std::string> acknowledge;
-    int patienceSeconds = 30;
+    int waitSeconds = 30;
     bool off = false; ///< end a drain
 };
 
--- a/tools/monsoonbayctl/src/Main.cpp
+++ b/tools/monsoonbayctl/src/Main.cpp
@@ -128,7 +128,7 @@
         command.json = arguments.count("json") != 0;
         command.delta = arguments.count("delta") != 0;
         command.off = arguments.count("off") != 0;
-        command.patienceSeconds = arguments["patience"].as<int>();
+        command.waitSeconds = arguments["patience"].as<int>();
         if (arguments.count("acknowledge") != 0)
             command.acknowledge = arguments["acknowledge"].as<std::vector<std::string>>();
         const std::string argument =
--- a/tools/monsoonbayd/src/Main.cpp
+++ b/tools/monsoonbayd/src/Main.cpp
@@ -35,13 +35,13 @@
  * Holds back the signals that SignalThread takes, on this thread and those it starts. A daemon that
  * listens but has no handlers yet would be killed by a SIGTERM, with the calls it has accepted.
  */
-void holdSignals(int how)
+void maskSignals(int how)
 {
-    sigset_t taken;
-    sigemptyset(&taken);
+    sigset_t signals;
+    sigemptyset(&signals);
     for (const int number : {SIGINT, SIGTERM, SIGHUP})
-        sigaddset(&taken, number);
-    pthread_sigmask(how, &taken, nullptr);
+        sigaddset(&signals, number);
+    pthread_sigmask(how, &signals, nullptr);
 }
 
 /** Calls `onStop` for SIGTERM and SIGINT and `onReload` for SIGHUP, on a thread of its own. */
@@ -55,7 +55,7 @@
     {
         this->wait();
         this->thread = std::thread([this] {
-            holdSignals(SIG_UNBLOCK);
+            maskSignals(SIG_UNBLOCK);
             this->context.run();
         });
     }
@@ -103,7 +103,7 @@
 }
 
 /** Prints what is wrong with a document; true if nothing is. */
-template <typename T> bool isSound(const std::string &path, const monsoonbay::Parsed<T> &parsed)
+template <typename T> bool isValid(const std::string &path, const monsoonbay::Parsed<T> &parsed)
 {
     for (const monsoonbay::Problem &problem : parsed.problems)
         std::cerr << problem.text(path) << "\n";
@@ -117,7 +117,7 @@
     const auto reload = [&gateway, path] {
         bool readable = false;
         const auto parsed = monsoonbay::parseGatewaySettings(readFile(path, readable));
-        if (readable && isSound(path, parsed))
+        if (readable && isValid(path, parsed))
             gateway.reload(parsed.value);
         else
             monsoonbay::logEvent(monsoonbay::EventId::SettingsRefused, {{"file", path}});
@@ -131,21 +131,21 @@
 {
     if (arguments.count("settings") != 0)
         return arguments["settings"].as<std::string>();
-    const char *named = std::getenv(settingsVariable);
-    return named != nullptr ? named : "";
+    const char *path = std::getenv(settingsVariable);
+    return path != nullptr ? path : "";
 }
 
 template <typename T, typename Run>
 int checkOrRun(const std::string &path, const monsoonbay::Parsed<T> &parsed, bool checkOnly,
-               Run runIt)
+               Run start)
 {
-    if (!isSound(path, parsed))
+    if (!isValid(path, parsed))
         return exitRefusedSettings;
     if (checkOnly) {
         std::cout << path << ": ok\n";
         return 0;
     }
-    return runIt(parsed.value);
+    return start(parsed.value);
 }
 
 } // namespace
@@ -168,7 +168,7 @@
             std::cout << options.help();
             return 0;
         }
-        holdSignals(SIG_BLOCK);
+        maskSignals(SIG_BLOCK);
         const std::string path = settingsPath(arguments);
         if (path.empty()) {
             std::cerr << "give --settings FILE or set " << settingsVariable
@@ -183,10 +183,10 @@
         }
         const bool checkOnly = arguments.count("check-settings") != 0;
         if (monsoonbay::isGatewaySettings(text)) {
-            const auto runIt = [&path](const monsoonbay::GatewaySettings &settings) {
+            const auto start = [&path](const monsoonbay::GatewaySettings &settings) {
                 return runGateway(path, settings);
             };
-            return checkOrRun(path, monsoonbay::parseGatewaySettings(text), checkOnly, runIt);
+            return checkOrRun(path, monsoonbay::parseGatewaySettings(text), checkOnly, start);
         }
         return checkOrRun(path, monsoonbay::parseSettings(text), checkOnly, run);
     } catch (const std::exception &error) {
