--- a/libs/transport/include/transport/Completion.h
+++ b/libs/transport/include/transport/Completion.h
@@ -14,13 +14,13 @@
 
 namespace asio = boost::asio;
 
-/** Called once, from any thread, with the outcome of an operation of gRPC. */
+/** Called once, on any thread, with the outcome of a gRPC operation. */
 using Completion = std::function<void(bool)>;
 
 /**
- * Suspends the calling coroutine, starts an operation and resumes on the coroutine's own executor
- * when its completion is called. gRPC calls back on its threads; without the hop, code of a
- * connection's strand would run there.
+ * Suspends the calling coroutine, starts an operation, and resumes the coroutine on its own
+ * executor when the completion is called. gRPC runs completions on its own threads; without the
+ * post to the executor, code of a connection's strand would run there.
  */
 template <typename Start> asio::awaitable<bool> completionOf(Start start)
 {
--- a/libs/transport/include/transport/HttpClient.h
+++ b/libs/transport/include/transport/HttpClient.h
@@ -14,7 +14,7 @@
 
 namespace monsoonbay {
 
-/** One call to a target or to the platform. */
+/** An HTTP request to send. */
 struct HttpCall
 {
     std::string method = "GET";
@@ -23,20 +23,20 @@
     std::vector<HttpHeader> headers;
 };
 
-/** How long a call whose answer may be long is waited for. */
+/** Timeouts of a call whose response may be long. */
 struct HttpPatience
 {
-    Duration header{}; ///< until the head of the answer
-    Duration idle{}; ///< after that, between two of its pieces
+    Duration header{}; ///< until the header of the response has been read
+    Duration idle{}; ///< after that, between two pieces of the body
 
     auto operator<=>(const HttpPatience &) const = default;
 };
 
-/** How a call ended. */
+/** Outcome of a call: an error, or the response. */
 struct HttpResult
 {
     std::error_code error;
-    bool sent = false; ///< a byte may have reached the other side
+    bool sent = false; ///< part of the request may have reached the server
     int status = 0;
     std::string contentType;
     std::string body;
@@ -47,7 +47,7 @@
     }
 };
 
-/** Connections to targets and the platform, kept alive and reused. Thread-safe. */
+/** HTTP client with a pool of keep-alive connections for each endpoint. Thread-safe. */
 class HttpClient
 {
 public:
@@ -57,10 +57,10 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /** A whole call; call from a coroutine on a strand. */
+    /** Sends a request and reads the whole response, within `timeout`. Call on a strand. */
     asio::awaitable<HttpResult> call(Endpoint endpoint, HttpCall call, Duration timeout);
 
-    /** A whole call that may go on for as long as bytes of its answer come. */
+    /** The same, but may take as long as each part arrives within its timeout. */
     asio::awaitable<HttpResult> call(Endpoint endpoint, HttpCall call, HttpPatience timeouts);
 
     struct Impl;
@@ -70,10 +70,10 @@
     std::shared_ptr<Impl> impl;
 };
 
-/** One whole call on a context of its own; blocks until it ends. For tools, not for the daemon. */
+/** Runs one call on an io_context of its own and blocks until it ends. Not for the daemon. */
 HttpResult callBlocking(const Endpoint &endpoint, const HttpCall &call, Duration timeout);
 
-/** A call whose answer is read piece by piece. One coroutine uses it, on one strand. */
+/** A call whose response is read piece by piece. Used by one coroutine, on one strand. */
 class HttpClientStream
 {
 public:
@@ -83,16 +83,16 @@
     HttpClientStream(const HttpClientStream &) = delete;
     HttpClientStream &operator=(const HttpClientStream &) = delete;
 
-    /** Sends the call and reads the head of the answer. After `timeout` everything is cancelled. */
+    /** Sends the request and reads the response header. The call is cancelled after `timeout`. */
     asio::awaitable<HttpResult> begin(HttpCall call, Duration timeout);
 
-    /** From now on everything is cancelled after `timeout`, whatever was said before. */
+    /** Replaces the timeout: the call is cancelled `timeout` from now. */
     void resetTimeout(Duration timeout);
 
-    /** Reads some of the body into `piece`; an empty piece without error is the end. */
+    /** Reads the next part of the body into `piece`; an empty piece without error is the end. */
     asio::awaitable<std::error_code> read(std::string &piece);
 
-    /** Ends any pending operation; the connection is not reused. Call on the same strand. */
+    /** Cancels pending operations; the connection is not reused. Call on the same strand. */
     void cancel();
 
 private:
--- a/libs/transport/include/transport/HttpServer.h
+++ b/libs/transport/include/transport/HttpServer.h
@@ -20,14 +20,14 @@
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-/** One extra header of a reply. */
+/** A header field of a request or response. */
 struct HttpHeader
 {
     std::string name;
     std::string value;
 };
 
-/** A whole reply. */
+/** A response with its whole body. */
 struct HttpReply
 {
     int status = 200;
@@ -36,10 +36,10 @@
     std::vector<HttpHeader> headers;
 };
 
-/** Value of a request's header, empty if absent. */
+/** Value of a header field of the request, empty if absent. */
 std::string headerOf(const HttpRequest &request, std::string_view name);
 
-/** One request and the way to answer it, whole or in chunks. Lives on its connection's strand. */
+/** A request and its response, sent whole or in chunks. Used on its connection's strand only. */
 class HttpExchange
 {
 public:
@@ -52,10 +52,10 @@
     asio::awaitable<std::error_code> writeChunk(std::string_view data);
     asio::awaitable<std::error_code> endStream();
 
-    /** Ends the connection without the closing chunk, so that the caller sees a broken answer. */
+    /** Closes the connection without a last chunk, so that the caller sees a truncated response. */
     void abort();
 
-    /** Completes when the caller has closed its side, or when cancelled. */
+    /** Completes when the caller has closed its side of the connection, or when cancelled. */
     asio::awaitable<void> callerGone();
 
     bool begun() const noexcept;
@@ -70,7 +70,7 @@
 
 using HttpHandler = std::function<asio::awaitable<void>(HttpExchange &)>;
 
-/** Limits of what a caller may send, and how slowly. */
+/** Limits on the size of a request and on the time that each phase may take. */
 struct HttpLimits
 {
     std::size_t maxHeaderBytes = 16 * 1024;
@@ -80,7 +80,7 @@
     std::chrono::seconds writeTimeout{60};
 };
 
-/** Accepts HTTP/1.1 connections; each runs on its own strand. */
+/** Accepts HTTP/1.1 connections; each is served on its own strand. */
 class HttpServer
 {
 public:
@@ -91,10 +91,13 @@
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    /** The port in use; differs from the settings if they asked for port 0. */
+    /** The port that is listened on; chosen by the system if the endpoint has port 0. */
     std::uint16_t port() const noexcept;
 
-    /** Accepts no more connections; idle ones close, busy ones after their answer. */
+    /**
+     * Accepts no more connections. A connection that is in use closes after its current response,
+     * an idle one after its next response or its idle timeout.
+     */
     void stopAccepting();
 
 private:
--- a/libs/transport/include/transport/OpenCalls.h
+++ b/libs/transport/include/transport/OpenCalls.h
@@ -9,14 +9,15 @@
 namespace monsoonbay {
 
 /**
- * Calls of gRPC that have not ended. gRPC waits for each of them when a server or a client is
- * destroyed, while the coroutine that would end it may never run again once its context has
- * stopped: the shutdown would hang. Here every call has a way to be ended from outside, once.
+ * The gRPC calls of a server or client that have not ended. gRPC waits for each of them when the
+ * server or client is destroyed, but the coroutine that would end a call may never run again once
+ * its io_context has stopped: the shutdown would hang. So each call is registered with a function
+ * that ends it from outside, and that is called at most once.
  */
 class OpenCalls
 {
 public:
-    /** Registers a call and how to end it from outside; after endAll() it is ended at once. */
+    /** Registers a call with the function that ends it; after endAll() it is ended at once. */
     std::uint64_t add(std::function<void()> end)
     {
         std::unique_lock guard(this->mutex);
@@ -26,20 +27,20 @@
             this->endHandlers[call] = std::move(end);
             return call;
         }
-        // A server takes calls until its shutdown takes effect, and waits for each of them.
+        // A server accepts calls until its shutdown takes effect, and then waits for each of them.
         guard.unlock();
         end();
         return call;
     }
 
-    /** True for the one who may end the call now. */
+    /** Claims the right to end the call; false if the call was claimed or ended before. */
     bool take(std::uint64_t call)
     {
         const std::lock_guard guard(this->mutex);
         return this->endHandlers.erase(call) > 0;
     }
 
-    /** The call is over; nothing of it runs any more. */
+    /** Marks a call as over; none of its callbacks may run after this. */
     void done()
     {
         const std::lock_guard guard(this->mutex);
@@ -47,7 +48,7 @@
         this->changed.notify_all();
     }
 
-    /** Ends all that are open, and each that comes from now on. */
+    /** Ends all open calls, and from now on each new one as soon as it is added. */
     void endAll()
     {
         std::map<std::uint64_t, std::function<void()>> toEnd;
@@ -73,7 +74,7 @@
     std::map<std::uint64_t, std::function<void()>> endHandlers;
     std::uint64_t lastId = 0;
     int open = 0;
-    bool allEnded = false; ///< nobody is left to end what comes
+    bool allEnded = false; ///< endAll() was called; add() ends new calls at once
 };
 
 } // namespace monsoonbay
--- a/libs/transport/include/transport/PeerNetwork.h
+++ b/libs/transport/include/transport/PeerNetwork.h
@@ -15,22 +15,22 @@
 
 namespace asio = boost::asio;
 
-/** Where the owner writes the events of a run; one event is under way at a time. */
+/** Stream of a run's events from the owner to the VM that sent the run; one write at a time. */
 class RunSink
 {
 public:
     virtual ~RunSink() = default;
 
-    /** False once the other side is gone. */
+    /** Sends an event; false once the other VM has disconnected or cancelled the run. */
     virtual asio::awaitable<bool> write(const v1::RunEvent &event) = 0;
 
     virtual bool gone() const = 0;
 
-    /** Calls `handler` once, on any thread, when the other side goes away. */
+    /** Calls `handler` once, on any thread, when the other VM disconnects or cancels the run. */
     virtual void whenGone(std::function<void()> handler) = 0;
 };
 
-/** What a VM answers to its peers. The plain functions must not block. */
+/** Handlers of the RPCs. The ones that are not coroutines run on gRPC's threads: never block. */
 struct PeerHandlers
 {
     std::function<asio::awaitable<void>(v1::RunRequest, std::shared_ptr<RunSink>)> run;
@@ -39,7 +39,7 @@
     std::function<v1::FetchManifestReply(const v1::FetchManifestRequest &)> fetchManifest;
 };
 
-/** The gRPC server towards the other entry VMs. */
+/** gRPC server for calls from other entry VMs. */
 class PeerServer
 {
 public:
@@ -56,27 +56,27 @@
     std::unique_ptr<Impl> impl;
 };
 
-/** A reply, or the fact that the peer did not give one in time. */
+/** The reply of a peer; `ok` is false if the call failed or timed out. */
 template <typename T> struct PeerResult
 {
     bool ok = false;
     T reply;
 };
 
-/** A request running at the owner on another VM; its events are read one by one. */
+/** A run at the target's owner on another VM, whose events are read one by one. */
 class RemoteRun
 {
 public:
     virtual ~RemoteRun() = default;
 
-    /** Reads the next event; false at the end of the stream, broken or not. */
+    /** Reads the next event; false at the end of the stream, whether it is complete or not. */
     virtual asio::awaitable<bool> read(v1::RunEvent &event) = 0;
 
-    /** Tells the owner that nobody waits any more. Thread-safe. */
+    /** Cancels the run. Thread-safe. */
     virtual void cancel() = 0;
 };
 
-/** gRPC clients to the other entry VMs. Thread-safe. */
+/** gRPC client for calls to other entry VMs. Thread-safe. */
 class PeerClient
 {
 public:
@@ -95,7 +95,7 @@
     std::shared_ptr<RemoteRun> run(const Endpoint &peer, const v1::RunRequest &request,
                                    Duration timeout);
 
-    /** Cuts the connection to a peer that is gone, so that a new one does not reuse its state. */
+    /** Drops the channel to a peer that is gone; a new VM at its address gets a new channel. */
     void forget(const Endpoint &peer);
 
 private:
--- a/libs/transport/src/HttpClient.cpp
+++ b/libs/transport/src/HttpClient.cpp
@@ -32,8 +32,8 @@
 constexpr std::size_t maxIdlePerEndpoint = 512;
 constexpr std::uint64_t maxResponseBytes = 256ULL * 1024 * 1024;
 
-// A connection that the other side closed while it was idle looks fine until the answer fails to
-// come, and by then the request may have run. Peeking first keeps such a request "not sent".
+// If the server closed a connection while it was idle, this shows only when reading the response
+// fails, and by then the request may have run. Peeking first avoids sending on such a connection.
 bool isStillOpen(tcp::socket &socket)
 {
     char byte = 0;
@@ -241,8 +241,8 @@
     co_return result;
 }
 
-// A limit on the whole call cuts off a long answer on a slow link each time, however well it comes
-// along: a configuration of 4,250 routes (1 MB) was never read over 10 Mbit/s within 0.5 s.
+// A timeout for the whole call aborts a long response over a slow link every time, however steadily
+// it arrives: a configuration of 4,250 routes (1 MB) was never read over 10 Mbit/s within 0.5 s.
 asio::awaitable<HttpResult> HttpClient::call(Endpoint endpoint, HttpCall call,
                                              HttpPatience timeouts)
 {
--- a/libs/transport/src/HttpServer.cpp
+++ b/libs/transport/src/HttpServer.cpp
@@ -136,9 +136,9 @@
     this->responseStarted = true;
 }
 
-// The reactor may report a socket readable for bytes that were read long before. A blocking peek
-// would then hold a thread of the daemon until this caller sends again, which showed as requests of
-// other callers standing still for as long; so the peek never blocks, and the wait goes on.
+// The reactor may report a socket as readable because of bytes that were read long before. A
+// blocking peek would then block a thread of the daemon until this caller sends again, and requests
+// of other callers stalled for that long; so the peek never blocks, and the wait is repeated.
 asio::awaitable<void> HttpExchange::callerGone()
 {
     tcp::socket &socket = this->stream.socket();
@@ -155,7 +155,7 @@
             co_return;
         break;
     }
-    // The next request is there already; that must not cancel this one.
+    // The caller's next request has arrived already; that must not cancel this one.
     asio::steady_timer never(co_await asio::this_coro::executor,
                              asio::steady_timer::time_point::max());
     co_await never.async_wait(nothrowAwaitable);
@@ -192,8 +192,9 @@
     stream.socket().set_option(tcp::no_delay(true), ignored);
     beast::flat_buffer buffer;
     while (!state->stopping) {
-        // An idle connection may wait long; from the first byte on a request has to come whole
-        // within the read timeout, or a caller that drips bytes would hold the place for ever.
+        // A connection may be idle for long. From its first byte on, a request must be received
+        // within the read timeout, or a caller that sends byte by byte keeps the connection busy
+        // for ever.
         if (buffer.size() == 0) {
             stream.expires_after(state->limits.idleTimeout);
             auto [idleError, idleBytes] =
--- a/libs/transport/src/PeerClient.cpp
+++ b/libs/transport/src/PeerClient.cpp
@@ -53,7 +53,7 @@
         this->context.TryCancel();
     }
 
-    /** The reader is needed no more; gRPC may end the call. */
+    /** Ends the call, unless it was ended from outside before; called when its user drops it. */
     void endIfOpen()
     {
         if (this->calls.take(this->call))
@@ -105,7 +105,7 @@
             arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, minReconnectMs);
             arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, maxReconnectMs);
             arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, minReconnectMs);
-            // A proxy named in the environment must never stand between two entry VMs.
+            // Entry VMs connect directly, also if the environment names an HTTP proxy.
             arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
             arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
             stub = v1::EntryVm::NewStub(grpc::CreateCustomChannel(
@@ -130,8 +130,8 @@
         call->request = std::move(request);
         call->context.set_deadline(deadlineIn(timeout));
         PeerResult<Reply> result;
-        // Named, not a temporary: GCC 12 destroys the captures of a closure that is built inside a
-        // co_await expression twice, which shows as a crash much later.
+        // A variable, not a temporary: GCC 12 destroys the captures of a closure that is built
+        // inside a co_await expression twice, which crashes much later.
         OpenCalls &open = this->calls;
         const std::uint64_t number = open.add([call] { call->context.TryCancel(); });
         const auto start = [call, method, &open, number](Completion completion) {
@@ -157,7 +157,7 @@
     : impl(std::make_unique<Impl>())
 { }
 
-// Callbacks post to the context of the waiting coroutines, so none may come after this.
+// Callbacks post to the io_context of the waiting coroutines, so none may run after this.
 PeerClient::~PeerClient()
 {
     this->impl->calls.endAll();
--- a/libs/transport/src/PeerServer.cpp
+++ b/libs/transport/src/PeerServer.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** One run served for a peer; gRPC and the coroutine each hold it until they are done. */
+/** A run served for a peer; gRPC and the coroutine each own it until they are done. */
 class RunReactor final : public grpc::ServerWriteReactor<v1::RunEvent>,
                          public RunSink,
                          public std::enable_shared_from_this<RunReactor>
@@ -104,7 +104,7 @@
                                 std::uint64_t call)
 {
     v1::PeerNewsReply answer = co_await handlers.tell(std::move(news));
-    // After a shutdown has ended the call, its reply is gone.
+    // A shutdown has ended the call already; `reply` must not be used any more.
     if (!calls.take(call))
         co_return;
     *reply = std::move(answer);
@@ -196,7 +196,8 @@
     grpc::ServerBuilder builder;
     builder.AddListeningPort(endpoint.text(), grpc::InsecureServerCredentials(), &this->impl->port);
     builder.SetMaxReceiveMessageSize(maxMessageBytes);
-    // Two daemons on one port would each get half of the news; the second has to fail instead.
+    // With SO_REUSEPORT, two daemons on one port would each get a part of the peers' messages; the
+    // second one has to fail instead.
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.RegisterService(&this->impl->service);
     this->impl->server = builder.BuildAndStart();
--- a/libs/transport/tests/OpenCalls.cpp
+++ b/libs/transport/tests/OpenCalls.cpp
@@ -8,22 +8,22 @@
 
 using namespace monsoonbay;
 
-// Guards against a daemon that never ends: gRPC waits for a call that a peer began while the server
-// was being shut down, and nobody was left to end it.
-Test(open_calls, a_call_that_comes_after_the_end_of_all_is_ended_at_once)
+// Guards against a shutdown that hangs: gRPC waits for a call that a peer began while the server
+// was being shut down, and that nothing would end.
+Test(open_calls, a_call_added_after_end_all_is_ended_at_once)
 {
     OpenCalls calls;
     calls.endAll();
     int ended = 0;
     const std::uint64_t late = calls.add([&ended] { ++ended; });
     cr_assert_eq(ended, 1);
-    cr_assert(!calls.take(late), "nobody else may end it once more");
+    cr_assert(!calls.take(late), "an ended call must not be ended again");
     calls.done();
     calls.waitAll();
 }
 
-// Guards against a call that is ended twice, or not at all, when it comes just then.
-Test(open_calls, calls_that_come_while_all_are_ended_are_ended_once_each)
+// Guards against a call that is ended twice, or not at all, when it is added during endAll().
+Test(open_calls, calls_added_during_end_all_are_ended_once_each)
 {
     constexpr int threads = 4;
     constexpr int callsOfEach = 2000;
