--- a/tools/events-page.sh
+++ b/tools/events-page.sh
@@ -5,9 +5,9 @@
 cat <<'EOF'
 # Events
 
-Every line of the log is one numbered event: `E` and its number, its name, the VM, then its fields.
-Numbers are never used again for something else. Fields never hold a token, a prompt or an answer.
-This page is printed by tools/events-page.sh; a test keeps it equal to the code.
+Each line of the log is one numbered event: `E` and its number, its name, the VM, then its fields.
+Numbers are never reused. Fields never hold a caller's access token, a prompt or an answer.
+This page is printed by tools/events-page.sh; a test checks that it matches the code.
 
 | number | name | level | what it means | what to do |
 |---|---|---|---|---|
