--- a/tools/monsoonbayctl/src/Client.h
+++ b/tools/monsoonbayctl/src/Client.h
@@ -6,10 +6,10 @@
 
 namespace monsoonbay::ctl {
 
-/** One call, to its end. */
+/** Sends a request and waits for the whole response, up to 10 s. */
 HttpResult sendCall(const Endpoint &endpoint, const HttpCall &call);
 
-/** GET of a path. */
+/** Sends a GET request for a path. */
 HttpResult sendGet(const Endpoint &endpoint, const std::string &path);
 
 } // namespace monsoonbay::ctl
--- a/tools/monsoonbayctl/src/Commands.cpp
+++ b/tools/monsoonbayctl/src/Commands.cpp
@@ -49,7 +49,7 @@
         if (std::optional<Json> json = queryVm(vm, path))
             return json;
     }
-    std::cerr << "no entry VM answers; give another --vm ADDRESS:PORT (its operators' address)\n";
+    std::cerr << "no entry VM answers; try another --vm ADDRESS:PORT (its operators' address)\n";
     return std::nullopt;
 }
 
@@ -83,7 +83,7 @@
     return inForce;
 }
 
-/** The manifest that a document gives when applied to the one in force. */
+/** The manifest that results from applying a document to the one in force. */
 Parsed<Manifest> resultingManifest(const CommandOptions &options, const std::string &text,
                                    const Manifest &before)
 {
@@ -115,7 +115,7 @@
     }
 }
 
-/** Offsets in force on each VM; 0 where a VM does not answer. */
+/** Offset of the manifest in force on each VM; 0 for a VM that does not answer. */
 std::vector<std::uint64_t> offsetsInForce(const CommandOptions &options)
 {
     std::vector<std::uint64_t> offsets;
@@ -147,7 +147,7 @@
     return verdict == "dangerous" ? ExitCode::Dangerous : ExitCode::Invalid;
 }
 
-/** Waits for the verdict on an offset; empty if none came in time. */
+/** Waits for the verdict on the record at an offset; empty if none was given in time. */
 std::optional<Json> awaitVerdict(const CommandOptions &options, std::uint64_t offset)
 {
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(options.waitSeconds);
@@ -199,6 +199,7 @@
                   << "; " << problem.value("remedy", "") << "\n";
 }
 
+/** Prints `mark` and the name of each item whose name is not in `other`. */
 template <typename T>
 void printNames(const std::string &mark, const std::vector<T> &only, const std::vector<T> &other)
 {
@@ -211,6 +212,7 @@
     }
 }
 
+/** Prints `mark` and each adapter that is not in `other`. */
 void printAdapters(const std::string &mark, const AdapterTable &only, const AdapterTable &other)
 {
     for (const AdapterEntry &entry : only.sorted()) {
@@ -230,7 +232,7 @@
 {
     const std::optional<std::string> text = readFile(file);
     if (!text) {
-        std::cerr << file << ": cannot be read; check the name and the rights\n";
+        std::cerr << file << ": cannot be read; check its path and permissions\n";
         return {ExitCode::Usage, {}};
     }
     const std::vector<Problem> problems =
@@ -242,7 +244,7 @@
     return {ExitCode::Done, *text};
 }
 
-/** A checked document beside what is in force; both only if the code is Done. */
+/** A checked document and the manifest in force; only set if the code is Done. */
 struct DocumentAndForce
 {
     ExitCode code = ExitCode::Done;
@@ -273,14 +275,14 @@
         return ExitCode::Done;
     }
     const Json &manifest = (*status)["manifest"];
-    std::cout << "asked      " << status->value("vm", "") << " in " << status->value("zone", "")
+    std::cout << "vm         " << status->value("vm", "") << " in " << status->value("zone", "")
               << (status->value("ready", false) ? ", ready" : ", NOT READY") << "\n"
               << "manifest   offset " << manifest.value("offset", std::uint64_t{0}) << ", "
               << manifest.value("adapters", 0) << " adapters, digest "
               << manifest.value("digest", "") << "\n"
               << "log        "
               << (status->value("logReachable", false) ? "reachable" : "UNREACHABLE") << "\n"
-              << "permits    given by " << status->value("coordinator", "") << "\n";
+              << "permits    granted by " << status->value("coordinator", "") << "\n";
     std::cout << "\n"
               << std::left << std::setw(28) << "ENTRY VM" << std::setw(16) << "ZONE"
               << "STATE\n";
@@ -329,16 +331,16 @@
         std::cout << "  a request arriving now goes to " << answer["goesTo"].get<std::string>()
                   << "\n";
     std::cout << std::setprecision(4) << "  waiting here " << answer.value("waitingHere", 0)
-              << "; load permits are given by " << answer.value("coordinator", "") << "\n";
+              << "; load permits are granted by " << answer.value("coordinator", "") << "\n";
     if (answer.value("coordinatorIsHere", false))
-        std::cout << "  demand " << answer.value("requestsPerSecond", 0.0)
-                  << "/s (last half minute " << answer.value("fastRequestsPerSecond", 0.0)
-                  << "/s), waiting in all " << answer.value("waitingAll", 0) << ", a load takes "
+        std::cout << "  demand " << answer.value("requestsPerSecond", 0.0) << "/s (last 30 s "
+                  << answer.value("fastRequestsPerSecond", 0.0) << "/s), waiting on all VMs "
+                  << answer.value("waitingAll", 0) << ", a load takes "
                   << answer.value("loadSeconds", 0.0) << " s"
-                  << (answer.value("backingOff", false) ? ", loads of it failed and back off" : "")
+                  << (answer.value("backingOff", false) ? ", failed loads are backing off" : "")
                   << "\n";
     else
-        std::cout << "  ask that VM for demand and queue: --vm its operators' address\n";
+        std::cout << "  for demand and queue, use --vm with the operators' address of that VM\n";
     return ExitCode::Done;
 }
 
@@ -349,7 +351,7 @@
     call.path = "/v1/drain?target=" + target + (options.off ? "&on=false" : "");
     const HttpResult result = sendCall(options.vms.front(), call);
     if (result.error) {
-        std::cerr << options.vms.front().text() << ": does not answer; give another --vm\n";
+        std::cerr << options.vms.front().text() << ": does not answer; try another --vm\n";
         return ExitCode::Unreachable;
     }
     (result.ok() ? std::cout : std::cerr) << result.body << "\n";
@@ -404,8 +406,8 @@
         return both.code;
     const std::string body = writePublication(options.delta ? "delta" : "manifest",
                                               both.inForce.mark, options.acknowledge, both.text);
-    // The same judgement that every VM will make, made here first, so that a mistake is told
-    // before it is on the log.
+    // Applies the same checks as every VM, so that problems are reported before the record is on
+    // the log.
     AcceptedManifest trial;
     trial.manifest = both.inForce.manifest;
     trial.mark = both.inForce.mark;
@@ -417,13 +419,13 @@
         return exitCodeFor(std::string(verdictName(judged.verdict)));
     const std::uint64_t offset = appendRecord(options, body);
     if (offset == 0) {
-        std::cerr << "the log did not answer; it may have taken the record: run publish again, a "
-                     "second copy is taken once\n";
+        std::cerr << "the log did not answer, but may have stored the record: run publish again; a "
+                     "duplicate has no effect\n";
         return ExitCode::Unreachable;
     }
     const std::optional<Json> verdict = awaitVerdict(options, offset);
     if (!verdict) {
-        std::cerr << "appended at offset " << offset << ", but no VM told its verdict in time\n";
+        std::cerr << "appended at offset " << offset << ", but no VM gave its verdict in time\n";
         return ExitCode::NotInForce;
     }
     printVerdict(*verdict);
--- a/tools/monsoonbayctl/src/Commands.h
+++ b/tools/monsoonbayctl/src/Commands.h
@@ -7,21 +7,22 @@
 
 namespace monsoonbay::ctl {
 
-/** Exit codes, stable for build pipelines. */
+/** Exit codes; stable, as build pipelines rely on them. */
 enum class ExitCode : int {
     Done = 0,
     Unreachable = 1,
     Usage = 2,
     Invalid = 3, ///< the document has problems, or was rejected as invalid
-    Conflict = 4, ///< made from another manifest than the one in force
-    Dangerous = 5, ///< drops too much without acknowledging it
+    Conflict = 4, ///< based on another manifest than the one in force
+    Dangerous = 5, ///< drops a service or too many adapters without acknowledging it
     NotInForce = 6, ///< accepted, but not seen in force on every VM in time
 };
 
-/** What every command may need. */
+/** Options that all commands share. */
 struct CommandOptions
 {
-    std::vector<Endpoint> vms; ///< operators' addresses of entry VMs; the first answers questions
+    std::vector<Endpoint>
+        vms; ///< operators' addresses of entry VMs; queries go to the first that answers
     Endpoint log;
     bool json = false;
     bool delta = false; ///< the document is a delta
--- a/tools/monsoonbayctl/src/Main.cpp
+++ b/tools/monsoonbayctl/src/Main.cpp
@@ -31,13 +31,13 @@
         "Operators' tool of monsoonbay\n\n"
         "  status             members, targets, manifest, who is behind\n"
         "  explain ADAPTER    where a request for adapter@version goes, and why\n"
-        "  drain TARGET       give a target nothing new (--off ends it)\n"
+        "  drain TARGET       send a target no new requests (--off ends the drain)\n"
         "  log                verdicts on published manifests, with reasons\n"
         "  check FILE         check a manifest (or --delta) without any server\n"
         "  diff FILE          what FILE would change\n"
         "  publish FILE       check, publish, and wait until it is in force on every --vm\n\n"
         "Exit status: 0 done, 1 unreachable, 2 usage, 3 invalid, 4 conflict, 5 dangerous,\n"
-        "6 accepted but not in force everywhere in time.\n");
+        "6 accepted, but not in force on every --vm in time.\n");
     options.add_options()("command", "", cxxopts::value<std::string>())(
         "argument", "", cxxopts::value<std::string>())(
         "vm", "operators' address of an entry VM, ADDRESS:PORT; may be given several times",
@@ -45,15 +45,15 @@
                                                     cxxopts::value<std::string>())(
         "delta", "FILE is a delta")("acknowledge", "drops-adapters or drops-services",
                                     cxxopts::value<std::vector<std::string>>())(
-        "patience", "seconds to wait for a verdict and for being in force",
+        "patience", "seconds to wait for a verdict, and for the manifest to be in force",
         cxxopts::value<int>()->default_value("30"))("off", "end a drain")("json", "print JSON")(
-        "h,help", "this text");
+        "h,help", "print this help");
     options.parse_positional({"command", "argument"});
     options.positional_help("COMMAND [ARGUMENT]");
     return options;
 }
 
-/** Reads the addresses; false after telling what is wrong with one. */
+/** Reads the addresses; if one is invalid, prints an error and returns false. */
 bool readAddresses(const cxxopts::ParseResult &arguments, ctl::CommandOptions &options)
 {
     std::vector<std::string> texts;
@@ -71,7 +71,7 @@
         return true;
     const std::optional<Endpoint> log = parseEndpoint(arguments["log"].as<std::string>());
     if (!log)
-        std::cerr << "--log wants ADDRESS:PORT\n";
+        std::cerr << "--log needs ADDRESS:PORT\n";
     options.log = log.value_or(Endpoint{});
     return log.has_value();
 }
@@ -86,7 +86,7 @@
     }
     const bool needsArgument = command != "status" && command != "log";
     if (needsArgument && argument.empty()) {
-        std::cerr << command << " wants an argument; --help tells which\n";
+        std::cerr << command << " needs an argument; see --help\n";
         return ctl::ExitCode::Usage;
     }
     if (command == "status")
@@ -102,7 +102,7 @@
     if (command == "diff")
         return ctl::showDifference(options, argument);
     if (command == "publish" && options.log.port == 0) {
-        std::cerr << "publish wants --log ADDRESS:PORT\n";
+        std::cerr << "publish needs --log ADDRESS:PORT\n";
         return ctl::ExitCode::Usage;
     }
     if (command == "publish")
--- a/tools/monsoonbayd/src/Main.cpp
+++ b/tools/monsoonbayd/src/Main.cpp
@@ -19,7 +19,7 @@
 constexpr int exitRefusedSettings = 2;
 constexpr int exitCutRequests = 3;
 
-/** Names the settings file where the command line does not. */
+/** Environment variable with the path of the settings file, if the command line has none. */
 constexpr const char *settingsVariable = "MONSOONBAY_CONFIG";
 
 std::string readFile(const std::string &path, bool &readable)
@@ -32,8 +32,9 @@
 }
 
 /**
- * Holds back the signals that SignalThread takes, on this thread and those it starts. A daemon that
- * listens but has no handlers yet would be killed by a SIGTERM, with the calls it has accepted.
+ * Blocks or unblocks the signals that SignalThread handles, for this thread and those it starts.
+ * While they are not blocked, a SIGTERM kills a daemon that listens but has no handlers yet, along
+ * with the calls that it has accepted.
  */
 void maskSignals(int how)
 {
@@ -44,7 +45,7 @@
     pthread_sigmask(how, &signals, nullptr);
 }
 
-/** Calls `onStop` for SIGTERM and SIGINT and `onReload` for SIGHUP, on a thread of its own. */
+/** Calls `onStop` on SIGTERM and SIGINT and `onReload` on SIGHUP, on a thread of its own. */
 class SignalThread
 {
 public:
@@ -96,13 +97,13 @@
     monsoonbay::setUpLog(json ? monsoonbay::LogFormat::Json : monsoonbay::LogFormat::Text,
                          settings.vm);
     monsoonbay::Daemon daemon(settings);
-    // The settings of this kind of daemon are fixed for its life; SIGHUP must not end it.
+    // This kind of daemon cannot reload its settings; SIGHUP must not end it.
     const SignalThread signals([&daemon] { daemon.requestShutdown(); }, [] {});
     const monsoonbay::ShutdownReport report = daemon.wait();
     return report.abortedRequests == 0 ? 0 : exitCutRequests;
 }
 
-/** Prints what is wrong with a document; true if nothing is. */
+/** Prints the problems of a document; true if there are none. */
 template <typename T> bool isValid(const std::string &path, const monsoonbay::Parsed<T> &parsed)
 {
     for (const monsoonbay::Problem &problem : parsed.problems)
@@ -154,14 +155,14 @@
 {
     cxxopts::Options options(
         "monsoonbayd",
-        "Entry VM daemon of monsoonbay: takes callers' requests and runs each on\n"
+        "Entry VM daemon of monsoonbay: accepts callers' requests and runs each on\n"
         "the adapter and version it names.\n\n"
-        "SIGTERM shuts down gracefully: not ready at once, targets handed over,\n"
-        "all in flight finished. A second one cuts what is left.\n"
-        "Exit status: 0 done, 2 settings refused, 3 requests were cut.\n");
+        "SIGTERM shuts down gracefully: the VM is not ready from then on, hands its targets\n"
+        "over and finishes the requests in flight. A second SIGTERM aborts the rest.\n"
+        "Exit status: 0 done, 2 settings refused, 3 requests were aborted.\n");
     options.add_options()("settings", "JSON settings file (see docs/OPERATIONS.md)",
                           cxxopts::value<std::string>(), "FILE")(
-        "check-settings", "check the settings file and end")("h,help", "this text");
+        "check-settings", "check the settings file and exit")("h,help", "print this help");
     try {
         const cxxopts::ParseResult arguments = options.parse(argc, argv);
         if (arguments.count("help") != 0) {
@@ -171,14 +172,13 @@
         maskSignals(SIG_BLOCK);
         const std::string path = settingsPath(arguments);
         if (path.empty()) {
-            std::cerr << "give --settings FILE or set " << settingsVariable
-                      << "; --help tells more\n";
+            std::cerr << "give --settings FILE or set " << settingsVariable << "; see --help\n";
             return exitRefusedSettings;
         }
         bool readable = false;
         const std::string text = readFile(path, readable);
         if (!readable) {
-            std::cerr << path << ": cannot be read; check the name and the rights\n";
+            std::cerr << path << ": cannot be read; check its path and permissions\n";
             return exitRefusedSettings;
         }
         const bool checkOnly = arguments.count("check-settings") != 0;
