--- a/build.sh
+++ b/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds, tests and shows monsoonbay. See README.md; every command installs what it needs.
+# Builds, tests and demonstrates monsoonbay. See README.md; every command installs what it needs.
 set -eu
 cd "$(dirname "$0")"
 here=$(pwd)
@@ -45,14 +45,15 @@
 }
 
 lint() {
-    # Only our own translation units; the generated code is not ours to tidy.
+    # Only our own translation units, no generated code; tests and end-to-end tests are left out.
     sources | grep '\.cpp$' | grep -vE '/(tests|e2e)/' \
         | xargs -P "$(nproc)" -n 4 clang-tidy -p "$build" --quiet 2>/dev/null
 }
 
 started=()
 stop_started() {
-    # Daemons end first, and gracefully, so that their last words do not complain of the platform.
+    # Signals the daemons first, so that they shut down gracefully and do not log at the end that the
+    # platform is unreachable.
     local index
     for ((index = ${#started[@]} - 1; index >= 0; --index)); do
         kill -TERM "${started[$index]}" 2>/dev/null || true
@@ -95,7 +96,7 @@
     echo "started $number processes; logs are in out/$deployment"
 }
 
-# Passes over just the tests that KNOWN-RED.txt names, and prints what became of them.
+# Runs all tests but those that KNOWN-RED.txt lists, then runs these and prints their outcome.
 run_tests() {
     local pattern programs
     local leftOut=()
--- a/cmake/Monsoonbay.cmake
+++ b/cmake/Monsoonbay.cmake
@@ -1,5 +1,5 @@
-# One library under libs/NAME: sources in src/, public headers in include/, and, where they
-# exist, Criterion tests in tests/*.cpp and Google benchmarks in benchmark/*.cpp.
+# Adds the library of the calling folder: sources in src/, public headers in include/, and, if there
+# are any, Criterion tests in tests/*.cpp and Google benchmarks in benchmark/*.cpp.
 function(monsoonbay_library NAME)
     file(GLOB_RECURSE SOURCES CONFIGURE_DEPENDS src/*.cpp src/*.cc)
     add_library(${NAME} STATIC ${SOURCES})
@@ -22,10 +22,10 @@
     endif()
 endfunction()
 
-# Schedules that a property is tried on; the folders of the decisions raise it.
+# Number of cases that RapidCheck tries for each property; a folder may set another number.
 set(MONSOONBAY_PROPERTY_RUNS 500)
 
-# A Criterion test program made of tests/*.cpp of the calling folder.
+# Adds a Criterion test program built from tests/*.cpp of the calling folder.
 function(monsoonbay_test NAME)
     file(GLOB TEST_SOURCES CONFIGURE_DEPENDS tests/*.cpp)
     add_executable(${NAME} ${TEST_SOURCES})
@@ -33,12 +33,12 @@
     target_link_libraries(${NAME} PRIVATE ${ARGN} PkgConfig::CRITERION rapidcheck)
     target_include_directories(${NAME} PRIVATE src)
     add_test(NAME ${NAME} COMMAND ${NAME})
-    # One seed for all properties: the same verdict on every run.
+    # A fixed seed, so that property tests give the same result on every run.
     set_tests_properties(${NAME} PROPERTIES ENVIRONMENT
         "RC_PARAMS=seed=20261202 max_success=${MONSOONBAY_PROPERTY_RUNS}")
 endfunction()
 
-# A program under tools/NAME.
+# Adds the program of the calling folder under tools/, built from its src/Main.cpp.
 function(monsoonbay_tool NAME)
     file(GLOB SOURCES CONFIGURE_DEPENDS src/Main.cpp)
     add_executable(${NAME} ${SOURCES})
--- a/tools/check-words-test.sh
+++ b/tools/check-words-test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The check has to fail when a name is where it does not belong.
+# Tests tools/check-words.sh: it must fail on a name that belongs to platform/ only.
 set -eu
 cd "$(dirname "$0")/.."
 folder=$(mktemp -d)
--- a/tools/check-words.sh
+++ b/tools/check-words.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Fails if a name of the users' platform, or the wording of their pages, stands outside platform/.
-# Their names are decoded once, in that folder; everything else uses the project's own.
+# Fails if sources outside platform/ contain a name of the users' platform, or if any source contains
+# the wording of its documentation. Only platform/ decodes those names; all other code uses the
+# project's own.
 # usage: tools/check-words.sh [FOLDER ...]   default: libs tools tests
 set -eu
 cd "$(dirname "$0")/.."
