--- a/libs/transport/src/PeerServer.cpp
+++ b/libs/transport/src/PeerServer.cpp
@@ -48,7 +48,7 @@
         if (this->cancelled)
             handler();
         else
-            this->goneHandler = std::move(handler);
+            this->disconnectHandler = std::move(handler);
     }
 
     void finish(const grpc::Status &status)
@@ -71,7 +71,7 @@
         {
             const std::lock_guard guard(this->mutex);
             this->cancelled = true;
-            std::swap(handler, this->goneHandler);
+            std::swap(handler, this->disconnectHandler);
         }
         if (handler)
             handler();
@@ -87,7 +87,7 @@
     Completion pending;
     std::atomic<bool> cancelled{false};
     std::mutex mutex;
-    std::function<void()> goneHandler;
+    std::function<void()> disconnectHandler;
 };
 
 asio::awaitable<void> serveRun(const PeerHandlers &handlers, OpenCalls &calls,
