--- a/libs/transport/src/HttpServer.cpp
+++ b/libs/transport/src/HttpServer.cpp
@@ -68,17 +68,17 @@
 
 bool HttpExchange::begun() const noexcept
 {
-    return this->begunAnswer;
+    return this->responseStarted;
 }
 
 bool HttpExchange::keepAlive() const noexcept
 {
-    return !this->aborted && this->begunAnswer && this->received.keep_alive();
+    return !this->aborted && this->responseStarted && this->received.keep_alive();
 }
 
 asio::awaitable<std::error_code> HttpExchange::respond(HttpReply reply)
 {
-    this->begunAnswer = true;
+    this->responseStarted = true;
     http::response<http::string_body> response(static_cast<http::status>(reply.status),
                                                this->received.version());
     response.set(http::field::content_type, reply.contentType);
@@ -95,7 +95,7 @@
 
 asio::awaitable<std::error_code> HttpExchange::beginStream(int status, std::string contentType)
 {
-    this->begunAnswer = true;
+    this->responseStarted = true;
     http::response<http::empty_body> head(static_cast<http::status>(status),
                                           this->received.version());
     head.set(http::field::content_type, contentType);
@@ -133,12 +133,12 @@
 void HttpExchange::abort()
 {
     this->aborted = true;
-    this->begunAnswer = true;
+    this->responseStarted = true;
 }
 
-// The reactor may report a socket readable for bytes that were read long before. A blocking peek
-// would then hold a thread of the daemon until this caller sends again, which showed as requests of
-// other callers standing still for as long; so the peek never blocks, and the wait goes on.
+// The reactor may report a socket as readable because of bytes that were read long before. A
+// blocking peek would then block a thread of the daemon until this caller sends again, and requests
+// of other callers stalled for that long; so the peek never blocks, and the wait is repeated.
 asio::awaitable<void> HttpExchange::callerGone()
 {
     tcp::socket &socket = this->stream.socket();
@@ -148,14 +148,14 @@
             co_return;
         char byte = 0;
         const auto peeked = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        const bool nothingYet = peeked < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-        if (nothingYet)
+        const bool noDataYet = peeked < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+        if (noDataYet)
             continue;
         if (peeked <= 0)
             co_return;
         break;
     }
-    // The next request is there already; that must not cancel this one.
+    // The caller's next request has arrived already; that must not cancel this one.
     asio::steady_timer never(co_await asio::this_coro::executor,
                              asio::steady_timer::time_point::max());
     co_await never.async_wait(nothrowAwaitable);
@@ -163,7 +163,7 @@
 
 namespace {
 
-asio::awaitable<void> refuseUnreadable(beast::tcp_stream &stream, beast::error_code error)
+asio::awaitable<void> rejectMalformedRequest(beast::tcp_stream &stream, beast::error_code error)
 {
     const bool tooLarge = error == http::error::body_limit || error == http::error::header_limit;
     const bool closed = error == http::error::end_of_stream || error == beast::error::timeout
@@ -192,8 +192,9 @@
     stream.socket().set_option(tcp::no_delay(true), ignored);
     beast::flat_buffer buffer;
     while (!state->stopping) {
-        // An idle connection may wait long; from the first byte on a request has to come whole
-        // within the read timeout, or a caller that drips bytes would hold the place for ever.
+        // A connection may be idle for long. From its first byte on, a request must be received
+        // within the read timeout, or a caller that sends byte by byte keeps the connection busy
+        // for ever.
         if (buffer.size() == 0) {
             stream.expires_after(state->limits.idleTimeout);
             auto [idleError, idleBytes] =
@@ -209,7 +210,7 @@
         auto [error, bytes] = co_await http::async_read(stream, buffer, parser, nothrowAwaitable);
         if (error) {
             stream.expires_after(state->limits.writeTimeout);
-            co_await refuseUnreadable(stream, error);
+            co_await rejectMalformedRequest(stream, error);
             break;
         }
         stream.expires_never();
--- a/libs/transport/src/PeerServer.cpp
+++ b/libs/transport/src/PeerServer.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** One run served for a peer; gRPC and the coroutine each hold it until they are done. */
+/** A run served for a peer; gRPC and the coroutine each own it until they are done. */
 class RunReactor final : public grpc::ServerWriteReactor<v1::RunEvent>,
                          public RunSink,
                          public std::enable_shared_from_this<RunReactor>
@@ -48,7 +48,7 @@
         if (this->cancelled)
             handler();
         else
-            this->goneHandler = std::move(handler);
+            this->disconnectHandler = std::move(handler);
     }
 
     void finish(const grpc::Status &status)
@@ -71,7 +71,7 @@
         {
             const std::lock_guard guard(this->mutex);
             this->cancelled = true;
-            std::swap(handler, this->goneHandler);
+            std::swap(handler, this->disconnectHandler);
         }
         if (handler)
             handler();
@@ -87,7 +87,7 @@
     Completion pending;
     std::atomic<bool> cancelled{false};
     std::mutex mutex;
-    std::function<void()> goneHandler;
+    std::function<void()> disconnectHandler;
 };
 
 asio::awaitable<void> serveRun(const PeerHandlers &handlers, OpenCalls &calls,
@@ -99,12 +99,12 @@
         reactor->finish(grpc::Status::OK);
 }
 
-asio::awaitable<void> answerNews(const PeerHandlers &handlers, OpenCalls &calls, v1::PeerNews news,
-                                 v1::PeerNewsReply *reply, grpc::ServerUnaryReactor *reactor,
-                                 std::uint64_t call)
+asio::awaitable<void> serveTell(const PeerHandlers &handlers, OpenCalls &calls, v1::PeerNews news,
+                                v1::PeerNewsReply *reply, grpc::ServerUnaryReactor *reactor,
+                                std::uint64_t call)
 {
     v1::PeerNewsReply answer = co_await handlers.tell(std::move(news));
-    // After a shutdown has ended the call, its reply is gone.
+    // A shutdown has ended the call already; `reply` must not be used any more.
     if (!calls.take(call))
         co_return;
     *reply = std::move(answer);
@@ -142,7 +142,7 @@
         const std::uint64_t call =
             this->calls.add([reactor] { reactor->Finish(grpc::Status::CANCELLED); });
         asio::co_spawn(asio::make_strand(this->context),
-                       answerNews(this->handlers, this->calls, *news, reply, reactor, call),
+                       serveTell(this->handlers, this->calls, *news, reply, reactor, call),
                        asio::detached);
         return reactor;
     }
@@ -196,7 +196,8 @@
     grpc::ServerBuilder builder;
     builder.AddListeningPort(endpoint.text(), grpc::InsecureServerCredentials(), &this->impl->port);
     builder.SetMaxReceiveMessageSize(maxMessageBytes);
-    // Two daemons on one port would each get half of the news; the second has to fail instead.
+    // With SO_REUSEPORT, two daemons on one port would each get a part of the peers' messages; the
+    // second one has to fail instead.
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.RegisterService(&this->impl->service);
     this->impl->server = builder.BuildAndStart();
--- a/tools/monsoonbayctl/src/Client.h
+++ b/tools/monsoonbayctl/src/Client.h
@@ -6,10 +6,10 @@
 
 namespace monsoonbay::ctl {
 
-/** One call, to its end. */
-HttpResult callNow(const Endpoint &endpoint, const HttpCall &call);
+/** Sends a request and waits for the whole response, up to 10 s. */
+HttpResult sendCall(const Endpoint &endpoint, const HttpCall &call);
 
-/** GET of a path. */
-HttpResult getNow(const Endpoint &endpoint, const std::string &path);
+/** Sends a GET request for a path. */
+HttpResult sendGet(const Endpoint &endpoint, const std::string &path);
 
 } // namespace monsoonbay::ctl
