--- a/tests/src/Failures.cpp
+++ b/tests/src/Failures.cpp
@@ -1,6 +1,6 @@
 // VMs that die, leave and join; manifests that race; platform outages.
 
-#include "World.h"
+#include "TestCluster.h"
 
 #include <thread>
 
--- a/tests/src/Path.cpp
+++ b/tests/src/RequestPath.cpp
@@ -1,6 +1,6 @@
 // The whole path under faults: what a caller sees, and what ran.
 
-#include "World.h"
+#include "TestCluster.h"
 
 #include <thread>
 
--- a/tests/src/World.cpp
+++ b/tests/src/TestCluster.cpp
@@ -1,4 +1,4 @@
-#include "World.h"
+#include "TestCluster.h"
 
 #include <algorithm>
 #include <chrono>
