--- a/tests/src/RequestPath.cpp
+++ b/tests/src/RequestPath.cpp
@@ -9,18 +9,18 @@
 using namespace monsoonbay;
 using namespace monsoonbay::e2e;
 
-Test(path, answers_whole_and_streamed_from_any_entry_vm)
+Test(request_path, buffered_and_streamed_answers_from_any_entry_vm)
 {
-    World world(
+    TestCluster cluster(
         {.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}, {"vm-3", "zone-b"}}, .engines = 2});
-    cr_assert(world.up());
+    cr_assert(cluster.waitUntilReady());
     for (std::size_t vm = 0; vm < 3; ++vm) {
         for (const bool stream : {false, true}) {
             for (const char *adapter : {"a0@1", "a1@1"}) {
                 const HttpResult result =
-                    world.ask({.adapter = adapter, .tokens = 7, .stream = stream}, vm);
+                    cluster.sendRequest({.adapter = adapter, .tokens = 7, .stream = stream}, vm);
                 cr_assert_eq(result.status, 200, "%s", result.body.c_str());
-                const AnswerText answer = textOf(result);
+                const ReceivedAnswer answer = receivedAnswer(result);
                 cr_assert(answer.complete);
                 cr_assert_eq(answer.text, expectedText(adapter, 7));
             }
@@ -28,13 +28,13 @@
     }
 }
 
-Test(path, refusals_name_their_kind_and_did_not_run)
+Test(request_path, refusals_name_their_type_and_say_not_run)
 {
-    World world({});
-    cr_assert(world.up());
+    TestCluster cluster({});
+    cr_assert(cluster.waitUntilReady());
     struct Case
     {
-        Ask ask;
+        TestRequest request;
         int status;
         const char *kind;
     };
@@ -48,122 +48,124 @@
         {{.path = "/nowhere", .method = "GET"}, 404, "unknown-service"},
     };
     for (const Case &refused : cases) {
-        const HttpResult result = world.ask(refused.ask);
+        const HttpResult result = cluster.sendRequest(refused.request);
         cr_assert_eq(result.status, refused.status, "%s: %s", refused.kind, result.body.c_str());
-        cr_assert_eq(problemOf(result), refused.kind);
-        cr_assert(saysNotRun(result));
+        cr_assert_eq(problemType(result), refused.kind);
+        cr_assert(isMarkedNotRun(result));
     }
-    cr_assert_eq(world.engineStatus().value("requests", 99), 0);
+    cr_assert_eq(cluster.engineStatus().value("requests", 99), 0);
 }
 
 // Symptom: a summary was lost although the engine had finished it. Sequence: the connection breaks
 // after the effect, before the answer. Cause to rule out: the answer is not fetched by its id.
-Test(path, a_lost_answer_of_the_engine_is_fetched_not_run_again)
+Test(request_path, a_lost_answer_is_fetched_from_the_engine_not_run_again)
 {
-    World world({});
-    cr_assert(world.up());
-    cr_assert_eq(world.ask({}).status, 200);
+    TestCluster cluster({});
+    cr_assert(cluster.waitUntilReady());
+    cr_assert_eq(cluster.sendRequest({}).status, 200);
     for (const bool stream : {false, true}) {
-        world.fault(world.engines[0], "lostAnswer", 1);
-        const HttpResult result = world.ask(
+        cluster.injectFault(cluster.engines[0], "lostAnswer", 1);
+        const HttpResult result = cluster.sendRequest(
             {.tokens = 9, .stream = stream, .headers = {{"Monsoonbay-Non-Idempotent", "true"}}});
         cr_assert_eq(result.status, 200, "%s", result.body.c_str());
-        cr_assert(textOf(result).complete);
-        cr_assert_eq(textOf(result).text, expectedText("a0@1", 9));
+        cr_assert(receivedAnswer(result).complete);
+        cr_assert_eq(receivedAnswer(result).text, expectedText("a0@1", 9));
     }
-    cr_assert(World::eventually([&] { return world.engineStatus().value("requests", 0) == 3; }));
-    cr_assert_eq(world.engineStatus().value("twiceRun", 99), 0);
+    cr_assert(
+        TestCluster::eventually([&] { return cluster.engineStatus().value("requests", 0) == 3; }));
+    cr_assert_eq(cluster.engineStatus().value("twiceRun", 99), 0);
 }
 
 // Symptom: a crew was booked twice. Sequence: the plain service booked, its answer was lost.
 // Cause to rule out: the call is sent again, to this or another target.
-Test(path, a_lost_answer_of_a_booking_is_told_as_may_have_run)
+Test(request_path, a_lost_answer_of_a_non_idempotent_call_is_reported_as_may_have_run)
 {
-    World world({.plainServices = 2});
-    cr_assert(world.up());
-    for (const Endpoint &plain : world.plains)
-        world.fault(plain, "lostAnswer", 1);
-    const HttpResult result = world.ask({.path = "/tiles/book", .body = "crew 7"});
+    TestCluster cluster({.plainServices = 2});
+    cr_assert(cluster.waitUntilReady());
+    for (const Endpoint &plain : cluster.plainServiceEndpoints)
+        cluster.injectFault(plain, "lostAnswer", 1);
+    const HttpResult result = cluster.sendRequest({.path = "/tiles/book", .body = "crew 7"});
     cr_assert_eq(result.status, 502);
-    cr_assert_eq(problemOf(result), "may-have-run");
-    cr_assert_not(saysNotRun(result));
+    cr_assert_eq(problemType(result), "may-have-run");
+    cr_assert_not(isMarkedNotRun(result));
     const int effects =
-        world.plainStatus(0).value("effects", 0) + world.plainStatus(1).value("effects", 0);
+        cluster.plainStatus(0).value("effects", 0) + cluster.plainStatus(1).value("effects", 0);
     cr_assert_eq(effects, 1);
 }
 
-Test(path, an_idempotent_call_with_a_lost_answer_is_tried_again)
+Test(request_path, an_idempotent_call_with_a_lost_answer_is_retried)
 {
-    World world({});
-    cr_assert(world.up());
-    world.fault(world.plains[0], "lostAnswer", 1);
-    const HttpResult result = world.ask({.path = "/tiles/sheet/4", .method = "GET"});
+    TestCluster cluster({});
+    cr_assert(cluster.waitUntilReady());
+    cluster.injectFault(cluster.plainServiceEndpoints[0], "lostAnswer", 1);
+    const HttpResult result = cluster.sendRequest({.path = "/tiles/sheet/4", .method = "GET"});
     cr_assert_eq(result.status, 200);
-    cr_assert_eq(world.plainStatus().value("effects", 0), 2);
+    cr_assert_eq(cluster.plainStatus().value("effects", 0), 2);
 }
 
 // Symptom: a clerk read a neighbour's answer. Sequence: the engine answers for another adapter, or
 // another request's answer arrives. Cause to rule out: the answer is passed on unread.
-Test(path, wrong_and_crossed_answers_are_never_passed_on)
+Test(request_path, wrong_and_crossed_answers_never_reach_the_caller)
 {
-    World world({});
-    cr_assert(world.up());
-    cr_assert_eq(world.ask({}).status, 200);
+    TestCluster cluster({});
+    cr_assert(cluster.waitUntilReady());
+    cr_assert_eq(cluster.sendRequest({}).status, 200);
     for (const char *fault : {"wrongAdapter", "crossed"}) {
-        world.fault(world.engines[0], fault, 1);
-        const HttpResult result = world.ask({.headers = {{"Monsoonbay-Non-Idempotent", "true"}}});
+        cluster.injectFault(cluster.engines[0], fault, 1);
+        const HttpResult result =
+            cluster.sendRequest({.headers = {{"Monsoonbay-Non-Idempotent", "true"}}});
         cr_assert_eq(result.status, 502, "%s", fault);
-        cr_assert_eq(problemOf(result), "wrong-answer");
+        cr_assert_eq(problemType(result), "wrong-answer");
     }
-    world.fault(world.engines[0], "wrongAdapter", 1);
+    cluster.injectFault(cluster.engines[0], "wrongAdapter", 1);
     const HttpResult streamed =
-        world.ask({.stream = true, .headers = {{"Monsoonbay-Non-Idempotent", "true"}}});
+        cluster.sendRequest({.stream = true, .headers = {{"Monsoonbay-Non-Idempotent", "true"}}});
     cr_assert_eq(streamed.status, 502);
     cr_assert_eq(streamed.body.find("neighbour"), std::string::npos);
 }
 
 // Symptom: tokens stood twice in an answer; another ended early and was taken for whole.
-Test(path, duplicated_and_short_streams_arrive_whole_and_once)
+Test(request_path, duplicated_and_truncated_streams_arrive_complete_and_once)
 {
-    World world({});
-    cr_assert(world.up());
-    cr_assert_eq(world.ask({}).status, 200);
+    TestCluster cluster({});
+    cr_assert(cluster.waitUntilReady());
+    cr_assert_eq(cluster.sendRequest({}).status, 200);
     for (const char *fault : {"duplicate", "short"}) {
-        world.fault(world.engines[0], fault, 1);
-        const HttpResult result = world.ask({.tokens = 12, .stream = true});
+        cluster.injectFault(cluster.engines[0], fault, 1);
+        const HttpResult result = cluster.sendRequest({.tokens = 12, .stream = true});
         cr_assert_eq(result.status, 200);
-        cr_assert(textOf(result).complete, "%s", fault);
-        cr_assert_eq(textOf(result).text, expectedText("a0@1", 12), "%s", fault);
+        cr_assert(receivedAnswer(result).complete, "%s", fault);
+        cr_assert_eq(receivedAnswer(result).text, expectedText("a0@1", 12), "%s", fault);
     }
 }
 
 // Symptom: an answer stopped in the middle and looked whole. Sequence: the engine restarts under a
 // stream and forgets it. Cause to rule out: the end of the connection is taken for the end.
-Test(path, an_engine_restart_under_a_stream_is_told_as_broken)
+Test(request_path, an_engine_restart_during_a_stream_is_reported_as_broken)
 {
-    World world({.stepMs = 20});
-    cr_assert(world.up());
-    cr_assert_eq(world.ask({}).status, 200);
-    const std::size_t running = world.begin({.tokens = 200, .stream = true});
-    cr_assert(World::eventually([&] { return world.runsNow(2); }));
-    world.fault(world.engines[0], "restart", 1);
-    const HttpResult result = world.join(running);
-    cr_assert_not(textOf(result).complete);
+    TestCluster cluster({.stepMs = 20});
+    cr_assert(cluster.waitUntilReady());
+    cr_assert_eq(cluster.sendRequest({}).status, 200);
+    const std::size_t running = cluster.startRequest({.tokens = 200, .stream = true});
+    cr_assert(TestCluster::eventually([&] { return cluster.reportsRequests(2); }));
+    cluster.injectFault(cluster.engines[0], "restart", 1);
+    const HttpResult result = cluster.awaitResult(running);
+    cr_assert_not(receivedAnswer(result).complete);
     cr_assert_neq(result.body.find("event: error"), std::string::npos);
     cr_assert_neq(result.body.find("\"notRun\":false"), std::string::npos);
-    cr_assert_eq(world.ask({.tokens = 3}).status, 200, "the engine is used again");
+    cr_assert_eq(cluster.sendRequest({.tokens = 3}).status, 200, "the engine is used again");
 }
 
 // Symptom: engines worked for callers who had hung up. Cause to rule out: nobody tells the engine.
-Test(path, a_caller_who_goes_away_cancels_the_engines_work)
+Test(request_path, a_caller_that_disconnects_cancels_the_engines_work)
 {
-    World world({.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}}, .stepMs = 20});
-    cr_assert(world.up());
-    cr_assert_eq(world.ask({}).status, 200);
+    TestCluster cluster({.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}}, .stepMs = 20});
+    cr_assert(cluster.waitUntilReady());
+    cr_assert_eq(cluster.sendRequest({}).status, 200);
     for (std::size_t vm = 0; vm < 2; ++vm) {
-        cr_assert(world.leaveEarly({.tokens = 5000, .stream = true}, vm));
-        cr_assert(World::eventually([&] {
-            const Json status = world.engineStatus();
+        cr_assert(cluster.disconnectMidStream({.tokens = 5000, .stream = true}, vm));
+        cr_assert(TestCluster::eventually([&] {
+            const Json status = cluster.engineStatus();
             return status.value("running", 1) == 0 && status.value("queued", 1) == 0;
         }));
     }
@@ -171,76 +173,78 @@
 
 // Symptom: an adapter was evicted under a running request. Sequence: every slot runs, another
 // adapter is asked for. Cause to rule out: the load does not wait for a slot.
-Test(path, nothing_is_evicted_while_every_slot_runs)
+Test(request_path, no_adapter_is_evicted_while_every_slot_is_running)
 {
-    World world({.slots = 2, .stepMs = 10});
-    cr_assert(world.up());
-    const std::size_t first = world.begin({.adapter = "a0@1", .tokens = 150, .stream = true});
-    const std::size_t second = world.begin({.adapter = "a1@1", .tokens = 150, .stream = true});
-    cr_assert(World::eventually([&] { return world.runsNow(2, 2); }));
-    const std::size_t third = world.begin({.adapter = "a2@1", .tokens = 3});
+    TestCluster cluster({.slots = 2, .stepMs = 10});
+    cr_assert(cluster.waitUntilReady());
+    const std::size_t first =
+        cluster.startRequest({.adapter = "a0@1", .tokens = 150, .stream = true});
+    const std::size_t second =
+        cluster.startRequest({.adapter = "a1@1", .tokens = 150, .stream = true});
+    cr_assert(TestCluster::eventually([&] { return cluster.reportsRequests(2, 2); }));
+    const std::size_t third = cluster.startRequest({.adapter = "a2@1", .tokens = 3});
     for (const std::size_t request : {first, second, third}) {
-        const HttpResult result = world.join(request);
+        const HttpResult result = cluster.awaitResult(request);
         cr_assert_eq(result.status, 200, "%s", result.body.c_str());
-        cr_assert(textOf(result).complete);
+        cr_assert(receivedAnswer(result).complete);
     }
-    cr_assert_eq(world.engineStatus().value("evictedUnderRun", 99), 0);
+    cr_assert_eq(cluster.engineStatus().value("evictedUnderRun", 99), 0);
 }
 
 // Symptom: repeats of a booking with the same key ran again, or got another answer.
-Test(path, repeats_with_one_key_run_once_through_any_entry_vm)
+Test(request_path, retries_with_one_idempotency_key_run_once_through_any_entry_vm)
 {
-    World world({.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}, {"vm-3", "zone-a"}}});
-    cr_assert(world.up());
-    const Ask booking{
+    TestCluster cluster({.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}, {"vm-3", "zone-a"}}});
+    cr_assert(cluster.waitUntilReady());
+    const TestRequest booking{
         .path = "/tiles/book", .body = "crew 7", .headers = {{"Idempotency-Key", "k1"}}};
     HttpResult first;
     // The holders know only after a lifetime of records; until then the key is refused, not risked.
-    cr_assert(World::eventually([&] {
-        first = world.ask(booking, 0);
+    cr_assert(TestCluster::eventually([&] {
+        first = cluster.sendRequest(booking, 0);
         return first.status == 200;
     }));
     for (std::size_t vm = 0; vm < 3; ++vm) {
-        const HttpResult again = world.ask(booking, vm);
+        const HttpResult again = cluster.sendRequest(booking, vm);
         cr_assert_eq(again.status, 200);
         cr_assert_eq(again.body, first.body);
     }
-    cr_assert_eq(world.plainStatus().value("effects", 0), 1);
-    Ask other = booking;
+    cr_assert_eq(cluster.plainStatus().value("effects", 0), 1);
+    TestRequest other = booking;
     other.body = "crew 8";
-    cr_assert_eq(problemOf(world.ask(other, 1)), "key-conflict");
+    cr_assert_eq(problemType(cluster.sendRequest(other, 1)), "key-conflict");
 }
 
 // Symptom: garbage on the callers' port took the daemon down.
-Test(path, garbage_is_refused_and_loses_nothing)
+Test(request_path, malformed_input_does_not_stop_the_daemon)
 {
-    World world({});
-    cr_assert(world.up());
+    TestCluster cluster({});
+    cr_assert(cluster.waitUntilReady());
     const std::string huge(5 * 1024 * 1024, 'x');
-    const HttpResult tooLarge = world.ask({.body = huge});
+    const HttpResult tooLarge = cluster.sendRequest({.body = huge});
     cr_assert(tooLarge.status == 413 || tooLarge.error);
     for (const std::string &bytes :
          {std::string("\x16\x03\x01 not http\r\n\r\n"), std::string("GET"),
           std::string("POST / HTTP/1.1\r\nContent-Length: 50\r\n\r\nshort")}) {
-        world.sendBytes(bytes, 0);
+        cluster.sendBytes(bytes, 0);
     }
-    cr_assert_eq(world.ask({}).status, 200);
+    cr_assert_eq(cluster.sendRequest({}).status, 200);
 }
 
 // Symptom: a slow answer could not be followed across VMs. Cause to rule out: a hop without a span,
 // or one whose parent is not the hop before it.
-Test(path, every_hop_has_a_span_below_the_callers)
+Test(request_path, every_hop_has_a_span_below_the_callers_span)
 {
-    World world({.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}}});
-    cr_assert(world.up());
+    TestCluster cluster({.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}}});
+    cr_assert(cluster.waitUntilReady());
     const std::string trace = "0af7651916cd43dd8448eb211c80319c";
     const std::string caller = "b7ad6b7169203331";
-    const Ask traced{.headers = {{"traceparent", "00-" + trace + "-" + caller + "-01"}}};
+    const TestRequest traced{.headers = {{"traceparent", "00-" + trace + "-" + caller + "-01"}}};
     for (std::size_t vm = 0; vm < 2; ++vm)
-        cr_assert_eq(world.ask(traced, vm).status, 200);
+        cr_assert_eq(cluster.sendRequest(traced, vm).status, 200);
     const auto spansOf = [&](const std::string &name) {
         const Json spans =
-            Json::parse(world.get(world.collector, "/v1/spans").body, nullptr, false);
+            Json::parse(cluster.get(cluster.collector, "/v1/spans").body, nullptr, false);
         std::vector<Json> found;
         for (const Json &span : spans) {
             if (span.value("traceId", "") == trace && span.value("name", "") == name)
@@ -248,13 +252,13 @@
         }
         return found;
     };
-    cr_assert(World::eventually(
+    cr_assert(TestCluster::eventually(
         [&] { return spansOf("ingress").size() == 2 && spansOf("owner run").size() == 2; }));
     for (const Json &ingress : spansOf("ingress")) {
         cr_assert_eq(ingress.value("parentSpanId", ""), caller);
-        int below = 0;
+        int childSpans = 0;
         for (const Json &owner : spansOf("owner run"))
-            below += owner.value("parentSpanId", "") == ingress.value("spanId", "") ? 1 : 0;
-        cr_assert_eq(below, 1);
+            childSpans += owner.value("parentSpanId", "") == ingress.value("spanId", "") ? 1 : 0;
+        cr_assert_eq(childSpans, 1);
     }
 }
--- a/tests/src/TestCluster.cpp
+++ b/tests/src/TestCluster.cpp
@@ -16,38 +16,40 @@
 
 namespace {
 
-constexpr auto pollEvery = std::chrono::milliseconds(20);
-constexpr auto patience = std::chrono::seconds(30);
+constexpr auto pollInterval = std::chrono::milliseconds(20);
+constexpr auto timeLimit = std::chrono::seconds(30);
 
-HttpResult callNow(const Endpoint &endpoint, const HttpCall &call)
+HttpResult callWithTimeLimit(const Endpoint &endpoint, const HttpCall &call)
 {
-    return callBlocking(endpoint, call, patience);
+    return callBlocking(endpoint, call, timeLimit);
 }
 
-HttpCall callOf(const Ask &ask)
+HttpCall toHttpCall(const TestRequest &request)
 {
     HttpCall call;
-    call.method = ask.method;
-    call.path = ask.path;
-    call.body = ask.body;
-    if (ask.body.empty() && ask.path.starts_with("/v1/"))
-        call.body =
-            Json{{"model", ask.adapter}, {"max_tokens", ask.tokens}, {"stream", ask.stream}}.dump();
-    call.headers = ask.headers;
-    call.headers.push_back({"Authorization", "Bearer " + ask.token});
+    call.method = request.method;
+    call.path = request.path;
+    call.body = request.body;
+    if (request.body.empty() && request.path.starts_with("/v1/"))
+        call.body = Json{{"model", request.adapter},
+                         {"max_tokens", request.tokens},
+                         {"stream", request.stream}}
+                        .dump();
+    call.headers = request.headers;
+    call.headers.push_back({"Authorization", "Bearer " + request.token});
     return call;
 }
 
 } // namespace
 
-struct World::Pending
+struct TestCluster::PendingRequest
 {
     HttpResult result;
     std::thread thread;
 };
 
-World::World(WorldSpec wanted)
-    : spec(std::move(wanted))
+TestCluster::TestCluster(TestClusterSpec requested)
+    : spec(std::move(requested))
 {
     this->store = this->host.store({.listen = {}, .loadsPerSecond = this->spec.loadsPerSecond});
     this->log = this->host.log({});
@@ -63,23 +65,24 @@
         this->engines.push_back(this->host.engine(options));
     }
     for (int index = 0; index < this->spec.plainServices; ++index)
-        this->plains.push_back(this->host.plainService({"plain-" + std::to_string(index), {}, 1}));
+        this->plainServiceEndpoints.push_back(
+            this->host.plainService({"plain-" + std::to_string(index), {}, 1}));
     this->daemons.resize(this->spec.vms.size());
     for (std::size_t index = 0; index < this->spec.vms.size(); ++index)
-        this->start(index);
+        this->startVm(index);
     this->setVmList({});
     this->publish("manifest", this->manifest());
 }
 
-World::~World()
+TestCluster::~TestCluster()
 {
-    for (const auto &request : this->pending) {
+    for (const auto &request : this->pendingRequests) {
         if (request->thread.joinable())
             request->thread.join();
     }
 }
 
-std::string World::manifest() const
+std::string TestCluster::manifest() const
 {
     Json adapters = Json::array();
     for (int index = 0; index < this->spec.adapters; ++index)
@@ -91,7 +94,7 @@
                            {"baseModel", "base"},
                            {"slots", this->spec.slots},
                            {"checksTokens", this->spec.checksTokens}});
-    for (std::size_t index = 0; index < this->plains.size(); ++index)
+    for (std::size_t index = 0; index < this->plainServiceEndpoints.size(); ++index)
         targets.push_back({{"name", "plain-" + std::to_string(index)}, {"plainService", "tiles"}});
     const Json service{{"name", "viewer"},
                        {"tokenSha256", sha256Hex("secret")},
@@ -110,7 +113,7 @@
         .dump();
 }
 
-void World::start(std::size_t vm)
+void TestCluster::startVm(std::size_t vm)
 {
     Settings settings;
     settings.vm = this->spec.vms[vm].name;
@@ -126,7 +129,7 @@
     this->daemons[vm] = std::make_unique<Daemon>(settings);
 }
 
-void World::setVmList(const std::map<std::string, std::string> &states)
+void TestCluster::setVmList(const std::map<std::string, std::string> &states)
 {
     Json vms = Json::array();
     const auto add = [&](const std::string &name, const std::string &kind, const std::string &zone,
@@ -147,17 +150,17 @@
     for (std::size_t index = 0; index < this->engines.size(); ++index)
         add("engine-" + std::to_string(index), "model",
             this->spec.vms[index % this->spec.vms.size()].zone, this->engines[index].port);
-    for (std::size_t index = 0; index < this->plains.size(); ++index)
+    for (std::size_t index = 0; index < this->plainServiceEndpoints.size(); ++index)
         add("plain-" + std::to_string(index), "app", this->spec.vms[0].zone,
-            this->plains[index].port);
+            this->plainServiceEndpoints[index].port);
     HttpCall put;
     put.method = "PUT";
     put.path = "/v1/vms";
     put.body = vms.dump();
-    callNow(this->vmList, put);
+    callWithTimeLimit(this->vmList, put);
 }
 
-bool World::up()
+bool TestCluster::waitUntilReady()
 {
     return eventually([this] {
         for (std::size_t index = 0; index < this->daemons.size(); ++index) {
@@ -176,65 +179,67 @@
     });
 }
 
-Endpoint World::operators(std::size_t vm) const
+Endpoint TestCluster::operatorsEndpoint(std::size_t vm) const
 {
     return {"127.0.0.1", this->daemons[vm]->ports().operators};
 }
 
-HttpResult World::call(const Endpoint &endpoint, const HttpCall &call)
+HttpResult TestCluster::call(const Endpoint &endpoint, const HttpCall &call)
 {
-    return callNow(endpoint, call);
+    return callWithTimeLimit(endpoint, call);
 }
 
-HttpResult World::get(const Endpoint &endpoint, const std::string &path)
+HttpResult TestCluster::get(const Endpoint &endpoint, const std::string &path)
 {
     HttpCall call;
     call.path = path;
-    return callNow(endpoint, call);
+    return callWithTimeLimit(endpoint, call);
 }
 
-HttpResult World::ask(const Ask &ask, std::size_t vm)
+HttpResult TestCluster::sendRequest(const TestRequest &request, std::size_t vm)
 {
-    return callNow({"127.0.0.1", this->daemons[vm]->ports().callers}, callOf(ask));
+    return callWithTimeLimit({"127.0.0.1", this->daemons[vm]->ports().callers},
+                             toHttpCall(request));
 }
 
-std::size_t World::begin(const Ask &ask, std::size_t vm)
+std::size_t TestCluster::startRequest(const TestRequest &request, std::size_t vm)
 {
-    auto request = std::make_shared<Pending>();
+    auto pending = std::make_shared<PendingRequest>();
     const Endpoint endpoint{"127.0.0.1", this->daemons[vm]->ports().callers};
-    request->thread = std::thread(
-        [request, endpoint, call = callOf(ask)] { request->result = callNow(endpoint, call); });
-    this->pending.push_back(request);
-    return this->pending.size() - 1;
+    pending->thread = std::thread([pending, endpoint, call = toHttpCall(request)] {
+        pending->result = callWithTimeLimit(endpoint, call);
+    });
+    this->pendingRequests.push_back(pending);
+    return this->pendingRequests.size() - 1;
 }
 
-HttpResult World::join(std::size_t number)
+HttpResult TestCluster::awaitResult(std::size_t number)
 {
-    this->pending[number]->thread.join();
-    return this->pending[number]->result;
+    this->pendingRequests[number]->thread.join();
+    return this->pendingRequests[number]->result;
 }
 
-bool World::leaveEarly(const Ask &ask, std::size_t vm)
+bool TestCluster::disconnectMidStream(const TestRequest &request, std::size_t vm)
 {
     asio::io_context context(1);
     HttpClient client(context);
-    bool begun = false;
+    bool answerStarted = false;
     const Endpoint endpoint{"127.0.0.1", this->daemons[vm]->ports().callers};
     const auto work = [&]() -> asio::awaitable<void> {
         HttpClientStream stream(client, endpoint);
-        HttpCall call = callOf(ask);
-        const HttpResult head = co_await stream.begin(std::move(call), patience);
+        HttpCall call = toHttpCall(request);
+        const HttpResult head = co_await stream.begin(std::move(call), timeLimit);
         std::string piece;
         co_await stream.read(piece);
-        begun = head.status == 200 && !piece.empty();
+        answerStarted = head.status == 200 && !piece.empty();
         stream.cancel();
     };
     asio::co_spawn(context, work(), asio::detached);
     context.run();
-    return begun;
+    return answerStarted;
 }
 
-void World::sendBytes(const std::string &bytes, std::size_t vm)
+void TestCluster::sendBytes(const std::string &bytes, std::size_t vm)
 {
     asio::io_context context;
     asio::ip::tcp::socket socket(context);
@@ -246,51 +251,52 @@
     socket.read_some(asio::buffer(answer), ignored);
 }
 
-Json World::status(std::size_t vm)
+Json TestCluster::status(std::size_t vm)
 {
-    const HttpResult result = this->get(this->operators(vm), "/v1/status");
+    const HttpResult result = this->get(this->operatorsEndpoint(vm), "/v1/status");
     return result.ok() ? Json::parse(result.body, nullptr, false) : Json();
 }
 
-Json World::engineStatus(std::size_t engine)
+Json TestCluster::engineStatus(std::size_t engine)
 {
     const HttpResult result = this->get(this->engines[engine], "/v1/status");
     return result.ok() ? Json::parse(result.body, nullptr, false) : Json();
 }
 
-bool World::runsNow(int requests, int running)
+bool TestCluster::reportsRequests(int requests, int running)
 {
     const Json status = this->engineStatus();
     return status.value("requests", 0) == requests && status.value("running", 0) == running;
 }
 
-Json World::plainStatus(std::size_t service)
+Json TestCluster::plainStatus(std::size_t service)
 {
-    return Json::parse(this->get(this->plains[service], "/v1/status").body, nullptr, false);
+    return Json::parse(this->get(this->plainServiceEndpoints[service], "/v1/status").body, nullptr,
+                       false);
 }
 
-void World::fault(const Endpoint &standin, const std::string &kind, int times, int ms)
+void TestCluster::injectFault(const Endpoint &standin, const std::string &kind, int times, int ms)
 {
     HttpCall call;
     call.method = "POST";
     call.path = "/control";
     call.body = Json{{"fault", kind}, {"times", times}, {"ms", ms}}.dump();
-    callNow(standin, call);
+    callWithTimeLimit(standin, call);
 }
 
-std::uint64_t World::publishRaw(const std::string &body)
+std::uint64_t TestCluster::appendPublication(const std::string &body)
 {
     HttpCall call;
     call.method = "POST";
     call.path = "/v1/append";
     call.body = Json{{"stream", "manifest"}, {"body", body}}.dump();
-    const HttpResult result = callNow(this->log, call);
+    const HttpResult result = callWithTimeLimit(this->log, call);
     const Json reply = Json::parse(result.body, nullptr, false);
     return reply.is_object() ? reply.value("offset", std::uint64_t{0}) : 0;
 }
 
-std::uint64_t World::publish(const std::string &kind, const std::string &content,
-                             const std::vector<std::string> &acknowledge)
+std::uint64_t TestCluster::publish(const std::string &kind, const std::string &content,
+                                   const std::vector<std::string> &acknowledge)
 {
     ManifestMark base;
     for (std::size_t index = 0; index < this->daemons.size(); ++index) {
@@ -303,27 +309,27 @@
                 status["manifest"].value("digest", "")};
         break;
     }
-    return this->publishRaw(writePublication(kind, base, acknowledge, content));
+    return this->appendPublication(writePublication(kind, base, acknowledge, content));
 }
 
-void World::kill(std::size_t vm)
+void TestCluster::killVm(std::size_t vm)
 {
     this->daemons[vm]->kill();
     this->daemons[vm].reset();
 }
 
-void World::shutdown(std::size_t vm)
+void TestCluster::shutDownVm(std::size_t vm)
 {
     this->daemons[vm]->requestShutdown();
 }
 
-bool World::eventually(const std::function<bool()> &condition)
+bool TestCluster::eventually(const std::function<bool()> &condition)
 {
-    const auto until = std::chrono::steady_clock::now() + patience;
+    const auto until = std::chrono::steady_clock::now() + timeLimit;
     while (std::chrono::steady_clock::now() < until) {
         if (condition())
             return true;
-        std::this_thread::sleep_for(pollEvery);
+        std::this_thread::sleep_for(pollInterval);
     }
     return false;
 }
@@ -336,9 +342,9 @@
     return text;
 }
 
-AnswerText textOf(const HttpResult &result)
+ReceivedAnswer receivedAnswer(const HttpResult &result)
 {
-    AnswerText answer;
+    ReceivedAnswer answer;
     if (!result.contentType.starts_with("text/event-stream")) {
         const Json json = Json::parse(result.body, nullptr, false);
         if (json.is_object() && json.contains("choices"))
@@ -359,7 +365,7 @@
     return answer;
 }
 
-std::string problemOf(const HttpResult &result)
+std::string problemType(const HttpResult &result)
 {
     const Json json = Json::parse(result.body, nullptr, false);
     const std::string type = json.is_object() ? json.value("type", "") : "";
@@ -367,7 +373,7 @@
     return type.starts_with(prefix) ? type.substr(prefix.size()) : type;
 }
 
-bool saysNotRun(const HttpResult &result)
+bool isMarkedNotRun(const HttpResult &result)
 {
     const Json json = Json::parse(result.body, nullptr, false);
     return json.is_object() && json.value("notRun", false);
--- a/tests/src/TestCluster.h
+++ b/tests/src/TestCluster.h
@@ -24,7 +24,7 @@
 };
 
 /** What a test runs on; small and quick unless it says otherwise. */
-struct WorldSpec
+struct TestClusterSpec
 {
     std::vector<VmSpec> vms{{"vm-1", "zone-a"}};
     int engines = 1;
@@ -39,7 +39,7 @@
 };
 
 /** A caller's request. */
-struct Ask
+struct TestRequest
 {
     std::string path = "/v1/completions";
     std::string method = "POST";
@@ -52,26 +52,26 @@
 };
 
 /** Daemons and stand-ins of one test; everything ends with it. */
-class World
+class TestCluster
 {
 public:
-    explicit World(WorldSpec spec);
-    ~World();
+    explicit TestCluster(TestClusterSpec spec);
+    ~TestCluster();
 
-    World(const World &) = delete;
-    World &operator=(const World &) = delete;
+    TestCluster(const TestCluster &) = delete;
+    TestCluster &operator=(const TestCluster &) = delete;
 
     /** Waits until every VM is ready and every engine is owned and usable. */
-    bool up();
+    bool waitUntilReady();
 
-    HttpResult ask(const Ask &ask, std::size_t vm = 0);
+    HttpResult sendRequest(const TestRequest &request, std::size_t vm = 0);
 
-    /** Begins a request on a thread of its own; the result is taken by `join`. */
-    std::size_t begin(const Ask &ask, std::size_t vm = 0);
-    HttpResult join(std::size_t number);
+    /** Begins a request on a thread of its own; the result is taken by awaitResult(). */
+    std::size_t startRequest(const TestRequest &request, std::size_t vm = 0);
+    HttpResult awaitResult(std::size_t number);
 
     /** Hangs up after the first piece of a streamed answer; false if none came. */
-    bool leaveEarly(const Ask &ask, std::size_t vm);
+    bool disconnectMidStream(const TestRequest &request, std::size_t vm);
 
     /** Sends bytes to the callers' port, closes, and reads what comes back. */
     void sendBytes(const std::string &bytes, std::size_t vm);
@@ -79,54 +79,54 @@
     Json status(std::size_t vm = 0);
     Json engineStatus(std::size_t engine = 0);
     /** True if the engine has taken `requests` in all and `running` of them run; its page lags. */
-    bool runsNow(int requests, int running = 1);
+    bool reportsRequests(int requests, int running = 1);
     Json plainStatus(std::size_t service = 0);
-    void fault(const Endpoint &standin, const std::string &kind, int times, int ms = 0);
+    void injectFault(const Endpoint &standin, const std::string &kind, int times, int ms = 0);
     std::uint64_t publish(const std::string &kind, const std::string &content,
                           const std::vector<std::string> &acknowledge = {});
-    std::uint64_t publishRaw(const std::string &body);
+    std::uint64_t appendPublication(const std::string &body);
     void setVmList(const std::map<std::string, std::string> &states);
-    void kill(std::size_t vm);
-    void start(std::size_t vm);
-    void shutdown(std::size_t vm);
+    void killVm(std::size_t vm);
+    void startVm(std::size_t vm);
+    void shutDownVm(std::size_t vm);
 
     HttpResult get(const Endpoint &endpoint, const std::string &path);
     HttpResult call(const Endpoint &endpoint, const HttpCall &call);
-    Endpoint operators(std::size_t vm) const;
+    Endpoint operatorsEndpoint(std::size_t vm) const;
 
     /** Polls until the condition holds; false if it does not within a generous time. */
     static bool eventually(const std::function<bool()> &condition);
 
     std::string manifest() const;
 
-    WorldSpec spec;
+    TestClusterSpec spec;
     standins::StandinHost host;
     Endpoint store;
     Endpoint log;
     Endpoint vmList;
     Endpoint collector;
     std::vector<Endpoint> engines;
-    std::vector<Endpoint> plains;
+    std::vector<Endpoint> plainServiceEndpoints;
     std::vector<std::unique_ptr<Daemon>> daemons;
 
 private:
-    struct Pending;
-    std::vector<std::shared_ptr<Pending>> pending;
+    struct PendingRequest;
+    std::vector<std::shared_ptr<PendingRequest>> pendingRequests;
 };
 
 /** The text that the engine stand-in gives for an adapter. */
 std::string expectedText(const std::string &adapter, int tokens);
 
 /** Text of a whole or streamed answer; tells if a stream was complete. */
-struct AnswerText
+struct ReceivedAnswer
 {
     std::string text;
     bool complete = false;
 };
-AnswerText textOf(const HttpResult &result);
+ReceivedAnswer receivedAnswer(const HttpResult &result);
 
 /** The problem type of a refusal, without its prefix. */
-std::string problemOf(const HttpResult &result);
-bool saysNotRun(const HttpResult &result);
+std::string problemType(const HttpResult &result);
+bool isMarkedNotRun(const HttpResult &result);
 
 } // namespace monsoonbay::e2e
