--- a/tests/src/Failures.cpp
+++ b/tests/src/Failures.cpp
@@ -1,4 +1,5 @@
-// VMs that die, leave and join; manifests that race; platform outages.
+// End-to-end tests of VMs that crash, shut down and join, of concurrent manifest publications, and
+// of platform outages.
 
 #include "TestCluster.h"
 
@@ -31,9 +32,9 @@
 
 } // namespace
 
-// Symptom: an answer broke off when an entry VM died. Sequence: the owner of the engine dies in the
-// middle of a stream that another VM serves. Cause to rule out: nobody takes the stream up at the
-// engine, where it goes on.
+// Guards against an answer that ends early when an entry VM crashes: the owner of the engine
+// crashes during a stream that another VM serves. That VM must resume the stream at the engine,
+// which goes on.
 Test(failures, a_stream_survives_the_death_of_the_engines_owner)
 {
     TestCluster cluster({.vms = threeVms, .stepMs = 20});
@@ -69,7 +70,7 @@
     }));
 }
 
-// Symptom: a rolling restart cut answers. Cause to rule out: the daemon ends before what it serves.
+// Guards against answers that a rolling restart aborts: the daemon ends before its requests do.
 Test(failures, a_graceful_shutdown_aborts_nothing)
 {
     TestCluster cluster({.vms = threeVms, .stepMs = 20});
@@ -129,12 +130,12 @@
         const std::string adapter = "a" + std::to_string(request % 3) + "@1";
         cr_assert_eq(cluster.sendRequest({.adapter = adapter}).status, 200);
     }
-    std::this_thread::sleep_for(std::chrono::milliseconds(700)); // the status page lags 500 ms
+    std::this_thread::sleep_for(
+        std::chrono::milliseconds(700)); // the engine's status is up to 500 ms old
     cr_assert_eq(cluster.engineStatus(0).value("requests", -1), before);
 }
 
-// Symptom: load failures made callers wait to their deadlines. Sequence: the store fails every
-// load.
+// Guards against requests that wait until their deadline while the store fails every load.
 Test(failures, requests_waiting_for_a_failing_load_are_refused)
 {
     TestCluster cluster({});
@@ -148,7 +149,7 @@
     cr_assert(TestCluster::eventually([&] { return cluster.sendRequest({}).status == 200; }));
 }
 
-// Symptom: during a log outage the zone stopped, or a restarted VM served an old configuration.
+// Guards against a log outage that stops a zone, or makes a restarted VM use an old manifest.
 Test(failures, a_log_outage_neither_stops_requests_nor_reverts_the_manifest)
 {
     TestCluster cluster({.vms = threeVms});
@@ -165,14 +166,14 @@
     cr_assert(
         TestCluster::eventually([&] { return !cluster.status(0).value("logReachable", true); }));
     cr_assert_eq(cluster.sendRequest({.adapter = "a9@1"}, 0).status, 200);
-    // A VM that starts without the log takes the newest from a peer.
+    // A VM that starts without the log gets the newest manifest from a peer.
     cluster.killVm(2);
     cluster.startVm(2);
     cluster.setVmList({});
     cr_assert(TestCluster::eventually([&] { return inForce(2) == second; }));
     cr_assert(TestCluster::eventually(
         [&] { return cluster.sendRequest({.adapter = "a9@1"}, 2).status == 200; }));
-    // The owner dies too: the claim is zone-local now.
+    // The owner crashes too: without the log, the engine is claimed among the VMs of the zone.
     const std::size_t owner = ownerOf(cluster, "engine-0", 0);
     const std::size_t other = owner == 0 ? 1 : 0;
     if (owner < 3) {
@@ -189,8 +190,8 @@
     cr_assert_eq(inForce(other), second);
 }
 
-// Symptom: two operators' manifests made minutes apart were mixed. Both are appended here; the
-// first wins everywhere, the second is told conflict by every VM.
+// Guards against a manifest that mixes two publications made from the same base. Both are appended
+// here: every VM must accept the first and report a conflict for the second.
 Test(failures, of_two_conflicting_publications_the_first_wins_on_every_vm)
 {
     TestCluster cluster({.vms = threeVms});
@@ -219,7 +220,7 @@
     cr_assert_eq(cluster.sendRequest({.adapter = "a5@1"}, 1).status, 200);
 }
 
-// Symptom: a running answer was cut when its adapter's version was replaced.
+// Guards against a running request that is aborted when its adapter's version is replaced.
 Test(failures, a_removed_adapter_is_refused_but_running_requests_finish)
 {
     TestCluster cluster({.stepMs = 20});
@@ -238,7 +239,7 @@
     cr_assert_eq(receivedAnswer(result).text, expectedText("a3@1", 120));
 }
 
-// Symptom: a new VM could not start after retention had taken the manifest's records.
+// Guards against a new VM that cannot start after log retention has deleted the manifest's records.
 Test(failures, a_new_vm_starts_from_the_snapshot_or_a_peer_after_truncation)
 {
     TestCluster cluster({.vms = threeVms});
--- a/tests/src/RequestPath.cpp
+++ b/tests/src/RequestPath.cpp
@@ -1,4 +1,4 @@
-// The whole path under faults: what a caller sees, and what ran.
+// End-to-end tests of requests under faults: what the caller receives, and what the targets ran.
 
 #include "TestCluster.h"
 
@@ -56,8 +56,8 @@
     cr_assert_eq(cluster.engineStatus().value("requests", 99), 0);
 }
 
-// Symptom: a summary was lost although the engine had finished it. Sequence: the connection breaks
-// after the effect, before the answer. Cause to rule out: the answer is not fetched by its id.
+// Guards against a lost answer that the engine had completed: its connection breaks after the run
+// and before the answer. The entry VM must fetch the answer from the engine by the request's id.
 Test(request_path, a_lost_answer_is_fetched_from_the_engine_not_run_again)
 {
     TestCluster cluster({});
@@ -76,8 +76,8 @@
     cr_assert_eq(cluster.engineStatus().value("twiceRun", 99), 0);
 }
 
-// Symptom: a crew was booked twice. Sequence: the plain service booked, its answer was lost.
-// Cause to rule out: the call is sent again, to this or another target.
+// Guards against a non-idempotent call that runs twice: the target ran it, but its answer was lost.
+// The call must not be retried at this or another target.
 Test(request_path, a_lost_answer_of_a_non_idempotent_call_is_reported_as_may_have_run)
 {
     TestCluster cluster({.plainServices = 2});
@@ -103,8 +103,8 @@
     cr_assert_eq(cluster.plainStatus().value("effects", 0), 2);
 }
 
-// Symptom: a clerk read a neighbour's answer. Sequence: the engine answers for another adapter, or
-// another request's answer arrives. Cause to rule out: the answer is passed on unread.
+// Guards against a caller that gets the answer of another adapter or another request because an
+// answer is forwarded without checking what it belongs to.
 Test(request_path, wrong_and_crossed_answers_never_reach_the_caller)
 {
     TestCluster cluster({});
@@ -124,7 +124,7 @@
     cr_assert_eq(streamed.body.find("neighbour"), std::string::npos);
 }
 
-// Symptom: tokens stood twice in an answer; another ended early and was taken for whole.
+// Guards against tokens that appear twice in an answer, and a truncated stream taken for complete.
 Test(request_path, duplicated_and_truncated_streams_arrive_complete_and_once)
 {
     TestCluster cluster({});
@@ -139,8 +139,8 @@
     }
 }
 
-// Symptom: an answer stopped in the middle and looked whole. Sequence: the engine restarts under a
-// stream and forgets it. Cause to rule out: the end of the connection is taken for the end.
+// Guards against an incomplete answer that looks complete: the engine restarts during a stream and
+// loses it, and the end of the connection is taken for the end of the stream.
 Test(request_path, an_engine_restart_during_a_stream_is_reported_as_broken)
 {
     TestCluster cluster({.stepMs = 20});
@@ -153,10 +153,11 @@
     cr_assert_not(receivedAnswer(result).complete);
     cr_assert_neq(result.body.find("event: error"), std::string::npos);
     cr_assert_neq(result.body.find("\"notRun\":false"), std::string::npos);
-    cr_assert_eq(cluster.sendRequest({.tokens = 3}).status, 200, "the engine is used again");
+    cr_assert_eq(cluster.sendRequest({.tokens = 3}).status, 200,
+                 "the restarted engine is used again");
 }
 
-// Symptom: engines worked for callers who had hung up. Cause to rule out: nobody tells the engine.
+// Guards against engines that go on with a request after its caller has disconnected.
 Test(request_path, a_caller_that_disconnects_cancels_the_engines_work)
 {
     TestCluster cluster({.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}}, .stepMs = 20});
@@ -171,8 +172,8 @@
     }
 }
 
-// Symptom: an adapter was evicted under a running request. Sequence: every slot runs, another
-// adapter is asked for. Cause to rule out: the load does not wait for a slot.
+// Guards against an adapter that is evicted while a request uses it: all slots are running and a
+// request needs another adapter, whose load must wait for a free slot.
 Test(request_path, no_adapter_is_evicted_while_every_slot_is_running)
 {
     TestCluster cluster({.slots = 2, .stepMs = 10});
@@ -191,7 +192,7 @@
     cr_assert_eq(cluster.engineStatus().value("evictedUnderRun", 99), 0);
 }
 
-// Symptom: repeats of a booking with the same key ran again, or got another answer.
+// Guards against retries with the same idempotency key that run again or get a different answer.
 Test(request_path, retries_with_one_idempotency_key_run_once_through_any_entry_vm)
 {
     TestCluster cluster({.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}, {"vm-3", "zone-a"}}});
@@ -199,7 +200,8 @@
     const TestRequest booking{
         .path = "/tiles/book", .body = "crew 7", .headers = {{"Idempotency-Key", "k1"}}};
     HttpResult first;
-    // The holders know only after a lifetime of records; until then the key is refused, not risked.
+    // The VMs that hold key records know all of them only after a record's lifetime; until then
+    // they refuse keys, because a former run might be unknown to them.
     cr_assert(TestCluster::eventually([&] {
         first = cluster.sendRequest(booking, 0);
         return first.status == 200;
@@ -215,7 +217,7 @@
     cr_assert_eq(problemType(cluster.sendRequest(other, 1)), "key-conflict");
 }
 
-// Symptom: garbage on the callers' port took the daemon down.
+// Guards against malformed input on the callers' port that crashes the daemon.
 Test(request_path, malformed_input_does_not_stop_the_daemon)
 {
     TestCluster cluster({});
@@ -231,8 +233,8 @@
     cr_assert_eq(cluster.sendRequest({}).status, 200);
 }
 
-// Symptom: a slow answer could not be followed across VMs. Cause to rule out: a hop without a span,
-// or one whose parent is not the hop before it.
+// Guards against traces that cannot be followed across VMs: a hop without a span, or with a span
+// whose parent is not that of the hop before it.
 Test(request_path, every_hop_has_a_span_below_the_callers_span)
 {
     TestCluster cluster({.vms = {{"vm-1", "zone-a"}, {"vm-2", "zone-a"}}});
--- a/tests/src/TestCluster.h
+++ b/tests/src/TestCluster.h
@@ -23,7 +23,7 @@
     std::string zone;
 };
 
-/** What a test runs on; small and quick unless it says otherwise. */
+/** Size and settings of a test cluster; the defaults are small and fast. */
 struct TestClusterSpec
 {
     std::vector<VmSpec> vms{{"vm-1", "zone-a"}};
@@ -38,7 +38,7 @@
     int shutdownSeconds = 20;
 };
 
-/** A caller's request. */
+/** A request that a caller sends. */
 struct TestRequest
 {
     std::string path = "/v1/completions";
@@ -46,12 +46,12 @@
     std::string adapter = "a0@1";
     int tokens = 5;
     bool stream = false;
-    std::string body; ///< instead of a completion, if not empty
+    std::string body; ///< sent instead of a completion request, if not empty
     std::vector<HttpHeader> headers;
     std::string token = "secret";
 };
 
-/** Daemons and stand-ins of one test; everything ends with it. */
+/** Daemons and stand-ins of one test, in this process; the destructor stops them. */
 class TestCluster
 {
 public:
@@ -66,19 +66,20 @@
 
     HttpResult sendRequest(const TestRequest &request, std::size_t vm = 0);
 
-    /** Begins a request on a thread of its own; the result is taken by awaitResult(). */
+    /** Sends a request on its own thread; pass the returned number to awaitResult(). */
     std::size_t startRequest(const TestRequest &request, std::size_t vm = 0);
     HttpResult awaitResult(std::size_t number);
 
-    /** Hangs up after the first piece of a streamed answer; false if none came. */
+    /** Disconnects after the first piece of a streamed answer; false if none arrived. */
     bool disconnectMidStream(const TestRequest &request, std::size_t vm);
 
-    /** Sends bytes to the callers' port, closes, and reads what comes back. */
+    /** Sends bytes to the callers' port, closes the sending side, and waits for an answer. */
     void sendBytes(const std::string &bytes, std::size_t vm);
 
     Json status(std::size_t vm = 0);
     Json engineStatus(std::size_t engine = 0);
-    /** True if the engine has taken `requests` in all and `running` of them run; its page lags. */
+    /** True if the engine reports `requests` in total, of which `running` are running; its report
+     * lags. */
     bool reportsRequests(int requests, int running = 1);
     Json plainStatus(std::size_t service = 0);
     void injectFault(const Endpoint &standin, const std::string &kind, int times, int ms = 0);
@@ -94,7 +95,7 @@
     HttpResult call(const Endpoint &endpoint, const HttpCall &call);
     Endpoint operatorsEndpoint(std::size_t vm) const;
 
-    /** Polls until the condition holds; false if it does not within a generous time. */
+    /** Polls until the condition holds; false if it does not within 30 s. */
     static bool eventually(const std::function<bool()> &condition);
 
     std::string manifest() const;
@@ -114,10 +115,10 @@
     std::vector<std::shared_ptr<PendingRequest>> pendingRequests;
 };
 
-/** The text that the engine stand-in gives for an adapter. */
+/** Text that the stand-in of an engine answers for an adapter. */
 std::string expectedText(const std::string &adapter, int tokens);
 
-/** Text of a whole or streamed answer; tells if a stream was complete. */
+/** Text of a buffered or streamed answer, and whether it is complete. */
 struct ReceivedAnswer
 {
     std::string text;
@@ -125,8 +126,9 @@
 };
 ReceivedAnswer receivedAnswer(const HttpResult &result);
 
-/** The problem type of a refusal, without its prefix. */
+/** Problem type of a refusal without its prefix "urn:monsoonbay:". */
 std::string problemType(const HttpResult &result);
+/** True if a refusal says that the request has not run. */
 bool isMarkedNotRun(const HttpResult &result);
 
 } // namespace monsoonbay::e2e
