--- a/tests/src/Failures.cpp
+++ b/tests/src/Failures.cpp
@@ -34,7 +34,7 @@
 
 // Guards against an answer that ends early when an entry VM crashes: the owner of the engine
 // crashes during a stream that another VM serves. That VM must resume the stream at the engine,
-// which goes on.
+// where the request is still running.
 Test(failures, a_stream_survives_the_death_of_the_engines_owner)
 {
     TestCluster cluster({.vms = threeVms, .stepMs = 20});
--- a/tests/src/TestCluster.h
+++ b/tests/src/TestCluster.h
@@ -31,10 +31,10 @@
     int plainServices = 1;
     int slots = 2;
     int adapters = 6;
-    double stepMs = 2;
-    double loadsPerSecond = 20;
-    bool checksTokens = true;
-    int keyMemorySeconds = 1;
+    double stepMs = 2; ///< time per decoding step of an engine
+    double loadsPerSecond = 20; ///< adapter loads that the weight store allows
+    bool checksTokens = true; ///< engines check fencing tokens
+    int keyMemorySeconds = 1; ///< how long idempotency keys are remembered
     int shutdownSeconds = 20;
 };
 
@@ -83,12 +83,18 @@
     bool reportsRequests(int requests, int running = 1);
     Json plainStatus(std::size_t service = 0);
     void injectFault(const Endpoint &standin, const std::string &kind, int times, int ms = 0);
+    /** Publishes a manifest change based on the manifest of the first VM that answers; returns its
+     * offset in the log, or 0. */
     std::uint64_t publish(const std::string &kind, const std::string &content,
                           const std::vector<std::string> &acknowledge = {});
+    /** Appends an encoded publication to the log; returns its offset, or 0. */
     std::uint64_t appendPublication(const std::string &body);
+    /** Replaces the VM list; a VM or target that is not in `states` is live. */
     void setVmList(const std::map<std::string, std::string> &states);
+    /** Ends a VM at once, as a crash would. */
     void killVm(std::size_t vm);
     void startVm(std::size_t vm);
+    /** Requests a graceful shutdown; a second request aborts what is in flight. */
     void shutDownVm(std::size_t vm);
 
     HttpResult get(const Endpoint &endpoint, const std::string &path);
