--- a/tools/loadgen/include/loadgen/Experiment.h
+++ b/tools/loadgen/include/loadgen/Experiment.h
@@ -4,7 +4,7 @@
 #include <string_view>
 #include <vector>
 
-#include "loadgen/VirtualRun.h"
+#include "loadgen/Simulation.h"
 
 namespace monsoonbay::loadgen {
 
--- a/tools/loadgen/src/VirtualRun.cpp
+++ b/tools/loadgen/src/Simulation.cpp
@@ -1,4 +1,4 @@
-#include "loadgen/VirtualRun.h"
+#include "loadgen/Simulation.h"
 
 #include <algorithm>
 #include <cassert>
--- a/tools/standins/src/Support.h
+++ b/tools/standins/src/Support.h
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "standins/Fault.h"
+#include "standins/FaultInjector.h"
 #include "transport/HttpServer.h"
 
 namespace monsoonbay::standins {
