--- a/tools/loadgen/include/loadgen/Deployment.h
+++ b/tools/loadgen/include/loadgen/Deployment.h
@@ -64,7 +64,8 @@
                          const std::string &placement);
 
 /** Command lines of all processes of the deployment, one a line, relative to the build folder. */
-std::vector<std::string> processLines(const Deployment &deployment, const std::string &folder);
+std::vector<std::string> processCommandLines(const Deployment &deployment,
+                                             const std::string &folder);
 
 /** Writes manifest, VM list, settings and process list; false if the folder cannot be written. */
 bool writePlan(const Deployment &deployment, const std::string &folder,
--- a/tools/loadgen/include/loadgen/Experiment.h
+++ b/tools/loadgen/include/loadgen/Experiment.h
@@ -12,10 +12,10 @@
 struct Experiment
 {
     std::string_view name;
-    std::string_view what;
-    VirtualOptions (*options)(const std::string &deployment);
-    double from; ///< the window that the table is about
-    double until;
+    std::string_view description;
+    SimulationOptions (*options)(const std::string &deployment);
+    double windowStart; ///< the window that the table is about
+    double windowEnd;
     int hotRanks; ///< 0: all requests
 };
 
--- a/tools/loadgen/include/loadgen/Load.h
+++ b/tools/loadgen/include/loadgen/Load.h
@@ -17,9 +17,9 @@
     double plainRequestsPerSecond = 20;
     double zipfExponent = 1.0;
     double streamedShare = 0.7;
-    double keyedShare = 0.1;
-    int leastTokens = 20;
-    int mostTokens = 120;
+    double idempotencyKeyShare = 0.1;
+    int minTokens = 20;
+    int maxTokens = 120;
     int deadlineMs = 20000;
     std::uint64_t seed = 1;
 };
@@ -42,9 +42,9 @@
     std::uint64_t answered = 0;
     std::uint64_t plainAnswered = 0;
     std::uint64_t failed = 0;
-    std::uint64_t wrong = 0; ///< answers of another adapter or request
-    std::uint64_t duplicate = 0; ///< a piece twice
-    std::uint64_t partial = 0; ///< passed off as whole, with pieces missing
+    std::uint64_t wrongAnswers = 0; ///< answers of another adapter or request
+    std::uint64_t streamsWithDuplicates = 0; ///< a piece twice
+    std::uint64_t truncated = 0; ///< passed off as whole, with pieces missing
     std::uint64_t transportErrors = 0;
     std::map<std::string, std::uint64_t> refusals; ///< by problem type
     std::vector<double> firstTokenSeconds;
@@ -58,8 +58,8 @@
     std::uint64_t steps = 0;
     std::uint64_t sequenceSteps = 0;
     std::uint64_t loads = 0;
-    std::uint64_t evictedUnderRun = 0;
-    std::uint64_t twiceRun = 0;
+    std::uint64_t evictionsInUse = 0;
+    std::uint64_t executedTwice = 0;
     int maxBatch = 1;
 
     double batchEfficiency() const noexcept
@@ -80,14 +80,15 @@
 };
 
 /** Publishes the manifest and waits until every entry VM has it in force and targets owned. */
-bool bringUp(const Deployment &deployment, const std::string &manifest, double patienceSeconds);
+bool publishAndAwaitReady(const Deployment &deployment, const std::string &manifest,
+                          double timeoutSeconds);
 
 LoadReport runLoad(const Deployment &deployment, const LoadOptions &options);
 /** Names of the adapters that a target reports as resident. */
-std::vector<std::string> readResident(const Target &target);
+std::vector<std::string> readResidentAdapters(const Target &target);
 
-EngineTotals readEngines(const Deployment &deployment);
-StallTotals readStalls(const Deployment &deployment);
+EngineTotals readEngineTotals(const Deployment &deployment);
+StallTotals readStallTotals(const Deployment &deployment);
 
 std::string reportTable(const LoadReport &report, const EngineTotals &engines,
                         const StallTotals &stalls);
--- a/tools/loadgen/include/loadgen/Simulation.h
+++ b/tools/loadgen/include/loadgen/Simulation.h
@@ -7,23 +7,23 @@
 namespace monsoonbay::loadgen {
 
 /** What happens during a virtual run. */
-enum class VirtualEventKind {
-    Shift, ///< yesterday's cold is today's hottest: the ranking is turned round
-    Flash, ///< one cold adapter is suddenly asked for at `value` requests a second
-    FlashEnds,
+enum class SimulationEventKind {
+    ReversePopularity, ///< yesterday's cold is today's hottest: the ranking is turned round
+    FlashCrowd, ///< one cold adapter is suddenly asked for at `value` requests a second
+    FlashCrowdEnds,
     RestartZone, ///< all engines of zone `value` restart cold
     StoreDown, ///< the store stands still for `value` seconds
 };
 
-struct VirtualEvent
+struct SimulationEvent
 {
     double at = 0;
-    VirtualEventKind kind = VirtualEventKind::Shift;
+    SimulationEventKind kind = SimulationEventKind::ReversePopularity;
     double value = 0;
 };
 
 /** A deployment in virtual time: small fakes of engines and store around the real decisions. */
-struct VirtualOptions
+struct SimulationOptions
 {
     std::string policy = "forecast"; ///< a placement policy, or "oracle", which knows the future
     int engines = 9;
@@ -37,44 +37,44 @@
     double seconds = 7200;
     double measuredFrom = 3600; ///< requests that arrive earlier only warm up
     double deadlineSeconds = 600;
-    int leastTokens = 60;
-    int mostTokens = 240;
+    int minTokens = 60;
+    int maxTokens = 240;
     double stepSeconds = 0.020;
     double stepSecondsPerSequence = 0.0005;
     double loadFailureShare = 0;
     double stallWeight = 0.8;
     double batchWeight = 0.2;
     std::uint64_t seed = 1;
-    std::vector<VirtualEvent> events;
+    std::vector<SimulationEvent> events;
 };
 
 /** One request as it went. */
-struct VirtualRequest
+struct SimulatedRequest
 {
     double arrived = 0;
-    double stalled = 0; ///< until its adapter was resident, or until it was refused
+    double stallSeconds = 0; ///< until its adapter was resident, or until it was refused
     int rank = 0; ///< popularity of its adapter, 0 the hottest
     bool refused = false;
-    bool late = false; ///< still waiting at its deadline
-    double refusedAfter = 0;
+    bool expired = false; ///< still waiting at its deadline
+    double secondsUntilRefused = 0;
 };
 
-struct VirtualReport
+struct SimulationReport
 {
-    std::vector<VirtualRequest> requests; ///< those that arrived from measuredFrom on
+    std::vector<SimulatedRequest> requests; ///< those that arrived from measuredFrom on
     double batchEfficiency = 0; ///< sequences a step over the batch, steps that ran
     std::uint64_t loads = 0;
     std::uint64_t prefetches = 0;
     std::uint64_t failedLoads = 0;
     double storeBusyShare = 0;
-    int mostLoadsAtOnce = 0;
-    std::uint64_t evictionsUnderRun = 0;
-    std::uint64_t wrongAdapter = 0;
+    int maxConcurrentLoads = 0;
+    std::uint64_t evictionsInUse = 0;
+    std::uint64_t dispatchesWithoutAdapter = 0;
     std::uint64_t shiftsSeen = 0;
 };
 
 /** Sums over the requests that arrived between two times. */
-struct VirtualSummary
+struct SimulationSummary
 {
     std::size_t requests = 0;
     double totalStall = 0;
@@ -84,13 +84,14 @@
     double p99 = 0;
     double stalledShare = 0;
     std::size_t refused = 0;
-    std::size_t late = 0;
-    double refusedSoonShare = 1; ///< refused within 100 ms of arrival
+    std::size_t expired = 0;
+    double promptRefusalShare = 1; ///< refused within 100 ms of arrival
 };
 
-VirtualReport runVirtually(const VirtualOptions &options);
+SimulationReport runSimulation(const SimulationOptions &options);
 
 /** `hotRanks` > 0 counts only requests of the adapters that are hotter than that rank. */
-VirtualSummary summarize(const VirtualReport &report, double from, double until, int hotRanks = 0);
+SimulationSummary summarize(const SimulationReport &report, double from, double until,
+                            int hotRanks = 0);
 
 } // namespace monsoonbay::loadgen
--- a/tools/loadgen/src/Deployment.cpp
+++ b/tools/loadgen/src/Deployment.cpp
@@ -14,7 +14,7 @@
 using Json = nlohmann::json;
 
 /** How many of a kind stand in each zone, in the zones' order. */
-struct Spread
+struct VmCounts
 {
     std::vector<int> entryVms;
     std::vector<int> models;
@@ -29,17 +29,17 @@
         + std::to_string(number);
 }
 
-void place(Deployment &deployment, int network, const Spread &spread)
+void addVms(Deployment &deployment, int network, const VmCounts &counts)
 {
     for (std::size_t zone = 0; zone < deployment.zones.size(); ++zone) {
         const std::string &name = deployment.zones[zone];
-        for (int index = 0; index < spread.entryVms[zone]; ++index)
+        for (int index = 0; index < counts.entryVms[zone]; ++index)
             deployment.entryVms.push_back({name + "-entry-" + std::to_string(index + 1), name,
                                            addressOf(network, zone, 10 + index)});
-        for (int index = 0; index < spread.models[zone]; ++index)
+        for (int index = 0; index < counts.models[zone]; ++index)
             deployment.targets.push_back({name + "-model-" + std::to_string(index + 1), name,
                                           addressOf(network, zone, 50 + index), true, index != 1});
-        for (int index = 0; index < spread.apps[zone]; ++index)
+        for (int index = 0; index < counts.apps[zone]; ++index)
             deployment.targets.push_back({name + "-app-" + std::to_string(index + 1), name,
                                           addressOf(network, zone, 100 + index), false, true});
     }
@@ -54,7 +54,7 @@
     deployment.stallWeight = 0.8;
     deployment.batchWeight = 0.2;
     deployment.baseModel = "bauakte";
-    place(deployment, 41, Spread{{2, 2, 2, 1}, {3, 2, 2, 2}, {1, 1, 1, 1}});
+    addVms(deployment, 41, VmCounts{{2, 2, 2, 1}, {3, 2, 2, 2}, {1, 1, 1, 1}});
     return deployment;
 }
 
@@ -67,7 +67,7 @@
     deployment.stallWeight = 0.2;
     deployment.batchWeight = 0.8;
     deployment.baseModel = "rappaus";
-    place(deployment, 42, Spread{{2, 2, 2}, {4, 4, 4}, {1, 1, 1}});
+    addVms(deployment, 42, VmCounts{{2, 2, 2}, {4, 4, 4}, {1, 1, 1}});
     return deployment;
 }
 
@@ -84,7 +84,7 @@
     deployment.stepMsPerSequence = 0;
     deployment.threads = 4;
     deployment.baseModel = "bench";
-    place(deployment, 43, Spread{{1}, {4}, {0}});
+    addVms(deployment, 43, VmCounts{{1}, {4}, {0}});
     return deployment;
 }
 
@@ -97,8 +97,8 @@
 
 std::string platformAddress(const Deployment &deployment, int number)
 {
-    const std::string &any = deployment.entryVms.front().address;
-    const std::string network = any.substr(0, any.find('.', 4));
+    const std::string &anyAddress = deployment.entryVms.front().address;
+    const std::string network = anyAddress.substr(0, anyAddress.find('.', 4));
     return network + ".200." + std::to_string(number);
 }
 
@@ -200,38 +200,40 @@
     return settings.dump(1);
 }
 
-std::vector<std::string> processLines(const Deployment &deployment, const std::string &folder)
+std::vector<std::string> processCommandLines(const Deployment &deployment,
+                                             const std::string &folder)
 {
     const std::string standin = "tools/standins/monsoonbay-standins ";
     const std::string store = platformAddress(deployment, storeNumber);
     const auto listen = [](const std::string &address, std::uint16_t port) {
         return " --address " + address + " --port " + std::to_string(port);
     };
-    std::vector<std::string> lines;
-    lines.push_back(standin + "--role log"
-                    + listen(platformAddress(deployment, logNumber), platformPort));
-    lines.push_back(standin + "--role vmlist --vms " + folder + "/vms.json"
-                    + listen(platformAddress(deployment, vmListNumber), platformPort));
-    lines.push_back(standin + "--role store --loads-per-second "
-                    + std::to_string(deployment.loadsPerSecond) + listen(store, platformPort));
+    std::vector<std::string> commandLines;
+    commandLines.push_back(standin + "--role log"
+                           + listen(platformAddress(deployment, logNumber), platformPort));
+    commandLines.push_back(standin + "--role vmlist --vms " + folder + "/vms.json"
+                           + listen(platformAddress(deployment, vmListNumber), platformPort));
+    commandLines.push_back(standin + "--role store --loads-per-second "
+                           + std::to_string(deployment.loadsPerSecond)
+                           + listen(store, platformPort));
     for (const Target &target : deployment.targets) {
         const std::string where = listen(target.address, targetPort) + " --name " + target.name;
         if (!target.model) {
-            lines.push_back(standin + "--role service" + where);
+            commandLines.push_back(standin + "--role service" + where);
             continue;
         }
-        lines.push_back(standin + "--role engine" + where + " --slots "
-                        + std::to_string(deployment.slots) + " --max-batch "
-                        + std::to_string(deployment.maxBatch) + " --step-ms "
-                        + std::to_string(deployment.stepMs) + " --step-ms-per-sequence "
-                        + std::to_string(deployment.stepMsPerSequence) + " --checks-tokens="
-                        + (target.checksTokens ? "true" : "false") + " --store-address " + store
-                        + " --store-port " + std::to_string(platformPort));
+        commandLines.push_back(standin + "--role engine" + where + " --slots "
+                               + std::to_string(deployment.slots) + " --max-batch "
+                               + std::to_string(deployment.maxBatch) + " --step-ms "
+                               + std::to_string(deployment.stepMs) + " --step-ms-per-sequence "
+                               + std::to_string(deployment.stepMsPerSequence) + " --checks-tokens="
+                               + (target.checksTokens ? "true" : "false") + " --store-address "
+                               + store + " --store-port " + std::to_string(platformPort));
     }
     for (const EntryVm &vm : deployment.entryVms)
-        lines.push_back("tools/monsoonbayd/monsoonbayd --settings " + folder + "/" + vm.name
-                        + ".json");
-    return lines;
+        commandLines.push_back("tools/monsoonbayd/monsoonbayd --settings " + folder + "/" + vm.name
+                               + ".json");
+    return commandLines;
 }
 
 bool writePlan(const Deployment &deployment, const std::string &folder,
@@ -245,10 +247,10 @@
     for (const EntryVm &vm : deployment.entryVms)
         written = writeFile(base / (vm.name + ".json"), settingsJson(deployment, vm, placement))
             && written;
-    std::string lines;
-    for (const std::string &line : processLines(deployment, folder))
-        lines += line + "\n";
-    return writeFile(base / "processes.txt", lines) && written;
+    std::string commandLines;
+    for (const std::string &line : processCommandLines(deployment, folder))
+        commandLines += line + "\n";
+    return writeFile(base / "processes.txt", commandLines) && written;
 }
 
 } // namespace monsoonbay::loadgen
--- a/tools/loadgen/src/Experiment.cpp
+++ b/tools/loadgen/src/Experiment.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-VirtualOptions baseOptions(const std::string &deployment)
+SimulationOptions baseOptions(const std::string &deployment)
 {
-    VirtualOptions options;
+    SimulationOptions options;
     if (deployment == "finland") {
         options.engines = 12;
         options.zones = 3;
@@ -23,66 +23,67 @@
     return options;
 }
 
-VirtualOptions steady(const std::string &deployment)
+SimulationOptions steadyOptions(const std::string &deployment)
 {
     return baseOptions(deployment);
 }
 
-VirtualOptions shift(const std::string &deployment)
+SimulationOptions reversalOptions(const std::string &deployment)
 {
-    VirtualOptions options = baseOptions(deployment);
-    options.events = {{5400, VirtualEventKind::Shift, 0}};
+    SimulationOptions options = baseOptions(deployment);
+    options.events = {{5400, SimulationEventKind::ReversePopularity, 0}};
     return options;
 }
 
-VirtualOptions flash(const std::string &deployment)
+SimulationOptions flashCrowdOptions(const std::string &deployment)
 {
-    VirtualOptions options = baseOptions(deployment);
-    options.events = {{5400, VirtualEventKind::Flash, 3}, {5700, VirtualEventKind::FlashEnds, 0}};
+    SimulationOptions options = baseOptions(deployment);
+    options.events = {{5400, SimulationEventKind::FlashCrowd, 3},
+                      {5700, SimulationEventKind::FlashCrowdEnds, 0}};
     return options;
 }
 
-VirtualOptions restart(const std::string &deployment)
+SimulationOptions zoneRestartOptions(const std::string &deployment)
 {
-    VirtualOptions options = baseOptions(deployment);
-    options.events = {{5400, VirtualEventKind::RestartZone, 0}};
+    SimulationOptions options = baseOptions(deployment);
+    options.events = {{5400, SimulationEventKind::RestartZone, 0}};
     return options;
 }
 
-VirtualOptions storeDown(const std::string &deployment)
+SimulationOptions storeDownOptions(const std::string &deployment)
 {
-    VirtualOptions options = baseOptions(deployment);
+    SimulationOptions options = baseOptions(deployment);
     options.deadlineSeconds = 30;
-    options.events = {{5400, VirtualEventKind::StoreDown, 60}};
+    options.events = {{5400, SimulationEventKind::StoreDown, 60}};
     return options;
 }
 
-VirtualOptions failing(const std::string &deployment)
+SimulationOptions loadFailureOptions(const std::string &deployment)
 {
-    VirtualOptions options = baseOptions(deployment);
+    SimulationOptions options = baseOptions(deployment);
     options.loadFailureShare = 0.1;
     return options;
 }
 
-VirtualOptions overload(const std::string &deployment)
+SimulationOptions overloadOptions(const std::string &deployment)
 {
-    VirtualOptions options = baseOptions(deployment);
+    SimulationOptions options = baseOptions(deployment);
     options.requestsPerSecond = 3 * options.loadsPerSecond;
     options.deadlineSeconds = 20;
     return options;
 }
 
-VirtualOptions halfLoad(const std::string &deployment)
+SimulationOptions halfLoadOptions(const std::string &deployment)
 {
-    VirtualOptions options = baseOptions(deployment);
+    SimulationOptions options = baseOptions(deployment);
     options.requestsPerSecond = 1.5 * options.loadsPerSecond;
     options.deadlineSeconds = 20;
     return options;
 }
 
-VirtualOptions idleStore(const std::string &deployment)
+SimulationOptions idleStoreOptions(const std::string &deployment)
 {
-    VirtualOptions options = baseOptions(deployment);
+    SimulationOptions options = baseOptions(deployment);
     options.requestsPerSecond /= 3;
     return options;
 }
@@ -90,62 +91,64 @@
 struct PolicyResult
 {
     std::string policy;
-    VirtualSummary summary; ///< means over the seeds
+    SimulationSummary summary; ///< means over the seeds
     double batchEfficiency = 0;
     double loads = 0;
     double prefetches = 0;
     double storeBusyShare = 0;
     double shiftsSeen = 0;
-    int mostLoadsAtOnce = 0;
+    int maxConcurrentLoads = 0;
     std::uint64_t violations = 0;
 };
 
-void add(PolicyResult &sum, const VirtualReport &report, const VirtualSummary &summary,
-         double share)
+void accumulate(PolicyResult &sum, const SimulationReport &report, const SimulationSummary &summary,
+                double weight)
 {
     sum.summary.requests += summary.requests;
     sum.summary.totalStall += summary.totalStall;
-    sum.summary.meanStall += summary.meanStall * share;
-    sum.summary.p50 += summary.p50 * share;
-    sum.summary.p95 += summary.p95 * share;
-    sum.summary.p99 += summary.p99 * share;
-    sum.summary.stalledShare += summary.stalledShare * share;
+    sum.summary.meanStall += summary.meanStall * weight;
+    sum.summary.p50 += summary.p50 * weight;
+    sum.summary.p95 += summary.p95 * weight;
+    sum.summary.p99 += summary.p99 * weight;
+    sum.summary.stalledShare += summary.stalledShare * weight;
     sum.summary.refused += summary.refused;
-    sum.summary.late += summary.late;
-    sum.summary.refusedSoonShare = std::min(sum.summary.refusedSoonShare, summary.refusedSoonShare);
-    sum.batchEfficiency += report.batchEfficiency * share;
-    sum.loads += static_cast<double>(report.loads) * share;
-    sum.prefetches += static_cast<double>(report.prefetches) * share;
-    sum.storeBusyShare += report.storeBusyShare * share;
-    sum.shiftsSeen += static_cast<double>(report.shiftsSeen) * share;
-    sum.mostLoadsAtOnce = std::max(sum.mostLoadsAtOnce, report.mostLoadsAtOnce);
-    sum.violations += report.evictionsUnderRun + report.wrongAdapter;
+    sum.summary.expired += summary.expired;
+    sum.summary.promptRefusalShare =
+        std::min(sum.summary.promptRefusalShare, summary.promptRefusalShare);
+    sum.batchEfficiency += report.batchEfficiency * weight;
+    sum.loads += static_cast<double>(report.loads) * weight;
+    sum.prefetches += static_cast<double>(report.prefetches) * weight;
+    sum.storeBusyShare += report.storeBusyShare * weight;
+    sum.shiftsSeen += static_cast<double>(report.shiftsSeen) * weight;
+    sum.maxConcurrentLoads = std::max(sum.maxConcurrentLoads, report.maxConcurrentLoads);
+    sum.violations += report.evictionsInUse + report.dispatchesWithoutAdapter;
 }
 
 PolicyResult runPolicy(const Experiment &experiment, const std::string &deployment,
                        const std::string &policy, int seeds)
 {
-    std::vector<std::future<VirtualReport>> runs;
+    std::vector<std::future<SimulationReport>> runs;
     for (int seed = 1; seed <= seeds; ++seed) {
-        VirtualOptions options = experiment.options(deployment);
+        SimulationOptions options = experiment.options(deployment);
         options.policy = policy;
         options.seed = static_cast<std::uint64_t>(seed);
-        runs.push_back(std::async(std::launch::async, [options] { return runVirtually(options); }));
+        runs.push_back(
+            std::async(std::launch::async, [options] { return runSimulation(options); }));
     }
     PolicyResult result;
     result.policy = policy;
-    for (std::future<VirtualReport> &run : runs) {
-        const VirtualReport report = run.get();
-        const VirtualSummary summary =
-            summarize(report, experiment.from, experiment.until, experiment.hotRanks);
-        add(result, report, summary, 1.0 / seeds);
+    for (std::future<SimulationReport> &run : runs) {
+        const SimulationReport report = run.get();
+        const SimulationSummary summary =
+            summarize(report, experiment.windowStart, experiment.windowEnd, experiment.hotRanks);
+        accumulate(result, report, summary, 1.0 / seeds);
     }
     return result;
 }
 
 void writeRow(std::ostringstream &text, const PolicyResult &result, const PolicyResult *baseline)
 {
-    const VirtualSummary &summary = result.summary;
+    const SimulationSummary &summary = result.summary;
     const double ratio = baseline != nullptr && baseline->summary.totalStall > 0
         ? summary.totalStall / baseline->summary.totalStall
         : 1;
@@ -156,10 +159,10 @@
          << summary.meanStall << " | " << summary.p50 << " | " << summary.p95 << " | "
          << summary.p99 << " | " << summary.stalledShare << " | " << ratio << " | "
          << result.batchEfficiency << " | " << batchRatio << " | " << summary.refused << " | "
-         << summary.refusedSoonShare << " | " << summary.late << " | " << std::setprecision(0)
+         << summary.promptRefusalShare << " | " << summary.expired << " | " << std::setprecision(0)
          << result.loads << " | " << result.prefetches << " | " << std::setprecision(2)
-         << result.storeBusyShare << " | " << result.mostLoadsAtOnce << " | " << result.shiftsSeen
-         << " | " << result.violations << " |\n";
+         << result.storeBusyShare << " | " << result.maxConcurrentLoads << " | "
+         << result.shiftsSeen << " | " << result.violations << " |\n";
 }
 
 } // namespace
@@ -167,19 +170,22 @@
 const std::vector<Experiment> &experiments()
 {
     static const std::vector<Experiment> all{
-        {"steady", "steady Zipf, misses near the store's rate", steady, 3600, 7200, 0},
-        {"idle-store", "steady Zipf at a third of that demand", idleStore, 3600, 7200, 0},
-        {"shift", "the five minutes after the ranking is turned round", shift, 5400, 5700, 0},
-        {"shift-later", "minutes 10 to 25 after the shift", shift, 6000, 6900, 0},
-        {"flash", "five minutes of 3 requests/s for one cold adapter", flash, 5400, 5700, 0},
-        {"restart", "the minute after all engines of a zone restart cold", restart, 5400, 5460, 0},
-        {"store-down", "store down for 60 s, deadline 30 s", storeDown, 5400, 5520, 0},
-        {"load-failures", "one load in ten fails", failing, 3600, 7200, 0},
-        {"overload", "demand at three times the store's rate, deadline 20 s", overload, 3600, 7200,
+        {"steady", "steady Zipf, misses near the store's rate", steadyOptions, 3600, 7200, 0},
+        {"idle-store", "steady Zipf at a third of that demand", idleStoreOptions, 3600, 7200, 0},
+        {"shift", "the five minutes after the ranking is turned round", reversalOptions, 5400, 5700,
          0},
-        {"overload-hot", "the same, only the 40 hottest adapters", overload, 3600, 7200, 40},
-        {"half-load-hot", "half that demand, only the 40 hottest adapters", halfLoad, 3600, 7200,
-         40},
+        {"shift-later", "minutes 10 to 25 after the shift", reversalOptions, 6000, 6900, 0},
+        {"flash", "five minutes of 3 requests/s for one cold adapter", flashCrowdOptions, 5400,
+         5700, 0},
+        {"restart", "the minute after all engines of a zone restart cold", zoneRestartOptions, 5400,
+         5460, 0},
+        {"store-down", "store down for 60 s, deadline 30 s", storeDownOptions, 5400, 5520, 0},
+        {"load-failures", "one load in ten fails", loadFailureOptions, 3600, 7200, 0},
+        {"overload", "demand at three times the store's rate, deadline 20 s", overloadOptions, 3600,
+         7200, 0},
+        {"overload-hot", "the same, only the 40 hottest adapters", overloadOptions, 3600, 7200, 40},
+        {"half-load-hot", "half that demand, only the 40 hottest adapters", halfLoadOptions, 3600,
+         7200, 40},
     };
     return all;
 }
@@ -194,7 +200,8 @@
         std::find_if(results.begin(), results.end(),
                      [](const PolicyResult &result) { return result.policy == "plain-good"; });
     std::ostringstream text;
-    text << "### " << experiment.name << ", " << deployment << ": " << experiment.what << "\n\n"
+    text << "### " << experiment.name << ", " << deployment << ": " << experiment.description
+         << "\n\n"
          << "| policy | mean stall s | p50 | p95 | p99 | stalled | total to plain-good | batch "
             "efficiency | to plain-good | refused | refused in 100 ms | late | loads | prefetches "
             "| store busy | most loads at once | shifts seen | violations |\n"
--- a/tools/loadgen/src/Load.cpp
+++ b/tools/loadgen/src/Load.cpp
@@ -38,7 +38,7 @@
     bool model = true;
     int adapter = 0;
     bool streamed = false;
-    bool keyed = false;
+    bool withIdempotencyKey = false;
     int tokens = 16;
     std::uint64_t number = 0;
     std::size_t entryVm = 0;
@@ -54,7 +54,7 @@
     std::mt19937_64 random{};
     std::discrete_distribution<int> adapters{};
     LoadReport report{};
-    std::uint64_t open = 0;
+    std::uint64_t inFlight = 0;
 };
 
 std::vector<double> zipfWeights(int count, double exponent)
@@ -73,7 +73,7 @@
     return text;
 }
 
-void noteProblem(LoadReport &report, const std::string &body, int status)
+void countProblem(LoadReport &report, const std::string &body, int status)
 {
     const Json json = Json::parse(body, nullptr, false);
     const bool problem = json.is_object() && json.contains("type");
@@ -99,16 +99,16 @@
     call.headers = {{"Authorization", "Bearer " + demoToken},
                     {"Content-Type", "application/json"},
                     {"Monsoonbay-Deadline-Ms", std::to_string(run.options.deadlineMs)}};
-    if (planned.keyed)
+    if (planned.withIdempotencyKey)
         call.headers.push_back({"Idempotency-Key", "load-" + std::to_string(planned.number)});
     return call;
 }
 
 /** Checks a streamed answer event by event. */
-struct StreamCheck
+struct StreamChecker
 {
     std::string adapter;
-    int next = 0;
+    int nextIndex = 0;
     bool wrong = false;
     bool duplicate = false;
     bool done = false;
@@ -116,7 +116,7 @@
     std::string buffer;
 
     /** Returns how many tokens the data held. */
-    int take(const std::string &data)
+    int consume(const std::string &data)
     {
         int tokens = 0;
         this->buffer += data;
@@ -124,12 +124,12 @@
         while ((end = this->buffer.find("\n\n")) != std::string::npos) {
             const std::string event = this->buffer.substr(0, end);
             this->buffer.erase(0, end + 2);
-            tokens += this->takeEvent(event) ? 1 : 0;
+            tokens += this->consumeEvent(event) ? 1 : 0;
         }
         return tokens;
     }
 
-    bool takeEvent(const std::string &event)
+    bool consumeEvent(const std::string &event)
     {
         if (event == "data: [DONE]") {
             this->done = true;
@@ -148,9 +148,9 @@
         const std::string text = json["choices"][0].value("text", "");
         this->wrong = this->wrong || json.value("model", "") != this->adapter
             || text != this->adapter + ":" + std::to_string(index) + " ";
-        this->duplicate = this->duplicate || index < this->next;
-        this->wrong = this->wrong || index > this->next;
-        this->next = index + 1;
+        this->duplicate = this->duplicate || index < this->nextIndex;
+        this->wrong = this->wrong || index > this->nextIndex;
+        this->nextIndex = index + 1;
         return true;
     }
 };
@@ -169,10 +169,10 @@
     std::string piece;
     if (head.status != 200) {
         co_await stream.read(piece);
-        noteProblem(run.report, piece, head.status);
+        countProblem(run.report, piece, head.status);
         co_return;
     }
-    StreamCheck check;
+    StreamChecker check;
     check.adapter = adapterName(planned.adapter) + "@1";
     Clock::time_point last = began;
     std::error_code error;
@@ -180,8 +180,8 @@
         error = co_await stream.read(piece);
         if (error || piece.empty())
             break;
-        const bool first = check.next == 0;
-        const int tokens = check.take(piece);
+        const bool first = check.nextIndex == 0;
+        const int tokens = check.consume(piece);
         if (tokens == 0)
             continue;
         std::vector<double> &list =
@@ -189,21 +189,21 @@
         list.push_back(secondsSince(last));
         last = Clock::now();
     }
-    run.report.wrong += check.wrong ? 1 : 0;
-    run.report.duplicate += check.duplicate ? 1 : 0;
-    const bool whole = check.done && !error && check.next == planned.tokens;
-    const bool saidBroken = error || check.errorEvent;
-    if (whole) {
+    run.report.wrongAnswers += check.wrong ? 1 : 0;
+    run.report.streamsWithDuplicates += check.duplicate ? 1 : 0;
+    const bool complete = check.done && !error && check.nextIndex == planned.tokens;
+    const bool reportedFailure = error || check.errorEvent;
+    if (complete) {
         ++run.report.answered;
         run.report.answerSeconds.push_back(secondsSince(began));
-    } else if (saidBroken) {
+    } else if (reportedFailure) {
         ++run.report.failed;
     } else {
-        ++run.report.partial;
+        ++run.report.truncated;
     }
 }
 
-asio::awaitable<void> sendWhole(LoadRun &run, PlannedRequest planned, Endpoint endpoint)
+asio::awaitable<void> sendUnary(LoadRun &run, PlannedRequest planned, Endpoint endpoint)
 {
     const Clock::time_point began = Clock::now();
     HttpCall call = modelCall(run, planned);
@@ -214,7 +214,7 @@
         co_return;
     }
     if (result.status != 200) {
-        noteProblem(run.report, result.body, result.status);
+        countProblem(run.report, result.body, result.status);
         co_return;
     }
     const std::string adapter = adapterName(planned.adapter) + "@1";
@@ -226,9 +226,9 @@
         ++run.report.answered;
         run.report.answerSeconds.push_back(secondsSince(began));
     } else if (expected.starts_with(text)) {
-        ++run.report.partial;
+        ++run.report.truncated;
     } else {
-        ++run.report.wrong;
+        ++run.report.wrongAnswers;
     }
 }
 
@@ -246,7 +246,7 @@
         co_return;
     }
     if (result.status != 200) {
-        noteProblem(run.report, result.body, result.status);
+        countProblem(run.report, result.body, result.status);
         co_return;
     }
     const Json json = Json::parse(result.body, nullptr, false);
@@ -255,12 +255,12 @@
     if (right)
         ++run.report.plainAnswered;
     else
-        ++run.report.wrong;
+        ++run.report.wrongAnswers;
 }
 
 asio::awaitable<void> sendOne(LoadRun &run, PlannedRequest planned)
 {
-    ++run.open;
+    ++run.inFlight;
     ++run.report.sent;
     const Endpoint endpoint{run.deployment.entryVms[planned.entryVm].address, callersPort};
     if (!planned.model)
@@ -268,11 +268,11 @@
     else if (planned.streamed)
         co_await sendStreamed(run, planned, endpoint);
     else
-        co_await sendWhole(run, planned, endpoint);
-    --run.open;
+        co_await sendUnary(run, planned, endpoint);
+    --run.inFlight;
 }
 
-PlannedRequest draw(LoadRun &run, bool model, std::uint64_t number)
+PlannedRequest drawRequest(LoadRun &run, bool model, std::uint64_t number)
 {
     std::uniform_real_distribution<double> unit(0, 1);
     PlannedRequest planned;
@@ -280,16 +280,16 @@
     planned.number = number;
     planned.adapter = run.adapters(run.random);
     planned.streamed = unit(run.random) < run.options.streamedShare;
-    planned.keyed = unit(run.random) < run.options.keyedShare;
-    planned.tokens = std::uniform_int_distribution<int>(run.options.leastTokens,
-                                                        run.options.mostTokens)(run.random);
+    planned.withIdempotencyKey = unit(run.random) < run.options.idempotencyKeyShare;
+    planned.tokens = std::uniform_int_distribution<int>(run.options.minTokens,
+                                                        run.options.maxTokens)(run.random);
     planned.entryVm = run.random() % run.deployment.entryVms.size();
     return planned;
 }
 
 // Open loop: requests leave at their drawn times whatever the answers do, so a slow system is not
 // spared by its own slowness.
-asio::awaitable<void> sendAll(LoadRun &run, bool model, double perSecond)
+asio::awaitable<void> sendOpenLoop(LoadRun &run, bool model, double perSecond)
 {
     std::exponential_distribution<double> gap(perSecond);
     asio::steady_timer timer(run.context);
@@ -303,7 +303,7 @@
             began
             + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(due)));
         co_await timer.async_wait(nothrowAwaitable);
-        const PlannedRequest planned = draw(run, model, number * 2 + (model ? 0 : 1));
+        const PlannedRequest planned = drawRequest(run, model, number * 2 + (model ? 0 : 1));
         asio::co_spawn(run.context, sendOne(run, planned), asio::detached);
     }
 }
@@ -312,16 +312,16 @@
 {
     asio::steady_timer timer(run.context);
     const Clock::time_point began = Clock::now();
-    const double patience = run.options.seconds + run.options.deadlineMs / 1000.0 + 6;
+    const double maxSeconds = run.options.seconds + run.options.deadlineMs / 1000.0 + 6;
     for (int tick = 1;; ++tick) {
         timer.expires_after(std::chrono::seconds(1));
         co_await timer.async_wait(nothrowAwaitable);
         std::cerr << "\r" << std::fixed << std::setprecision(0) << secondsSince(began)
                   << " s: " << run.report.sent << " sent, "
-                  << run.report.answered + run.report.plainAnswered << " answered, " << run.open
+                  << run.report.answered + run.report.plainAnswered << " answered, " << run.inFlight
                   << " open    " << std::flush;
-        const bool over = secondsSince(began) > run.options.seconds && run.open == 0;
-        if (over || secondsSince(began) > patience)
+        const bool over = secondsSince(began) > run.options.seconds && run.inFlight == 0;
+        if (over || secondsSince(began) > maxSeconds)
             break;
     }
     std::cerr << "\n";
@@ -343,7 +343,7 @@
     return settings.value.log;
 }
 
-bool isUp(const Deployment &deployment, const EntryVm &vm)
+bool isReady(const Deployment &deployment, const EntryVm &vm)
 {
     const Json status = getJson(Endpoint{vm.address, operatorsPort}, "/v1/status");
     if (!status.is_object() || !status.value("ready", false))
@@ -375,7 +375,8 @@
     return quantiles;
 }
 
-bool bringUp(const Deployment &deployment, const std::string &manifest, double patienceSeconds)
+bool publishAndAwaitReady(const Deployment &deployment, const std::string &manifest,
+                          double timeoutSeconds)
 {
     const Clock::time_point began = Clock::now();
     const Json record{{"stream", "manifest"},
@@ -385,12 +386,12 @@
     append.path = "/v1/append";
     append.body = record.dump();
     bool published = false;
-    while (secondsSince(began) < patienceSeconds) {
+    while (secondsSince(began) < timeoutSeconds) {
         if (!published)
             published = callBlocking(logEndpoint(deployment), append, callTimeout).ok();
         const bool up = published
             && std::all_of(deployment.entryVms.begin(), deployment.entryVms.end(),
-                           [&](const EntryVm &vm) { return isUp(deployment, vm); });
+                           [&](const EntryVm &vm) { return isReady(deployment, vm); });
         if (up) {
             std::cerr << "all " << deployment.entryVms.size() << " entry VMs are ready after "
                       << std::fixed << std::setprecision(1) << secondsSince(began) << " s\n";
@@ -410,18 +411,18 @@
     const std::vector<double> weights = zipfWeights(deployment.adapters, options.zipfExponent);
     run.adapters = std::discrete_distribution<int>(weights.begin(), weights.end());
     if (options.modelRequestsPerSecond > 0)
-        asio::co_spawn(run.context, sendAll(run, true, options.modelRequestsPerSecond),
+        asio::co_spawn(run.context, sendOpenLoop(run, true, options.modelRequestsPerSecond),
                        asio::detached);
     if (options.plainRequestsPerSecond > 0)
-        asio::co_spawn(run.context, sendAll(run, false, options.plainRequestsPerSecond),
+        asio::co_spawn(run.context, sendOpenLoop(run, false, options.plainRequestsPerSecond),
                        asio::detached);
     asio::co_spawn(run.context, showProgress(run), asio::detached);
     run.context.run();
-    run.report.transportErrors += run.open;
+    run.report.transportErrors += run.inFlight;
     return std::move(run.report);
 }
 
-std::vector<std::string> readResident(const Target &target)
+std::vector<std::string> readResidentAdapters(const Target &target)
 {
     std::vector<std::string> adapters;
     const Json status = getJson(Endpoint{target.address, targetPort}, "/v1/status");
@@ -432,7 +433,7 @@
     return adapters;
 }
 
-EngineTotals readEngines(const Deployment &deployment)
+EngineTotals readEngineTotals(const Deployment &deployment)
 {
     EngineTotals totals;
     for (const Target &target : deployment.targets) {
@@ -442,14 +443,14 @@
         totals.steps += status.value("steps", std::uint64_t{0});
         totals.sequenceSteps += status.value("sequenceSteps", std::uint64_t{0});
         totals.loads += status.value("loads", std::uint64_t{0});
-        totals.evictedUnderRun += status.value("evictedUnderRun", std::uint64_t{0});
-        totals.twiceRun += status.value("twiceRun", std::uint64_t{0});
+        totals.evictionsInUse += status.value("evictedUnderRun", std::uint64_t{0});
+        totals.executedTwice += status.value("twiceRun", std::uint64_t{0});
         totals.maxBatch = std::max(totals.maxBatch, status.value("maxBatch", 1));
     }
     return totals;
 }
 
-StallTotals readStalls(const Deployment &deployment)
+StallTotals readStallTotals(const Deployment &deployment)
 {
     StallTotals totals;
     for (const EntryVm &vm : deployment.entryVms) {
@@ -487,11 +488,11 @@
         row("  " + kind, count);
     row("failed (ran or may have run)", report.failed);
     row("transport errors", report.transportErrors);
-    row("wrong answers", report.wrong);
-    row("duplicate pieces", report.duplicate);
-    row("partial answers passed off as whole", report.partial);
-    row("evictions under a running request", engines.evictedUnderRun);
-    row("requests run twice", engines.twiceRun);
+    row("wrong answers", report.wrongAnswers);
+    row("duplicate pieces", report.streamsWithDuplicates);
+    row("partial answers passed off as whole", report.truncated);
+    row("evictions under a running request", engines.evictionsInUse);
+    row("requests run twice", engines.executedTwice);
     quantileRow("load stall s, worst VM, p50 / p95 / p99",
                 Quantiles{stalls.requests, stalls.p50, stalls.p95, stalls.p99});
     const double share = stalls.requests == 0
@@ -511,11 +512,12 @@
     constexpr double width = 640;
     constexpr double height = 320;
     constexpr double margin = 48;
-    constexpr double longest = 30;
-    constexpr double shortest = 0.01;
+    constexpr double longestSeconds = 30;
+    constexpr double shortestSeconds = 0.01;
     const auto x = [&](double seconds) {
-        const double share = std::log(std::clamp(seconds, shortest, longest) / shortest)
-            / std::log(longest / shortest);
+        const double share =
+            std::log(std::clamp(seconds, shortestSeconds, longestSeconds) / shortestSeconds)
+            / std::log(longestSeconds / shortestSeconds);
         return margin + share * (width - 2 * margin);
     };
     const auto curve = [&](std::vector<double> values, const std::string &colour) {
--- a/tools/loadgen/src/Main.cpp
+++ b/tools/loadgen/src/Main.cpp
@@ -13,7 +13,7 @@
 namespace loadgen = monsoonbay::loadgen;
 
 constexpr int exitUsage = 2;
-constexpr int exitBroken = 4;
+constexpr int exitInvalidAnswers = 4;
 
 cxxopts::Options commandLine()
 {
@@ -65,8 +65,9 @@
 int load(const loadgen::Deployment &deployment, const cxxopts::ParseResult &arguments)
 {
     const std::string folder = arguments["folder"].as<std::string>();
-    constexpr double patienceSeconds = 30;
-    if (!loadgen::bringUp(deployment, readFile(folder + "/manifest.json"), patienceSeconds)) {
+    constexpr double timeoutSeconds = 30;
+    if (!loadgen::publishAndAwaitReady(deployment, readFile(folder + "/manifest.json"),
+                                       timeoutSeconds)) {
         std::cerr << "the deployment did not get ready; look at the logs in " << folder << "\n";
         return 1;
     }
@@ -77,27 +78,28 @@
     options.deadlineMs = arguments["deadline-ms"].as<int>();
     options.seed = arguments["seed"].as<std::uint64_t>();
     const loadgen::LoadReport report = loadgen::runLoad(deployment, options);
-    const loadgen::EngineTotals engines = loadgen::readEngines(deployment);
-    const loadgen::StallTotals stalls = loadgen::readStalls(deployment);
+    const loadgen::EngineTotals engines = loadgen::readEngineTotals(deployment);
+    const loadgen::StallTotals stalls = loadgen::readStallTotals(deployment);
     std::cout << loadgen::reportTable(report, engines, stalls);
     std::ofstream(folder + "/report.svg")
         << loadgen::reportSvg("monsoonbay, " + deployment.name, report);
     std::cout << "plot: " << folder << "/report.svg\n";
-    const bool broken = report.wrong + report.duplicate + report.partial + engines.evictedUnderRun
-            + engines.twiceRun
+    const bool invalid = report.wrongAnswers + report.streamsWithDuplicates + report.truncated
+            + engines.evictionsInUse + engines.executedTwice
         > 0;
-    return broken ? exitBroken : 0;
+    return invalid ? exitInvalidAnswers : 0;
 }
 
 int path(const loadgen::Deployment &deployment, const cxxopts::ParseResult &arguments)
 {
     const std::string folder = arguments["folder"].as<std::string>();
-    constexpr double patienceSeconds = 30;
-    if (!loadgen::bringUp(deployment, readFile(folder + "/manifest.json"), patienceSeconds)) {
+    constexpr double timeoutSeconds = 30;
+    if (!loadgen::publishAndAwaitReady(deployment, readFile(folder + "/manifest.json"),
+                                       timeoutSeconds)) {
         std::cerr << "the deployment did not get ready; look at the logs in " << folder << "\n";
         return 1;
     }
-    std::cout << loadgen::measurePath(deployment, arguments["seconds"].as<double>());
+    std::cout << loadgen::measureEntryVmOverhead(deployment, arguments["seconds"].as<double>());
     return 0;
 }
 
--- a/tools/loadgen/src/PathBench.cpp
+++ b/tools/loadgen/src/PathBench.cpp
@@ -49,7 +49,7 @@
 };
 
 /** An adapter and the engine that holds it, so that both ways do the same work. */
-struct Aim
+struct AdapterLocation
 {
     std::string adapter;
     Endpoint engine;
@@ -58,16 +58,16 @@
 /** What one client thread works on. */
 struct Worker
 {
-    Worker(const Deployment &deployment, const std::vector<Aim> &aims, const Phase &phase,
-           std::size_t number)
+    Worker(const Deployment &deployment, const std::vector<AdapterLocation> &locations,
+           const Phase &phase, std::size_t number)
         : deployment(deployment)
-        , aims(aims)
+        , locations(locations)
         , phase(phase)
         , number(number)
     { }
 
     const Deployment &deployment;
-    const std::vector<Aim> &aims;
+    const std::vector<AdapterLocation> &locations;
     const Phase &phase;
     std::size_t number;
     asio::io_context context{1};
@@ -77,9 +77,9 @@
     Clock::time_point measuredFrom{};
 };
 
-HttpCall callOf(const Worker &worker, const Aim &aim, std::uint64_t number)
+HttpCall makeCall(const Worker &worker, const AdapterLocation &location, std::uint64_t number)
 {
-    Json body{{"model", aim.adapter},
+    Json body{{"model", location.adapter},
               {"max_tokens", worker.phase.tokens},
               {"stream", worker.phase.streamed}};
     if (worker.phase.direct)
@@ -96,10 +96,10 @@
 asio::awaitable<void> sendOne(Worker &worker)
 {
     const std::uint64_t number = worker.sent++;
-    const Aim &aim = worker.aims[number % worker.aims.size()];
-    const Endpoint via{worker.deployment.entryVms.front().address, callersPort};
-    const Endpoint endpoint = worker.phase.direct ? aim.engine : via;
-    HttpCall call = callOf(worker, aim, number);
+    const AdapterLocation &location = worker.locations[number % worker.locations.size()];
+    const Endpoint entryVm{worker.deployment.entryVms.front().address, callersPort};
+    const Endpoint endpoint = worker.phase.direct ? location.engine : entryVm;
+    HttpCall call = makeCall(worker, location, number);
     const Clock::time_point began = Clock::now();
     const HttpResult result = co_await worker.client.call(endpoint, std::move(call), callTimeout);
     if (!result.ok()) {
@@ -123,16 +123,17 @@
 asio::awaitable<void> openLoop(Worker &worker, Clock::time_point until)
 {
     asio::steady_timer timer(worker.context);
-    const auto gap = std::chrono::duration_cast<Clock::duration>(
+    const auto interval = std::chrono::duration_cast<Clock::duration>(
         std::chrono::duration<double>(clientThreads / worker.phase.requestsPerSecond));
-    for (Clock::time_point due = Clock::now(); due < until; due += gap) {
+    for (Clock::time_point due = Clock::now(); due < until; due += interval) {
         timer.expires_at(due);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         asio::co_spawn(worker.context, sendOne(worker), asio::detached);
     }
 }
 
-PhaseResult runPhase(const Deployment &deployment, const std::vector<Aim> &aims, const Phase &phase)
+PhaseResult runPhase(const Deployment &deployment, const std::vector<AdapterLocation> &locations,
+                     const Phase &phase)
 {
     std::vector<std::unique_ptr<Worker>> workers;
     std::vector<std::thread> threads;
@@ -140,7 +141,7 @@
     const Clock::time_point until = began
         + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(phase.seconds));
     for (std::size_t number = 0; number < clientThreads; ++number) {
-        workers.push_back(std::make_unique<Worker>(deployment, aims, phase, number));
+        workers.push_back(std::make_unique<Worker>(deployment, locations, phase, number));
         Worker &worker = *workers.back();
         // An open loop begins without connections and opens many at once; that is not the path.
         if (phase.requestsPerSecond > 0)
@@ -167,14 +168,14 @@
     return all;
 }
 
-std::vector<Aim> residentAims(const Deployment &deployment)
+std::vector<AdapterLocation> findResidentAdapters(const Deployment &deployment)
 {
-    std::vector<Aim> aims;
+    std::vector<AdapterLocation> locations;
     for (const Target &target : deployment.targets) {
-        for (const std::string &adapter : readResident(target))
-            aims.push_back({adapter, Endpoint{target.address, targetPort}});
+        for (const std::string &adapter : readResidentAdapters(target))
+            locations.push_back({adapter, Endpoint{target.address, targetPort}});
     }
-    return aims;
+    return locations;
 }
 
 void writeRow(std::ostringstream &page, const std::string &name, const PhaseResult &result)
@@ -189,34 +190,35 @@
 
 } // namespace
 
-std::string measurePath(const Deployment &deployment, double seconds)
+std::string measureEntryVmOverhead(const Deployment &deployment, double seconds)
 {
     std::ostringstream page;
     page << "| what | requests/s | tokens/s | p50 ms | p95 ms | p99 ms | failed |\n"
          << "|---|---|---|---|---|---|---|\n";
-    std::vector<Aim> aims;
+    std::vector<AdapterLocation> locations;
     for (int index = 0; index < deployment.adapters; ++index)
-        aims.push_back({adapterName(index) + "@1", {}});
+        locations.push_back({adapterName(index) + "@1", {}});
     Phase phase;
     phase.seconds = seconds;
-    runPhase(deployment, aims, phase); // loads the adapters, warms the connections
-    aims = residentAims(deployment);
-    const PhaseResult through = runPhase(deployment, aims, phase);
+    runPhase(deployment, locations, phase); // loads the adapters, warms the connections
+    locations = findResidentAdapters(deployment);
+    const PhaseResult through = runPhase(deployment, locations, phase);
     writeRow(page, "through the entry VM, 48 connections", through);
     phase.direct = true;
-    writeRow(page, "straight to the engines, 48 connections", runPhase(deployment, aims, phase));
-    const double most = static_cast<double>(through.answered) / through.seconds;
-    phase.requestsPerSecond = 0.6 * most;
-    writeRow(page, "straight, at 60 % of the first row", runPhase(deployment, aims, phase));
+    writeRow(page, "straight to the engines, 48 connections",
+             runPhase(deployment, locations, phase));
+    const double maxRate = static_cast<double>(through.answered) / through.seconds;
+    phase.requestsPerSecond = 0.6 * maxRate;
+    writeRow(page, "straight, at 60 % of the first row", runPhase(deployment, locations, phase));
     phase.direct = false;
-    writeRow(page, "through, at 60 %", runPhase(deployment, aims, phase));
+    writeRow(page, "through, at 60 %", runPhase(deployment, locations, phase));
     phase.requestsPerSecond = 0;
     phase.streamed = true;
     phase.tokens = 200;
     writeRow(page, "streams of 200 tokens through, 48 connections",
-             runPhase(deployment, aims, phase));
+             runPhase(deployment, locations, phase));
     phase.direct = true;
-    writeRow(page, "streams straight, 48 connections", runPhase(deployment, aims, phase));
+    writeRow(page, "streams straight, 48 connections", runPhase(deployment, locations, phase));
     return page.str();
 }
 
--- a/tools/loadgen/src/Simulation.cpp
+++ b/tools/loadgen/src/Simulation.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr double never = 1e300;
+constexpr double infiniteTime = 1e300;
 constexpr double tickSeconds = 0.05;
 
 Instant instantOf(double seconds)
@@ -25,7 +25,7 @@
     return Instant{} + fromSeconds(seconds);
 }
 
-struct Running
+struct RunningSequence
 {
     int adapter = 0;
     int tokensLeft = 0;
@@ -38,23 +38,23 @@
     TargetId id;
     int zone = 0;
     SlotTable table;
-    std::vector<Running> running;
-    std::deque<Running> queued;
-    double nextStep = never;
+    std::vector<RunningSequence> running;
+    std::deque<RunningSequence> queued;
+    double nextStep = infiniteTime;
     std::uint64_t epoch = 1;
 };
 
-struct Waiting
+struct WaitingRequest
 {
     std::size_t request = 0; ///< index into the run's requests
     int adapter = 0;
     int tokens = 0;
     double deadline = 0;
-    int boundTo = -1; ///< engine that the naive policy chose
+    int boundEngine = -1; ///< engine that the naive policy chose
 };
 
 /** A load in the fake store. */
-struct Transfer
+struct StoreTransfer
 {
     LoadOrder order;
     double remaining = 1; ///< of one load at full rate
@@ -62,34 +62,34 @@
     std::uint64_t epoch = 0;
 };
 
-struct VirtualWorld
+struct Simulation
 {
-    explicit VirtualWorld(const VirtualOptions &options)
+    explicit Simulation(const SimulationOptions &options)
         : options(options)
     { }
 
-    const VirtualOptions &options;
+    const SimulationOptions &options;
     std::mt19937_64 random;
     std::vector<AdapterRef> adapters;
-    std::map<AdapterId, int> indexOf;
+    std::map<AdapterId, int> adapterIndex;
     std::vector<int> adapterAtRank;
     std::vector<int> rankOf;
     std::discrete_distribution<int> rankDraw;
     std::vector<Engine> engines;
-    std::map<int, std::vector<Waiting>> waiting; ///< by adapter
-    std::vector<Transfer> transfers;
+    std::map<int, std::vector<WaitingRequest>> waiting; ///< by adapter
+    std::vector<StoreTransfer> transfers;
     double transfersAt = 0;
-    double storeUpAgain = 0;
-    double storeBusy = 0;
+    double storeDownUntil = 0;
+    double storeBusySeconds = 0;
     PlacementState placement;
     const PlacementPolicy *policy = nullptr;
     bool naive = false;
     bool oracle = false;
     bool ranking = false; ///< the true popularity is known, not the arrivals
-    std::vector<VirtualRequest> requests;
+    std::vector<SimulatedRequest> requests;
     std::uint64_t steps = 0;
     std::uint64_t sequenceSteps = 0;
-    VirtualReport report;
+    SimulationReport report;
     int flashAdapter = -1;
     double flashRate = 0;
     /** All arrivals, drawn beforehand so that every policy sees the same ones. */
@@ -101,71 +101,74 @@
         int tokens;
     };
     std::vector<Arrival> arrivals;
-    std::vector<std::deque<std::size_t>> futureOf; ///< arrivals of each adapter that are to come
+    std::vector<std::deque<std::size_t>>
+        futureArrivals; ///< arrivals of each adapter that are to come
     double now = 0;
 };
 
-void drawArrivals(VirtualWorld &world)
+void drawArrivals(Simulation &simulation)
 {
-    const VirtualOptions &options = world.options;
+    const SimulationOptions &options = simulation.options;
     std::exponential_distribution<double> gap(options.requestsPerSecond);
-    std::uniform_int_distribution<int> tokens(options.leastTokens, options.mostTokens);
-    std::vector<int> order = world.adapterAtRank;
+    std::uniform_int_distribution<int> tokens(options.minTokens, options.maxTokens);
+    std::vector<int> order = simulation.adapterAtRank;
     int flash = -1;
     double flashRate = 0;
     std::size_t nextEvent = 0;
-    double nextFlash = never;
-    double at = gap(world.random);
+    double nextFlash = infiniteTime;
+    double at = gap(simulation.random);
     while (at < options.seconds) {
         const double nextAt = std::min(at, nextFlash);
         while (nextEvent < options.events.size() && options.events[nextEvent].at <= nextAt) {
-            const VirtualEvent &event = options.events[nextEvent++];
-            if (event.kind == VirtualEventKind::Shift)
+            const SimulationEvent &event = options.events[nextEvent++];
+            if (event.kind == SimulationEventKind::ReversePopularity)
                 std::reverse(order.begin(), order.end());
-            if (event.kind == VirtualEventKind::Flash) {
+            if (event.kind == SimulationEventKind::FlashCrowd) {
                 flash = order[order.size() / 2];
                 flashRate = event.value;
                 nextFlash = event.at;
             }
-            if (event.kind == VirtualEventKind::FlashEnds)
-                nextFlash = never;
+            if (event.kind == SimulationEventKind::FlashCrowdEnds)
+                nextFlash = infiniteTime;
         }
         if (nextFlash < at) {
-            world.arrivals.push_back({nextFlash, flash, 0, tokens(world.random)});
-            nextFlash += std::exponential_distribution<double>(flashRate)(world.random);
+            simulation.arrivals.push_back({nextFlash, flash, 0, tokens(simulation.random)});
+            nextFlash += std::exponential_distribution<double>(flashRate)(simulation.random);
             continue;
         }
-        const int rank = world.rankDraw(world.random);
-        world.arrivals.push_back(
-            {at, order[static_cast<std::size_t>(rank)], rank, tokens(world.random)});
-        at += gap(world.random);
+        const int rank = simulation.rankDraw(simulation.random);
+        simulation.arrivals.push_back(
+            {at, order[static_cast<std::size_t>(rank)], rank, tokens(simulation.random)});
+        at += gap(simulation.random);
     }
-    world.futureOf.resize(static_cast<std::size_t>(options.adapters));
-    for (std::size_t index = 0; index < world.arrivals.size(); ++index)
-        world.futureOf[static_cast<std::size_t>(world.arrivals[index].adapter)].push_back(index);
+    simulation.futureArrivals.resize(static_cast<std::size_t>(options.adapters));
+    for (std::size_t index = 0; index < simulation.arrivals.size(); ++index)
+        simulation.futureArrivals[static_cast<std::size_t>(simulation.arrivals[index].adapter)]
+            .push_back(index);
 }
 
-VirtualWorld makeWorld(const VirtualOptions &options)
+Simulation makeSimulation(const SimulationOptions &options)
 {
-    VirtualWorld world(options);
-    world.random.seed(options.seed);
+    Simulation simulation(options);
+    simulation.random.seed(options.seed);
     std::vector<double> weights;
     for (int index = 0; index < options.adapters; ++index) {
         AdapterRef ref{"plan-" + std::to_string(index), "1"};
-        world.indexOf[ref.id()] = index;
-        world.adapters.push_back(std::move(ref));
+        simulation.adapterIndex[ref.id()] = index;
+        simulation.adapters.push_back(std::move(ref));
         weights.push_back(1 / std::pow(index + 1, options.zipfExponent));
     }
-    world.adapterAtRank.resize(static_cast<std::size_t>(options.adapters));
-    std::iota(world.adapterAtRank.begin(), world.adapterAtRank.end(), 0);
-    std::shuffle(world.adapterAtRank.begin(), world.adapterAtRank.end(), world.random);
-    world.rankDraw = std::discrete_distribution<int>(weights.begin(), weights.end());
-    world.oracle = options.policy == "oracle";
-    world.ranking = options.policy == "ranking";
-    const bool bound = world.oracle || world.ranking;
-    world.policy = findPlacementPolicy(bound ? "forecast" : options.policy);
-    assert(world.policy != nullptr);
-    world.naive = options.policy == "naive";
+    simulation.adapterAtRank.resize(static_cast<std::size_t>(options.adapters));
+    std::iota(simulation.adapterAtRank.begin(), simulation.adapterAtRank.end(), 0);
+    std::shuffle(simulation.adapterAtRank.begin(), simulation.adapterAtRank.end(),
+                 simulation.random);
+    simulation.rankDraw = std::discrete_distribution<int>(weights.begin(), weights.end());
+    simulation.oracle = options.policy == "oracle";
+    simulation.ranking = options.policy == "ranking";
+    const bool bound = simulation.oracle || simulation.ranking;
+    simulation.policy = findPlacementPolicy(bound ? "forecast" : options.policy);
+    assert(simulation.policy != nullptr);
+    simulation.naive = options.policy == "naive";
     for (int index = 0; index < options.engines; ++index) {
         Engine engine;
         engine.id = TargetId::of("engine-" + std::to_string(index));
@@ -174,7 +177,7 @@
         SlotReport empty;
         empty.epoch = engine.epoch;
         applyReport(engine.table, empty, Instant{});
-        world.engines.push_back(std::move(engine));
+        simulation.engines.push_back(std::move(engine));
     }
     PlacementConfig config;
     config.stallWeight = options.stallWeight;
@@ -183,14 +186,14 @@
     config.wantLifetime = fromSeconds(1e6);
     config.loadTimeout = fromSeconds(1e6);
     // The true rates do not age.
-    if (world.ranking)
+    if (simulation.ranking)
         config.demand.slowSeconds = 1e30;
-    world.placement = makePlacement(config, *world.policy, Instant{});
-    drawArrivals(world);
-    return world;
+    simulation.placement = makePlacement(config, *simulation.policy, Instant{});
+    drawArrivals(simulation);
+    return simulation;
 }
 
-TargetView viewOf(const Engine &engine, const VirtualOptions &options)
+TargetView viewOf(const Engine &engine, const SimulationOptions &options)
 {
     TargetView view;
     view.target = engine.id;
@@ -205,9 +208,9 @@
     return view;
 }
 
-void startStepping(Engine &engine, const VirtualOptions &options, double now)
+void startStepping(Engine &engine, const SimulationOptions &options, double now)
 {
-    if (engine.nextStep != never)
+    if (engine.nextStep != infiniteTime)
         return;
     while (!engine.queued.empty() && static_cast<int>(engine.running.size()) < options.maxBatch) {
         engine.running.push_back(engine.queued.front());
@@ -219,48 +222,48 @@
         + options.stepSecondsPerSequence * static_cast<double>(engine.running.size());
 }
 
-void finishStep(VirtualWorld &world, Engine &engine)
+void finishStep(Simulation &simulation, Engine &engine)
 {
-    if (world.now >= world.options.measuredFrom) {
-        ++world.steps;
-        world.sequenceSteps += engine.running.size();
+    if (simulation.now >= simulation.options.measuredFrom) {
+        ++simulation.steps;
+        simulation.sequenceSteps += engine.running.size();
     }
-    std::vector<Running> still;
-    for (Running &sequence : engine.running) {
+    std::vector<RunningSequence> unfinished;
+    for (RunningSequence &sequence : engine.running) {
         if (--sequence.tokensLeft > 0) {
-            still.push_back(sequence);
+            unfinished.push_back(sequence);
             continue;
         }
         unpin(engine.table, sequence.pin, true);
     }
-    engine.running = std::move(still);
-    engine.nextStep = never;
-    startStepping(engine, world.options, world.now);
+    engine.running = std::move(unfinished);
+    engine.nextStep = infiniteTime;
+    startStepping(engine, simulation.options, simulation.now);
 }
 
-void dispatch(VirtualWorld &world, Engine &engine, const Waiting &request)
+void dispatch(Simulation &simulation, Engine &engine, const WaitingRequest &request)
 {
-    const AdapterId id = world.adapters[static_cast<std::size_t>(request.adapter)].id();
-    const std::optional<SlotPin> held = pin(engine.table, id);
-    if (!held) {
-        ++world.report.wrongAdapter;
+    const AdapterId id = simulation.adapters[static_cast<std::size_t>(request.adapter)].id();
+    const std::optional<SlotPin> slotPin = pin(engine.table, id);
+    if (!slotPin) {
+        ++simulation.report.dispatchesWithoutAdapter;
         return;
     }
-    VirtualRequest &record = world.requests[request.request];
-    record.stalled = world.now - record.arrived;
-    engine.queued.push_back(Running{request.adapter, request.tokens, *held});
-    startStepping(engine, world.options, world.now);
+    SimulatedRequest &record = simulation.requests[request.request];
+    record.stallSeconds = simulation.now - record.arrived;
+    engine.queued.push_back(RunningSequence{request.adapter, request.tokens, *slotPin});
+    startStepping(engine, simulation.options, simulation.now);
 }
 
-std::vector<RouteCandidate> candidatesFor(const VirtualWorld &world, AdapterId id, int homeZone)
+std::vector<RouteCandidate> candidatesFor(const Simulation &simulation, AdapterId id, int homeZone)
 {
     std::vector<RouteCandidate> candidates;
-    for (const Engine &engine : world.engines) {
+    for (const Engine &engine : simulation.engines) {
         RouteCandidate candidate;
         candidate.target = engine.id;
         candidate.resident = findSlot(engine.table, id) != nullptr;
         candidate.running = static_cast<int>(engine.running.size() + engine.queued.size());
-        candidate.maxBatch = world.options.maxBatch;
+        candidate.maxBatch = simulation.options.maxBatch;
         candidate.sameZone = engine.zone == homeZone;
         candidates.push_back(candidate);
     }
@@ -268,90 +271,92 @@
 }
 
 /** The engine to send a request to now, or -1 if it has to wait. */
-int routeNow(const VirtualWorld &world, const Waiting &request, int homeZone)
-{
-    const AdapterId id = world.adapters[static_cast<std::size_t>(request.adapter)].id();
-    const std::vector<RouteCandidate> candidates = candidatesFor(world, id, homeZone);
-    if (request.boundTo >= 0)
-        return candidates[static_cast<std::size_t>(request.boundTo)].resident ? request.boundTo
-                                                                              : -1;
-    const std::size_t best =
-        world.policy->route(candidates, world.options.stallWeight, world.options.batchWeight);
+int findEngine(const Simulation &simulation, const WaitingRequest &request, int homeZone)
+{
+    const AdapterId id = simulation.adapters[static_cast<std::size_t>(request.adapter)].id();
+    const std::vector<RouteCandidate> candidates = candidatesFor(simulation, id, homeZone);
+    if (request.boundEngine >= 0)
+        return candidates[static_cast<std::size_t>(request.boundEngine)].resident
+            ? request.boundEngine
+            : -1;
+    const std::size_t best = simulation.policy->route(candidates, simulation.options.stallWeight,
+                                                      simulation.options.batchWeight);
     const bool found = best < candidates.size() && candidates[best].resident;
     return found ? static_cast<int>(best) : -1;
 }
 
-void tellWants(VirtualWorld &world, int adapter)
+void updateWants(Simulation &simulation, int adapter)
 {
-    const AdapterId id = world.adapters[static_cast<std::size_t>(adapter)].id();
+    const AdapterId id = simulation.adapters[static_cast<std::size_t>(adapter)].id();
     std::map<int, Want> byOrigin;
-    const auto found = world.waiting.find(adapter);
-    if (found != world.waiting.end()) {
-        for (const Waiting &request : found->second) {
-            Want &want = byOrigin[request.boundTo];
+    const auto found = simulation.waiting.find(adapter);
+    if (found != simulation.waiting.end()) {
+        for (const WaitingRequest &request : found->second) {
+            Want &want = byOrigin[request.boundEngine];
             if (want.waiting == 0)
                 want = Want{id, VmId{1}, 0, Instant::max(), Instant::max(), 0, {}};
-            if (request.boundTo >= 0)
-                want.origin =
-                    VmId{world.engines[static_cast<std::size_t>(request.boundTo)].id.value};
+            if (request.boundEngine >= 0)
+                want.origin = VmId{
+                    simulation.engines[static_cast<std::size_t>(request.boundEngine)].id.value};
             ++want.waiting;
             want.weight += 1;
-            want.oldest = std::min(want.oldest, instantOf(world.requests[request.request].arrived));
+            want.oldest =
+                std::min(want.oldest, instantOf(simulation.requests[request.request].arrived));
             want.deadline = std::min(want.deadline, instantOf(request.deadline));
         }
     }
-    const auto known = world.placement.wants.find(id);
-    if (known != world.placement.wants.end())
+    const auto known = simulation.placement.wants.find(id);
+    if (known != simulation.placement.wants.end())
         known->second.wants.clear();
     for (const auto &[origin, want] : byOrigin)
-        updateWant(world.placement, want, instantOf(world.now));
+        updateWant(simulation.placement, want, instantOf(simulation.now));
     if (byOrigin.empty())
-        world.placement.wants.erase(id);
+        simulation.placement.wants.erase(id);
 }
 
-void wakeWaiters(VirtualWorld &world, int adapter)
+void dispatchWaiting(Simulation &simulation, int adapter)
 {
-    const auto found = world.waiting.find(adapter);
-    if (found == world.waiting.end())
+    const auto found = simulation.waiting.find(adapter);
+    if (found == simulation.waiting.end())
         return;
-    std::vector<Waiting> left;
-    for (const Waiting &request : found->second) {
-        const int engine = routeNow(world, request, adapter % world.options.zones);
+    std::vector<WaitingRequest> stillWaiting;
+    for (const WaitingRequest &request : found->second) {
+        const int engine = findEngine(simulation, request, adapter % simulation.options.zones);
         if (engine < 0)
-            left.push_back(request);
+            stillWaiting.push_back(request);
         else
-            dispatch(world, world.engines[static_cast<std::size_t>(engine)], request);
+            dispatch(simulation, simulation.engines[static_cast<std::size_t>(engine)], request);
     }
-    if (left.empty())
-        world.waiting.erase(found);
+    if (stillWaiting.empty())
+        simulation.waiting.erase(found);
     else
-        found->second = std::move(left);
-    tellWants(world, adapter);
+        found->second = std::move(stillWaiting);
+    updateWants(simulation, adapter);
 }
 
 // ---- the oracle: Belady's eviction and prefetch with the store's rate, knowing all arrivals ----
 
-double nextUse(const VirtualWorld &world, int adapter)
+double nextUse(const Simulation &simulation, int adapter)
 {
-    if (world.waiting.contains(adapter))
-        return world.now;
-    for (const std::size_t index : world.futureOf[static_cast<std::size_t>(adapter)]) {
-        if (world.arrivals[index].at > world.now)
-            return world.arrivals[index].at;
+    if (simulation.waiting.contains(adapter))
+        return simulation.now;
+    for (const std::size_t index : simulation.futureArrivals[static_cast<std::size_t>(adapter)]) {
+        if (simulation.arrivals[index].at > simulation.now)
+            return simulation.arrivals[index].at;
     }
-    return never;
+    return infiniteTime;
 }
 
-std::optional<SlotChoice> farthestSlot(const VirtualWorld &world, double needed)
+std::optional<SlotChoice> farthestSlot(const Simulation &simulation, double needed)
 {
     std::optional<SlotChoice> best;
     double farthest = needed;
-    for (std::size_t index = 0; index < world.placement.targets.size(); ++index) {
-        const TargetView &target = world.placement.targets[index];
+    for (std::size_t index = 0; index < simulation.placement.targets.size(); ++index) {
+        const TargetView &target = simulation.placement.targets[index];
         if (target.freeSlots() > 0)
             return SlotChoice{index, AdapterId{}};
         for (const ResidentSlot &slot : target.resident) {
-            const double use = nextUse(world, world.indexOf.at(slot.adapter));
+            const double use = nextUse(simulation, simulation.adapterIndex.at(slot.adapter));
             if (slot.pins > 0 || use <= farthest)
                 continue;
             farthest = use;
@@ -361,101 +366,102 @@
     return best;
 }
 
-std::optional<LoadChoice> oracleLoad(const VirtualWorld &world)
+std::optional<LoadChoice> oracleLoad(const Simulation &simulation)
 {
-    int soonest = -1;
-    double earliest = never;
-    std::size_t most = 0;
-    for (const auto &[adapter, requests] : world.waiting) {
-        const AdapterId id = world.adapters[static_cast<std::size_t>(adapter)].id();
-        if (world.placement.copies.contains(id) || requests.size() <= most)
+    int chosenAdapter = -1;
+    double nextUseOfChosen = infiniteTime;
+    std::size_t maxWaiting = 0;
+    for (const auto &[adapter, requests] : simulation.waiting) {
+        const AdapterId id = simulation.adapters[static_cast<std::size_t>(adapter)].id();
+        if (simulation.placement.copies.contains(id) || requests.size() <= maxWaiting)
             continue;
-        most = requests.size();
-        soonest = adapter;
-        earliest = world.now;
+        maxWaiting = requests.size();
+        chosenAdapter = adapter;
+        nextUseOfChosen = simulation.now;
     }
-    if (soonest < 0) {
-        for (int adapter = 0; adapter < world.options.adapters; ++adapter) {
-            const double use = nextUse(world, adapter);
-            const AdapterId id = world.adapters[static_cast<std::size_t>(adapter)].id();
-            if (use >= earliest || world.placement.copies.contains(id))
+    if (chosenAdapter < 0) {
+        for (int adapter = 0; adapter < simulation.options.adapters; ++adapter) {
+            const double use = nextUse(simulation, adapter);
+            const AdapterId id = simulation.adapters[static_cast<std::size_t>(adapter)].id();
+            if (use >= nextUseOfChosen || simulation.placement.copies.contains(id))
                 continue;
-            earliest = use;
-            soonest = adapter;
+            nextUseOfChosen = use;
+            chosenAdapter = adapter;
         }
     }
-    if (soonest < 0)
+    if (chosenAdapter < 0)
         return std::nullopt;
-    const std::optional<SlotChoice> slot = farthestSlot(world, earliest);
+    const std::optional<SlotChoice> slot = farthestSlot(simulation, nextUseOfChosen);
     if (!slot)
         return std::nullopt;
-    const AdapterId id = world.adapters[static_cast<std::size_t>(soonest)].id();
-    return LoadChoice{id, *slot, earliest > world.now};
+    const AdapterId id = simulation.adapters[static_cast<std::size_t>(chosenAdapter)].id();
+    return LoadChoice{id, *slot, nextUseOfChosen > simulation.now};
 }
 
 // ---- loads ----
 
-Engine &engineById(VirtualWorld &world, TargetId id)
+Engine &engineById(Simulation &simulation, TargetId id)
 {
-    return *std::find_if(world.engines.begin(), world.engines.end(),
+    return *std::find_if(simulation.engines.begin(), simulation.engines.end(),
                          [id](const Engine &engine) { return engine.id == id; });
 }
 
-void execute(VirtualWorld &world, const LoadOrder &order)
+void executeLoad(Simulation &simulation, const LoadOrder &order)
 {
-    Engine &engine = engineById(world, order.target);
+    Engine &engine = engineById(simulation, order.target);
     const OwnedSlot *victim = findSlot(engine.table, order.evict);
     const bool busy = victim != nullptr && victim->pins > 0;
-    const int adapter = world.indexOf.at(order.adapter);
-    const ErrorKind begun =
-        beginLoad(engine.table, world.adapters[static_cast<std::size_t>(adapter)], order.evict);
-    if (begun != ErrorKind::Ok) {
-        recordLoadResult(world.placement, order.permit, LoadOutcome::Declined,
-                         instantOf(world.now));
+    const int adapter = simulation.adapterIndex.at(order.adapter);
+    const ErrorKind loadError = beginLoad(
+        engine.table, simulation.adapters[static_cast<std::size_t>(adapter)], order.evict);
+    if (loadError != ErrorKind::Ok) {
+        recordLoadResult(simulation.placement, order.permit, LoadOutcome::Declined,
+                         instantOf(simulation.now));
         return;
     }
-    world.report.evictionsUnderRun += busy ? 1 : 0;
-    Transfer transfer;
+    simulation.report.evictionsInUse += busy ? 1 : 0;
+    StoreTransfer transfer;
     transfer.order = order;
     transfer.epoch = engine.epoch;
-    transfer.fails =
-        std::uniform_real_distribution<double>(0, 1)(world.random) < world.options.loadFailureShare;
-    world.transfers.push_back(transfer);
-    world.report.mostLoadsAtOnce =
-        std::max(world.report.mostLoadsAtOnce, static_cast<int>(world.transfers.size()));
+    transfer.fails = std::uniform_real_distribution<double>(0, 1)(simulation.random)
+        < simulation.options.loadFailureShare;
+    simulation.transfers.push_back(transfer);
+    simulation.report.maxConcurrentLoads = std::max(simulation.report.maxConcurrentLoads,
+                                                    static_cast<int>(simulation.transfers.size()));
 }
 
-void refuse(VirtualWorld &world, const WantVerdict &verdict)
+void refuseWaiting(Simulation &simulation, const WantVerdict &verdict)
 {
-    const int adapter = world.indexOf.at(verdict.adapter);
-    const auto found = world.waiting.find(adapter);
-    if (found == world.waiting.end())
+    const int adapter = simulation.adapterIndex.at(verdict.adapter);
+    const auto found = simulation.waiting.find(adapter);
+    if (found == simulation.waiting.end())
         return;
-    for (const Waiting &request : found->second) {
-        VirtualRequest &record = world.requests[request.request];
+    for (const WaitingRequest &request : found->second) {
+        SimulatedRequest &record = simulation.requests[request.request];
         record.refused = true;
-        record.refusedAfter = world.now - record.arrived;
-        record.stalled = record.refusedAfter;
+        record.secondsUntilRefused = simulation.now - record.arrived;
+        record.stallSeconds = record.secondsUntilRefused;
     }
-    world.waiting.erase(found);
+    simulation.waiting.erase(found);
 }
 
 /** Puts the true rates into the demand table: a bound for what any estimate could reach. */
-void revealRates(VirtualWorld &world)
+void useTrueRates(Simulation &simulation)
 {
-    PlacementState &state = world.placement;
+    PlacementState &state = simulation.placement;
     double total = 0;
-    for (int rank = 1; rank <= world.options.adapters; ++rank)
-        total += 1 / std::pow(rank, world.options.zipfExponent);
-    state.demand = makeDemandTable(state.config.demand, instantOf(world.now));
+    for (int rank = 1; rank <= simulation.options.adapters; ++rank)
+        total += 1 / std::pow(rank, simulation.options.zipfExponent);
+    state.demand = makeDemandTable(state.config.demand, instantOf(simulation.now));
     constexpr double window = 1;
-    for (std::size_t rank = 0; rank < world.adapterAtRank.size(); ++rank) {
-        const auto adapter = static_cast<std::size_t>(world.adapterAtRank[rank]);
-        recordRequests(state.demand, world.adapters[adapter].id(), 1, instantOf(world.now));
-        const double rate = world.options.requestsPerSecond / total
-            / std::pow(static_cast<double>(rank + 1), world.options.zipfExponent);
+    for (std::size_t rank = 0; rank < simulation.adapterAtRank.size(); ++rank) {
+        const auto adapter = static_cast<std::size_t>(simulation.adapterAtRank[rank]);
+        recordRequests(state.demand, simulation.adapters[adapter].id(), 1,
+                       instantOf(simulation.now));
+        const double rate = simulation.options.requestsPerSecond / total
+            / std::pow(static_cast<double>(rank + 1), simulation.options.zipfExponent);
         for (DemandEntry &entry : state.demand.slots) {
-            if (entry.lastTick == 0 || entry.adapter != world.adapters[adapter].id())
+            if (entry.lastTick == 0 || entry.adapter != simulation.adapters[adapter].id())
                 continue;
             entry.slow = static_cast<float>(rate * window);
             entry.lastTick = ~std::uint32_t{0}; // never silent
@@ -464,247 +470,252 @@
     state.demand.slowWindow = window;
 }
 
-void decideNow(VirtualWorld &world)
+void runPlacement(Simulation &simulation)
 {
-    for (const Engine &engine : world.engines)
-        updateTarget(world.placement, viewOf(engine, world.options));
-    if (world.oracle) {
-        while (world.placement.pending.empty()) {
-            const std::optional<LoadChoice> choice = oracleLoad(world);
+    for (const Engine &engine : simulation.engines)
+        updateTarget(simulation.placement, viewOf(engine, simulation.options));
+    if (simulation.oracle) {
+        while (simulation.placement.pending.empty()) {
+            const std::optional<LoadChoice> choice = oracleLoad(simulation);
             if (!choice)
                 break;
-            const TargetId target = world.placement.targets[choice->slot.target].target;
-            const LoadOrder order{world.placement.nextPermit++, target, choice->adapter,
+            const TargetId target = simulation.placement.targets[choice->slot.target].target;
+            const LoadOrder order{simulation.placement.nextPermit++, target, choice->adapter,
                                   choice->slot.evict};
-            world.placement.pending[order.permit] = PendingLoad{order, instantOf(world.now)};
-            world.placement.counters.loadsOrdered += 1;
-            execute(world, order);
-            for (const Engine &engine : world.engines)
-                updateTarget(world.placement, viewOf(engine, world.options));
+            simulation.placement.pending[order.permit] =
+                PendingLoad{order, instantOf(simulation.now)};
+            simulation.placement.counters.loadsOrdered += 1;
+            executeLoad(simulation, order);
+            for (const Engine &engine : simulation.engines)
+                updateTarget(simulation.placement, viewOf(engine, simulation.options));
         }
         return;
     }
-    const PlacementActions actions = decide(world.placement, instantOf(world.now));
+    const PlacementActions actions = decide(simulation.placement, instantOf(simulation.now));
     for (const LoadOrder &order : actions.orders)
-        execute(world, order);
+        executeLoad(simulation, order);
     for (const WantVerdict &verdict : actions.verdicts)
-        refuse(world, verdict);
+        refuseWaiting(simulation, verdict);
 }
 
-double transferRate(const VirtualWorld &world)
+double transferRate(const Simulation &simulation)
 {
-    if (world.transfers.empty() || world.now < world.storeUpAgain)
+    if (simulation.transfers.empty() || simulation.now < simulation.storeDownUntil)
         return 0;
-    return world.options.loadsPerSecond / static_cast<double>(world.transfers.size());
+    return simulation.options.loadsPerSecond / static_cast<double>(simulation.transfers.size());
 }
 
-double nextTransferEnd(const VirtualWorld &world)
+double nextTransferEnd(const Simulation &simulation)
 {
-    if (world.transfers.empty())
-        return never;
-    if (world.now < world.storeUpAgain)
-        return world.storeUpAgain;
-    double least = never;
-    for (const Transfer &transfer : world.transfers)
-        least = std::min(least, transfer.remaining);
-    return world.now + least / transferRate(world);
+    if (simulation.transfers.empty())
+        return infiniteTime;
+    if (simulation.now < simulation.storeDownUntil)
+        return simulation.storeDownUntil;
+    double minRemaining = infiniteTime;
+    for (const StoreTransfer &transfer : simulation.transfers)
+        minRemaining = std::min(minRemaining, transfer.remaining);
+    return simulation.now + minRemaining / transferRate(simulation);
 }
 
-void advanceTransfers(VirtualWorld &world, double until)
+void advanceTransfers(Simulation &simulation, double until)
 {
-    const double passed = until - world.now;
-    if (!world.transfers.empty())
-        world.storeBusy += passed;
-    const double done = passed * transferRate(world);
-    for (Transfer &transfer : world.transfers)
+    const double passed = until - simulation.now;
+    if (!simulation.transfers.empty())
+        simulation.storeBusySeconds += passed;
+    const double done = passed * transferRate(simulation);
+    for (StoreTransfer &transfer : simulation.transfers)
         transfer.remaining -= done;
 }
 
-void endTransfers(VirtualWorld &world)
+void endTransfers(Simulation &simulation)
 {
     constexpr double tolerance = 1e-9;
-    std::vector<Transfer> ended;
-    std::vector<Transfer> left;
-    for (const Transfer &transfer : world.transfers)
-        (transfer.remaining <= tolerance ? ended : left).push_back(transfer);
-    world.transfers = std::move(left);
-    for (const Transfer &transfer : ended) {
-        Engine &engine = engineById(world, transfer.order.target);
+    std::vector<StoreTransfer> ended;
+    std::vector<StoreTransfer> unfinished;
+    for (const StoreTransfer &transfer : simulation.transfers)
+        (transfer.remaining <= tolerance ? ended : unfinished).push_back(transfer);
+    simulation.transfers = std::move(unfinished);
+    for (const StoreTransfer &transfer : ended) {
+        Engine &engine = engineById(simulation, transfer.order.target);
         const bool loaded = !transfer.fails && transfer.epoch == engine.epoch;
         if (transfer.epoch == engine.epoch)
-            endLoad(engine.table, loaded, instantOf(world.now));
-        recordLoadResult(world.placement, transfer.order.permit,
-                         loaded ? LoadOutcome::Loaded : LoadOutcome::Failed, instantOf(world.now));
-        ++world.report.loads;
-        world.report.failedLoads += loaded ? 0 : 1;
+            endLoad(engine.table, loaded, instantOf(simulation.now));
+        recordLoadResult(simulation.placement, transfer.order.permit,
+                         loaded ? LoadOutcome::Loaded : LoadOutcome::Failed,
+                         instantOf(simulation.now));
+        ++simulation.report.loads;
+        simulation.report.failedLoads += loaded ? 0 : 1;
         if (loaded)
-            wakeWaiters(world, world.indexOf.at(transfer.order.adapter));
+            dispatchWaiting(simulation, simulation.adapterIndex.at(transfer.order.adapter));
     }
     if (!ended.empty())
-        decideNow(world);
+        runPlacement(simulation);
 }
 
 // ---- events ----
 
-void arrive(VirtualWorld &world, std::size_t index)
+void handleArrival(Simulation &simulation, std::size_t index)
 {
-    const VirtualWorld::Arrival &arrival = world.arrivals[index];
-    std::deque<std::size_t> &future = world.futureOf[static_cast<std::size_t>(arrival.adapter)];
+    const Simulation::Arrival &arrival = simulation.arrivals[index];
+    std::deque<std::size_t> &future =
+        simulation.futureArrivals[static_cast<std::size_t>(arrival.adapter)];
     while (!future.empty() && future.front() <= index)
         future.pop_front();
-    VirtualRequest record;
-    record.arrived = world.now;
+    SimulatedRequest record;
+    record.arrived = simulation.now;
     record.rank = arrival.rank;
-    world.requests.push_back(record);
-    Waiting request;
-    request.request = world.requests.size() - 1;
+    simulation.requests.push_back(record);
+    WaitingRequest request;
+    request.request = simulation.requests.size() - 1;
     request.adapter = arrival.adapter;
     request.tokens = arrival.tokens;
-    request.deadline = world.now + world.options.deadlineSeconds;
-    const AdapterId id = world.adapters[static_cast<std::size_t>(arrival.adapter)].id();
-    if (world.naive) {
-        const auto candidates = candidatesFor(world, id, 0);
-        request.boundTo = static_cast<int>(world.policy->route(candidates, 0, 0));
+    request.deadline = simulation.now + simulation.options.deadlineSeconds;
+    const AdapterId id = simulation.adapters[static_cast<std::size_t>(arrival.adapter)].id();
+    if (simulation.naive) {
+        const auto candidates = candidatesFor(simulation, id, 0);
+        request.boundEngine = static_cast<int>(simulation.policy->route(candidates, 0, 0));
     }
-    const int engine = routeNow(world, request, static_cast<int>(index) % world.options.zones);
-    if (!world.ranking)
-        recordDemand(world.placement, id, 1, engine >= 0 ? 1 : 0, instantOf(world.now));
+    const int engine =
+        findEngine(simulation, request, static_cast<int>(index) % simulation.options.zones);
+    if (!simulation.ranking)
+        recordDemand(simulation.placement, id, 1, engine >= 0 ? 1 : 0, instantOf(simulation.now));
     if (engine >= 0) {
-        dispatch(world, world.engines[static_cast<std::size_t>(engine)], request);
+        dispatch(simulation, simulation.engines[static_cast<std::size_t>(engine)], request);
         return;
     }
-    world.waiting[arrival.adapter].push_back(request);
-    tellWants(world, arrival.adapter);
-    decideNow(world);
+    simulation.waiting[arrival.adapter].push_back(request);
+    updateWants(simulation, arrival.adapter);
+    runPlacement(simulation);
 }
 
-void restartZone(VirtualWorld &world, int zone)
+void restartZone(Simulation &simulation, int zone)
 {
-    for (Engine &engine : world.engines) {
+    for (Engine &engine : simulation.engines) {
         if (engine.zone != zone)
             continue;
         ++engine.epoch;
         engine.running.clear();
         engine.queued.clear();
-        engine.nextStep = never;
+        engine.nextStep = infiniteTime;
         engine.table = SlotTable{};
-        engine.table.slots = world.options.slots;
+        engine.table.slots = simulation.options.slots;
         SlotReport empty;
         empty.epoch = engine.epoch;
-        applyReport(engine.table, empty, instantOf(world.now));
+        applyReport(engine.table, empty, instantOf(simulation.now));
     }
-    decideNow(world);
+    runPlacement(simulation);
 }
 
-void happen(VirtualWorld &world, const VirtualEvent &event)
+void applyEvent(Simulation &simulation, const SimulationEvent &event)
 {
-    if (event.kind == VirtualEventKind::Shift)
-        std::reverse(world.adapterAtRank.begin(), world.adapterAtRank.end());
-    if (event.kind == VirtualEventKind::Shift && world.ranking)
-        revealRates(world);
-    if (event.kind == VirtualEventKind::RestartZone)
-        restartZone(world, static_cast<int>(event.value));
-    if (event.kind == VirtualEventKind::StoreDown)
-        world.storeUpAgain = world.now + event.value;
+    if (event.kind == SimulationEventKind::ReversePopularity)
+        std::reverse(simulation.adapterAtRank.begin(), simulation.adapterAtRank.end());
+    if (event.kind == SimulationEventKind::ReversePopularity && simulation.ranking)
+        useTrueRates(simulation);
+    if (event.kind == SimulationEventKind::RestartZone)
+        restartZone(simulation, static_cast<int>(event.value));
+    if (event.kind == SimulationEventKind::StoreDown)
+        simulation.storeDownUntil = simulation.now + event.value;
 }
 
-void expire(VirtualWorld &world)
+void expireWaiting(Simulation &simulation)
 {
-    std::vector<int> touched;
-    for (auto &[adapter, requests] : world.waiting) {
+    std::vector<int> expiredAdapters;
+    for (auto &[adapter, requests] : simulation.waiting) {
         const std::size_t before = requests.size();
-        std::erase_if(requests, [&world](const Waiting &request) {
-            if (request.deadline > world.now)
+        std::erase_if(requests, [&simulation](const WaitingRequest &request) {
+            if (request.deadline > simulation.now)
                 return false;
-            VirtualRequest &record = world.requests[request.request];
-            record.late = true;
-            record.stalled = world.now - record.arrived;
+            SimulatedRequest &record = simulation.requests[request.request];
+            record.expired = true;
+            record.stallSeconds = simulation.now - record.arrived;
             return true;
         });
         if (requests.size() != before)
-            touched.push_back(adapter);
+            expiredAdapters.push_back(adapter);
     }
-    for (const int adapter : touched) {
-        if (world.waiting[adapter].empty())
-            world.waiting.erase(adapter);
-        tellWants(world, adapter);
+    for (const int adapter : expiredAdapters) {
+        if (simulation.waiting[adapter].empty())
+            simulation.waiting.erase(adapter);
+        updateWants(simulation, adapter);
     }
 }
 
-double nextStepAt(const VirtualWorld &world)
+double nextStepAt(const Simulation &simulation)
 {
-    double next = never;
-    for (const Engine &engine : world.engines)
+    double next = infiniteTime;
+    for (const Engine &engine : simulation.engines)
         next = std::min(next, engine.nextStep);
     return next;
 }
 
 } // namespace
 
-VirtualReport runVirtually(const VirtualOptions &options)
+SimulationReport runSimulation(const SimulationOptions &options)
 {
-    VirtualWorld world = makeWorld(options);
+    Simulation simulation = makeSimulation(options);
     std::size_t arrival = 0;
     std::size_t event = 0;
     double nextTick = tickSeconds;
-    if (world.ranking)
-        revealRates(world);
-    decideNow(world);
+    if (simulation.ranking)
+        useTrueRates(simulation);
+    runPlacement(simulation);
     while (true) {
         const double atArrival =
-            arrival < world.arrivals.size() ? world.arrivals[arrival].at : never;
-        const double atEvent = event < options.events.size() ? options.events[event].at : never;
-        const double atTransfer = nextTransferEnd(world);
-        const double atStep = nextStepAt(world);
+            arrival < simulation.arrivals.size() ? simulation.arrivals[arrival].at : infiniteTime;
+        const double atEvent =
+            event < options.events.size() ? options.events[event].at : infiniteTime;
+        const double atTransfer = nextTransferEnd(simulation);
+        const double atStep = nextStepAt(simulation);
         const double next = std::min({atArrival, atEvent, atTransfer, atStep, nextTick});
         if (next >= options.seconds)
             break;
-        advanceTransfers(world, next);
-        world.now = next;
+        advanceTransfers(simulation, next);
+        simulation.now = next;
         if (next == atTransfer)
-            endTransfers(world);
+            endTransfers(simulation);
         else if (next == atStep) {
-            for (Engine &engine : world.engines) {
+            for (Engine &engine : simulation.engines) {
                 if (engine.nextStep == next)
-                    finishStep(world, engine);
+                    finishStep(simulation, engine);
             }
         } else if (next == atArrival) {
-            arrive(world, arrival++);
+            handleArrival(simulation, arrival++);
         } else if (next == atEvent) {
-            happen(world, options.events[event++]);
+            applyEvent(simulation, options.events[event++]);
         } else {
             nextTick = next + tickSeconds;
-            expire(world);
-            decideNow(world);
+            expireWaiting(simulation);
+            runPlacement(simulation);
         }
     }
-    for (auto &[adapter, requests] : world.waiting) {
-        for (const Waiting &request : requests) {
-            VirtualRequest &record = world.requests[request.request];
-            record.stalled = world.now - record.arrived;
+    for (auto &[adapter, requests] : simulation.waiting) {
+        for (const WaitingRequest &request : requests) {
+            SimulatedRequest &record = simulation.requests[request.request];
+            record.stallSeconds = simulation.now - record.arrived;
         }
     }
-    VirtualReport report = std::move(world.report);
-    for (const VirtualRequest &request : world.requests) {
+    SimulationReport report = std::move(simulation.report);
+    for (const SimulatedRequest &request : simulation.requests) {
         if (request.arrived >= options.measuredFrom)
             report.requests.push_back(request);
     }
-    const double full = static_cast<double>(world.steps) * options.maxBatch;
-    report.batchEfficiency = full > 0 ? static_cast<double>(world.sequenceSteps) / full : 0;
-    report.prefetches = world.placement.counters.prefetches;
-    report.storeBusyShare = world.storeBusy / options.seconds;
-    report.shiftsSeen = world.placement.demand.shiftsSeen;
+    const double full = static_cast<double>(simulation.steps) * options.maxBatch;
+    report.batchEfficiency = full > 0 ? static_cast<double>(simulation.sequenceSteps) / full : 0;
+    report.prefetches = simulation.placement.counters.prefetches;
+    report.storeBusyShare = simulation.storeBusySeconds / options.seconds;
+    report.shiftsSeen = simulation.placement.demand.shiftsSeen;
     return report;
 }
 
-VirtualSummary summarize(const VirtualReport &report, double from, double until, int hotRanks)
+SimulationSummary summarize(const SimulationReport &report, double from, double until, int hotRanks)
 {
-    constexpr double soon = 0.1;
-    VirtualSummary summary;
+    constexpr double promptSeconds = 0.1;
+    SimulationSummary summary;
     std::vector<double> stalls;
-    std::size_t refusedSoon = 0;
-    std::size_t stalled = 0;
-    for (const VirtualRequest &request : report.requests) {
+    std::size_t refusedPromptly = 0;
+    std::size_t stalledCount = 0;
+    for (const SimulatedRequest &request : report.requests) {
         if (request.arrived < from || request.arrived >= until)
             continue;
         if (hotRanks > 0 && request.rank >= hotRanks)
@@ -712,17 +723,17 @@
         ++summary.requests;
         if (request.refused) {
             ++summary.refused;
-            refusedSoon += request.refusedAfter <= soon ? 1 : 0;
+            refusedPromptly += request.secondsUntilRefused <= promptSeconds ? 1 : 0;
             continue;
         }
-        summary.late += request.late ? 1 : 0;
-        stalls.push_back(request.stalled);
-        summary.totalStall += request.stalled;
-        stalled += request.stalled > 0 ? 1 : 0;
+        summary.expired += request.expired ? 1 : 0;
+        stalls.push_back(request.stallSeconds);
+        summary.totalStall += request.stallSeconds;
+        stalledCount += request.stallSeconds > 0 ? 1 : 0;
     }
     if (summary.refused > 0)
-        summary.refusedSoonShare =
-            static_cast<double>(refusedSoon) / static_cast<double>(summary.refused);
+        summary.promptRefusalShare =
+            static_cast<double>(refusedPromptly) / static_cast<double>(summary.refused);
     if (stalls.empty())
         return summary;
     std::sort(stalls.begin(), stalls.end());
@@ -733,7 +744,7 @@
     summary.p50 = at(0.50);
     summary.p95 = at(0.95);
     summary.p99 = at(0.99);
-    summary.stalledShare = static_cast<double>(stalled) / static_cast<double>(stalls.size());
+    summary.stalledShare = static_cast<double>(stalledCount) / static_cast<double>(stalls.size());
     return summary;
 }
 
