--- a/tools/standins/include/standins/FaultInjector.h
+++ b/tools/standins/include/standins/FaultInjector.h
@@ -5,8 +5,8 @@
 
 namespace monsoonbay::standins {
 
-/** Faults that were switched on and how many more times each will strike. */
-class Faults
+/** FaultInjector that were switched on and how many more times each will strike. */
+class FaultInjector
 {
 public:
     /** Switches a fault on for `times` occasions; a negative number is for ever, 0 is off. */
@@ -15,8 +15,8 @@
         this->faults[kind] = Entry{times, valueMs};
     }
 
-    /** True if the fault strikes now; counts the occasion. */
-    bool strikes(const std::string &kind)
+    /** True if the fault shouldInject now; counts the occasion. */
+    bool shouldInject(const std::string &kind)
     {
         const auto found = this->faults.find(kind);
         if (found == this->faults.end() || found->second.times == 0)
--- a/tools/standins/include/standins/Standins.h
+++ b/tools/standins/include/standins/Standins.h
@@ -97,7 +97,7 @@
     Endpoint collector();
 
 private:
-    Endpoint keep(std::unique_ptr<Standin> standin);
+    Endpoint addStandin(std::unique_ptr<Standin> standin);
 
     asio::io_context context{1};
     asio::executor_work_guard<asio::io_context::executor_type> work;
--- a/tools/standins/src/Collector.cpp
+++ b/tools/standins/src/Collector.cpp
@@ -24,11 +24,11 @@
     {
         HttpReply reply = jsonReply(200, this->spans);
         if (exchange.request().target() == "/v1/traces")
-            reply = this->takeExport(exchange.request().body());
+            reply = this->storeSpans(exchange.request().body());
         co_await exchange.respond(std::move(reply));
     }
 
-    HttpReply takeExport(const std::string &body)
+    HttpReply storeSpans(const std::string &body)
     {
         const Json request = Json::parse(body, nullptr, false);
         if (!request.is_object() || !request.contains("resourceSpans"))
--- a/tools/standins/src/Engine.cpp
+++ b/tools/standins/src/Engine.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr auto nothrowAwaitable = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t keptFinishedRequests = 20000;
+constexpr std::size_t maxFinishedRequests = 20000;
 
 struct Sequence
 {
@@ -29,12 +29,12 @@
     int produced = 0;
     int priority = 5;
     bool cancelled = false;
-    bool broken = false; ///< its adapter was evicted or the engine restarted
-    std::vector<std::shared_ptr<asio::steady_timer>> watchers;
+    bool aborted = false; ///< its adapter was evicted or the engine restarted
+    std::vector<std::shared_ptr<asio::steady_timer>> waiters;
 
     bool ended() const
     {
-        return this->cancelled || this->broken || this->produced >= this->tokens;
+        return this->cancelled || this->aborted || this->produced >= this->tokens;
     }
 };
 
@@ -46,10 +46,10 @@
     std::uint64_t sequenceSteps = 0;
     std::uint64_t loads = 0;
     std::uint64_t evictions = 0;
-    std::uint64_t evictedUnderRun = 0;
-    std::uint64_t staleOrders = 0;
+    std::uint64_t evictionsInUse = 0;
+    std::uint64_t staleCommands = 0;
     std::uint64_t requests = 0;
-    std::uint64_t twiceRun = 0;
+    std::uint64_t executedTwice = 0;
 };
 
 // The text depends on the adapter and the position, so a checker sees a neighbour's answer, a
@@ -99,22 +99,22 @@
             co_await exchange.respond(this->control(request.body()));
             co_return;
         }
-        if (this->faults.strikes("down")) {
+        if (this->faults.shouldInject("down")) {
             exchange.abort();
             co_return;
         }
-        if (this->faults.strikes("delay"))
+        if (this->faults.shouldInject("delay"))
             co_await sleepMs(this->faults.valueMs("delay"));
         if (path == "/v1/status") {
             const HttpReply reply = jsonReply(200, this->report);
             co_await exchange.respond(reply);
         } else if (path == "/v1/orders") {
-            co_await this->takeOrder(exchange);
+            co_await this->handleCommand(exchange);
         } else if (path == "/v1/completions" || path == "/v1/chat/completions") {
-            co_await this->takeRequest(exchange);
+            co_await this->handleCompletion(exchange);
         } else if (path.starts_with("/v1/requests/")) {
             const std::string id = path.substr(std::string_view("/v1/requests/").size());
-            co_await this->takeUpRequest(exchange, id);
+            co_await this->handleRequestById(exchange, id);
         } else {
             co_await exchange.respond(errorReply(404, "no such path"));
         }
@@ -122,8 +122,8 @@
 
     HttpReply control(const std::string &body)
     {
-        HttpReply reply = switchFault(this->faults, body);
-        if (this->faults.strikes("restart"))
+        HttpReply reply = handleFaultRequest(this->faults, body);
+        if (this->faults.shouldInject("restart"))
             this->restart();
         return reply;
     }
@@ -133,8 +133,8 @@
         ++this->epoch;
         this->resident.clear();
         for (auto &[id, sequence] : this->sequences) {
-            sequence->broken = true;
-            this->wake(*sequence);
+            sequence->aborted = true;
+            this->notifyWaiters(*sequence);
         }
         this->sequences.clear();
         this->running.clear();
@@ -143,30 +143,30 @@
         this->refreshReport();
     }
 
-    asio::awaitable<void> takeOrder(HttpExchange &exchange)
+    asio::awaitable<void> handleCommand(HttpExchange &exchange)
     {
-        const Json order = Json::parse(exchange.request().body(), nullptr, false);
-        if (!order.is_object()) {
+        const Json command = Json::parse(exchange.request().body(), nullptr, false);
+        if (!command.is_object()) {
             co_await exchange.respond(errorReply(400, "not an order"));
             co_return;
         }
-        const std::uint64_t token = order.value("token", std::uint64_t{0});
-        const std::uint64_t local = order.value("local", std::uint64_t{0});
-        const auto offered = std::make_pair(token, local);
-        if (this->options.checksTokens && offered < this->highest) {
-            ++this->counters.staleOrders;
-            const HttpReply reply = staleReply(this->highest.first);
+        const std::uint64_t token = command.value("token", std::uint64_t{0});
+        const std::uint64_t local = command.value("local", std::uint64_t{0});
+        const auto commandToken = std::make_pair(token, local);
+        if (this->options.checksTokens && commandToken < this->highestToken) {
+            ++this->counters.staleCommands;
+            const HttpReply reply = staleReply(this->highestToken.first);
             co_await exchange.respond(reply);
             co_return;
         }
-        this->highest = std::max(this->highest, offered);
-        const std::string kind = order.value("order", "");
-        if (kind == "claim") {
-            const HttpReply reply = jsonReply(200, this->liveReport());
+        this->highestToken = std::max(this->highestToken, commandToken);
+        const std::string commandKind = command.value("order", "");
+        if (commandKind == "claim") {
+            const HttpReply reply = jsonReply(200, this->currentReport());
             co_await exchange.respond(reply);
-        } else if (kind == "load") {
+        } else if (commandKind == "load") {
             const HttpReply reply =
-                co_await this->load(order.value("adapter", ""), order.value("evict", ""));
+                co_await this->load(command.value("adapter", ""), command.value("evict", ""));
             co_await exchange.respond(reply);
         } else {
             co_await exchange.respond(errorReply(400, "unknown order"));
@@ -179,7 +179,7 @@
         if (this->resident.contains(adapter))
             co_return residentReply(adapter);
         if (!evict.empty())
-            this->evictNow(evict);
+            this->evictAdapter(evict);
         if (this->resident.size() + this->loading >= static_cast<std::size_t>(this->options.slots))
             co_return errorReply(409, "no-free-slot");
         ++this->loading;
@@ -189,7 +189,7 @@
             co_await this->client.call(this->options.store, call, std::chrono::minutes(10));
         --this->loading;
         const bool failed =
-            !weights.ok() || loadEpoch != this->epoch || this->faults.strikes("loadFail");
+            !weights.ok() || loadEpoch != this->epoch || this->faults.shouldInject("loadFail");
         if (failed)
             co_return errorReply(502, "load-failed");
         this->resident[adapter] = 0;
@@ -197,24 +197,24 @@
         co_return residentReply(adapter);
     }
 
-    void evictNow(const std::string &adapter)
+    void evictAdapter(const std::string &adapter)
     {
         const auto found = this->resident.find(adapter);
         if (found == this->resident.end())
             return;
         ++this->counters.evictions;
         if (found->second > 0)
-            ++this->counters.evictedUnderRun;
+            ++this->counters.evictionsInUse;
         for (auto &[id, sequence] : this->sequences) {
             if (sequence->adapter != adapter || sequence->ended())
                 continue;
-            sequence->broken = true;
-            this->wake(*sequence);
+            sequence->aborted = true;
+            this->notifyWaiters(*sequence);
         }
         this->resident.erase(found);
     }
 
-    asio::awaitable<void> takeRequest(HttpExchange &exchange)
+    asio::awaitable<void> handleCompletion(HttpExchange &exchange)
     {
         const Json body = Json::parse(exchange.request().body(), nullptr, false);
         if (!body.is_object() || !body.contains("model")) {
@@ -233,25 +233,25 @@
         sequence->epoch = this->epoch;
         sequence->tokens = std::clamp(body.value("max_tokens", 16), 1, 100000);
         sequence->priority = body.value("priority", 5);
-        if (this->ranBefore(sequence->id))
-            ++this->counters.twiceRun;
+        if (this->isKnownRequest(sequence->id))
+            ++this->counters.executedTwice;
         this->sequences[sequence->id] = sequence;
         ++this->resident[adapter];
         this->queued.push_back(sequence);
         this->startSteps();
         const bool streamed = body.value("stream", false);
         if (streamed)
-            co_await this->streamFrom(exchange, sequence, 0);
+            co_await this->respondStreaming(exchange, sequence, 0);
         else
-            co_await this->answerWhole(exchange, sequence);
+            co_await this->respondNonStreamed(exchange, sequence);
     }
 
-    bool ranBefore(const std::string &id) const
+    bool isKnownRequest(const std::string &id) const
     {
         return !id.empty() && this->sequences.contains(id);
     }
 
-    asio::awaitable<void> takeUpRequest(HttpExchange &exchange, std::string id)
+    asio::awaitable<void> handleRequestById(HttpExchange &exchange, std::string id)
     {
         const auto found = this->sequences.find(id);
         if (found == this->sequences.end()) {
@@ -261,36 +261,36 @@
         const SequencePtr sequence = found->second;
         if (exchange.request().method_string() == "DELETE") {
             sequence->cancelled = true;
-            this->wake(*sequence);
+            this->notifyWaiters(*sequence);
             const HttpReply reply = jsonReply(200, {{"cancelled", id}});
             co_await exchange.respond(reply);
             co_return;
         }
         const std::string target(exchange.request().target());
-        const bool whole = queryNumber(target, "whole", 0) != 0;
-        if (whole)
-            co_await this->answerWhole(exchange, sequence);
+        const bool nonStreamed = queryNumber(target, "whole", 0) != 0;
+        if (nonStreamed)
+            co_await this->respondNonStreamed(exchange, sequence);
         else
-            co_await this->streamFrom(exchange, sequence,
-                                      static_cast<int>(queryNumber(target, "from", 0)));
+            co_await this->respondStreaming(exchange, sequence,
+                                            static_cast<int>(queryNumber(target, "from", 0)));
     }
 
-    asio::awaitable<void> answerWhole(HttpExchange &exchange, SequencePtr sequence)
+    asio::awaitable<void> respondNonStreamed(HttpExchange &exchange, SequencePtr sequence)
     {
         while (!sequence->ended())
-            co_await this->watch(sequence);
-        const bool lost = this->faults.strikes("lostAnswer");
-        if (lost || sequence->broken || sequence->cancelled) {
+            co_await this->waitForProgress(sequence);
+        const bool lost = this->faults.shouldInject("lostAnswer");
+        if (lost || sequence->aborted || sequence->cancelled) {
             exchange.abort();
             co_return;
         }
-        const bool wrong = this->faults.strikes("wrongAdapter");
-        const bool crossed = this->faults.strikes("crossed");
+        const bool wrong = this->faults.shouldInject("wrongAdapter");
+        const bool otherRequest = this->faults.shouldInject("crossed");
         std::string text;
         for (int index = 0; index < sequence->tokens; ++index)
             text += tokenText(*sequence, index);
         const Json answer{
-            {"id", crossed ? "somebody-else" : sequence->id},
+            {"id", otherRequest ? "somebody-else" : sequence->id},
             {"object", "text_completion"},
             {"model", wrong ? "neighbour@1" : sequence->adapter},
             {"choices", Json::array({{{"text", text}, {"finish_reason", "length"}}})}};
@@ -298,36 +298,36 @@
         co_await exchange.respond(reply);
     }
 
-    asio::awaitable<void> streamFrom(HttpExchange &exchange, SequencePtr sequence, int from)
+    asio::awaitable<void> respondStreaming(HttpExchange &exchange, SequencePtr sequence, int from)
     {
         std::error_code error =
             co_await exchange.beginStream(200, std::string("text/event-stream"));
-        const bool wrong = this->faults.strikes("wrongAdapter");
-        const bool isShort = this->faults.strikes("short");
-        const bool broken = this->faults.strikes("lostAnswer");
-        const bool doubled = this->faults.strikes("duplicate");
+        const bool wrong = this->faults.shouldInject("wrongAdapter");
+        const bool shortened = this->faults.shouldInject("short");
+        const bool lostAnswer = this->faults.shouldInject("lostAnswer");
+        const bool duplicated = this->faults.shouldInject("duplicate");
         int sent = from;
         while (!error) {
-            const bool cut = (isShort || broken) && sent >= sequence->tokens / 2;
-            if (cut || sequence->broken || sequence->cancelled)
+            const bool truncated = (shortened || lostAnswer) && sent >= sequence->tokens / 2;
+            if (truncated || sequence->aborted || sequence->cancelled)
                 break;
             if (sent < sequence->produced) {
                 const std::string event = this->eventText(*sequence, sent, wrong);
-                const std::string data = doubled ? event + event : event;
+                const std::string data = duplicated ? event + event : event;
                 error = co_await exchange.writeChunk(data);
                 ++sent;
                 continue;
             }
             if (sequence->produced >= sequence->tokens)
                 break;
-            co_await this->watch(sequence);
+            co_await this->waitForProgress(sequence);
         }
         const bool complete = sent >= sequence->tokens;
-        if (error || broken || (!complete && !isShort)) {
+        if (error || lostAnswer || (!complete && !shortened)) {
             exchange.abort();
             co_return;
         }
-        if (!isShort) {
+        if (!shortened) {
             const std::string done = "data: [DONE]\n\n";
             co_await exchange.writeChunk(done);
         }
@@ -345,19 +345,19 @@
         return event;
     }
 
-    asio::awaitable<void> watch(SequencePtr sequence)
+    asio::awaitable<void> waitForProgress(SequencePtr sequence)
     {
         auto timer = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor,
                                                           asio::steady_timer::time_point::max());
-        sequence->watchers.push_back(timer);
+        sequence->waiters.push_back(timer);
         co_await timer->async_wait(nothrowAwaitable);
     }
 
-    void wake(Sequence &sequence)
+    void notifyWaiters(Sequence &sequence)
     {
-        for (const auto &timer : sequence.watchers)
+        for (const auto &timer : sequence.waiters)
             timer->cancel();
-        sequence.watchers.clear();
+        sequence.waiters.clear();
     }
 
     void startSteps()
@@ -408,17 +408,17 @@
         for (const SequencePtr &sequence : this->running) {
             if (!sequence->ended())
                 ++sequence->produced;
-            this->wake(*sequence);
+            this->notifyWaiters(*sequence);
         }
-        std::vector<SequencePtr> still;
+        std::vector<SequencePtr> unfinished;
         for (const SequencePtr &sequence : this->running) {
             if (!sequence->ended()) {
-                still.push_back(sequence);
+                unfinished.push_back(sequence);
                 continue;
             }
             this->finish(*sequence);
         }
-        this->running = std::move(still);
+        this->running = std::move(unfinished);
     }
 
     void finish(const Sequence &sequence)
@@ -427,13 +427,13 @@
         if (slot != this->resident.end() && slot->second > 0 && sequence.epoch == this->epoch)
             --slot->second;
         this->finished.push_back(sequence.id);
-        if (this->finished.size() <= keptFinishedRequests)
+        if (this->finished.size() <= maxFinishedRequests)
             return;
         this->sequences.erase(this->finished.front());
         this->finished.pop_front();
     }
 
-    Json liveReport() const
+    Json currentReport() const
     {
         Json adapters = Json::array();
         for (const auto &[adapter, runs] : this->resident)
@@ -450,15 +450,15 @@
                     {"sequenceSteps", this->counters.sequenceSteps},
                     {"loads", this->counters.loads},
                     {"evictions", this->counters.evictions},
-                    {"evictedUnderRun", this->counters.evictedUnderRun},
-                    {"staleOrders", this->counters.staleOrders},
+                    {"evictedUnderRun", this->counters.evictionsInUse},
+                    {"staleOrders", this->counters.staleCommands},
                     {"requests", this->counters.requests},
-                    {"twiceRun", this->counters.twiceRun}};
+                    {"twiceRun", this->counters.executedTwice}};
     }
 
     void refreshReport()
     {
-        this->report = this->liveReport();
+        this->report = this->currentReport();
     }
 
     asio::awaitable<void> reportLoop()
@@ -473,9 +473,9 @@
     EngineOptions options;
     HttpClient client;
     asio::steady_timer stepTimer;
-    Faults faults;
+    FaultInjector faults;
     std::uint64_t epoch = 1;
-    std::pair<std::uint64_t, std::uint64_t> highest{0, 0};
+    std::pair<std::uint64_t, std::uint64_t> highestToken{0, 0};
     std::map<std::string, int> resident;
     std::size_t loading = 0;
     std::unordered_map<std::string, SequencePtr> sequences;
--- a/tools/standins/src/Log.cpp
+++ b/tools/standins/src/Log.cpp
@@ -40,7 +40,7 @@
             co_await exchange.respond(this->control(exchange.request().body()));
             co_return;
         }
-        if (this->faults.strikes("down")) {
+        if (this->faults.shouldInject("down")) {
             co_await exchange.respond(errorReply(503, "log is down"));
             co_return;
         }
@@ -54,10 +54,10 @@
 
     HttpReply control(const std::string &body)
     {
-        HttpReply reply = switchFault(this->faults, body);
-        if (this->faults.strikes("truncate")) {
-            const auto kept = static_cast<std::size_t>(this->faults.valueMs("truncate"));
-            while (this->records.size() > kept)
+        HttpReply reply = handleFaultRequest(this->faults, body);
+        if (this->faults.shouldInject("truncate")) {
+            const auto maxKept = static_cast<std::size_t>(this->faults.valueMs("truncate"));
+            while (this->records.size() > maxKept)
                 this->records.pop_front();
         }
         return reply;
@@ -77,7 +77,7 @@
         if (this->records.size() > this->options.retainedRecords)
             this->records.pop_front();
         this->wakeReaders();
-        if (this->faults.strikes("lostAnswer")) {
+        if (this->faults.shouldInject("lostAnswer")) {
             exchange.abort();
             co_return;
         }
@@ -88,14 +88,14 @@
     asio::awaitable<void> read(HttpExchange &exchange, std::string target)
     {
         const std::uint64_t from = queryNumber(target, "from", 1);
-        const std::uint64_t most = queryNumber(target, "max", 1000);
+        const std::uint64_t maxRecords = queryNumber(target, "max", 1000);
         const std::uint64_t waitMs = queryNumber(target, "waitMs", 0);
         if (from >= this->next && waitMs > 0)
             co_await this->waitForAppend(waitMs);
         Json found = Json::array();
         const std::uint64_t first = this->next - this->records.size();
         for (std::uint64_t offset = std::max(from, first); offset < this->next; ++offset) {
-            if (found.size() >= most)
+            if (found.size() >= maxRecords)
                 break;
             found.push_back(this->records[offset - first]);
         }
@@ -108,22 +108,22 @@
     {
         auto timer = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor,
                                                           std::chrono::milliseconds(waitMs));
-        this->readers.push_back(timer);
+        this->waitingReaders.push_back(timer);
         co_await timer->async_wait(asio::as_tuple(asio::use_awaitable));
-        std::erase(this->readers, timer);
+        std::erase(this->waitingReaders, timer);
     }
 
     void wakeReaders()
     {
-        for (const auto &timer : this->readers)
+        for (const auto &timer : this->waitingReaders)
             timer->cancel();
     }
 
     LogOptions options;
-    Faults faults;
+    FaultInjector faults;
     std::uint64_t next = 1;
     std::deque<Json> records;
-    std::vector<std::shared_ptr<asio::steady_timer>> readers;
+    std::vector<std::shared_ptr<asio::steady_timer>> waitingReaders;
     HttpServer server;
 };
 
--- a/tools/standins/src/PlainService.cpp
+++ b/tools/standins/src/PlainService.cpp
@@ -28,43 +28,43 @@
         const HttpRequest &request = exchange.request();
         const std::string target(request.target());
         if (target == "/control") {
-            co_await exchange.respond(switchFault(this->faults, request.body()));
+            co_await exchange.respond(handleFaultRequest(this->faults, request.body()));
             co_return;
         }
         if (target == "/v1/status") {
             const HttpReply status =
-                jsonReply(200, {{"effects", this->effects}, {"twiceRun", this->twiceRun}});
+                jsonReply(200, {{"effects", this->executions}, {"twiceRun", this->executedTwice}});
             co_await exchange.respond(status);
             co_return;
         }
-        if (this->faults.strikes("down")) {
+        if (this->faults.shouldInject("down")) {
             exchange.abort();
             co_return;
         }
-        if (this->faults.strikes("delay"))
+        if (this->faults.shouldInject("delay"))
             co_await sleepMs(this->faults.valueMs("delay"));
         const std::string id = headerOf(request, "X-Request-Id");
-        ++this->effects;
-        if (!id.empty() && ++this->seen[id] > 1)
-            ++this->twiceRun;
+        ++this->executions;
+        if (!id.empty() && ++this->executionsById[id] > 1)
+            ++this->executedTwice;
         co_await sleepMs(this->options.serviceMs);
-        if (this->faults.strikes("lostAnswer")) {
+        if (this->faults.shouldInject("lostAnswer")) {
             exchange.abort();
             co_return;
         }
-        const HttpReply answer = jsonReply(200,
-                                           {{"service", this->options.name},
-                                            {"target", target},
-                                            {"requestId", id},
-                                            {"echo", request.body()}});
-        co_await exchange.respond(answer);
+        const HttpReply reply = jsonReply(200,
+                                          {{"service", this->options.name},
+                                           {"target", target},
+                                           {"requestId", id},
+                                           {"echo", request.body()}});
+        co_await exchange.respond(reply);
     }
 
     PlainServiceOptions options;
-    Faults faults;
-    std::uint64_t effects = 0;
-    std::uint64_t twiceRun = 0;
-    std::unordered_map<std::string, int> seen;
+    FaultInjector faults;
+    std::uint64_t executions = 0;
+    std::uint64_t executedTwice = 0;
+    std::unordered_map<std::string, int> executionsById;
     HttpServer server;
 };
 
--- a/tools/standins/src/Store.cpp
+++ b/tools/standins/src/Store.cpp
@@ -31,27 +31,27 @@
     {
         const std::string target(exchange.request().target());
         if (target == "/control") {
-            co_await exchange.respond(switchFault(this->faults, exchange.request().body()));
+            co_await exchange.respond(handleFaultRequest(this->faults, exchange.request().body()));
             co_return;
         }
         if (target == "/v1/status") {
             const HttpReply status =
-                jsonReply(200, {{"loads", this->loads}, {"mostAtOnce", this->mostAtOnce}});
+                jsonReply(200, {{"loads", this->loads}, {"mostAtOnce", this->maxConcurrentLoads}});
             co_await exchange.respond(status);
             co_return;
         }
-        if (this->faults.strikes("down")) {
+        if (this->faults.shouldInject("down")) {
             co_await exchange.respond(errorReply(503, "store is down"));
             co_return;
         }
-        ++this->atOnce;
-        this->mostAtOnce = std::max(this->mostAtOnce, this->atOnce);
-        if (this->faults.strikes("delay"))
+        ++this->concurrentLoads;
+        this->maxConcurrentLoads = std::max(this->maxConcurrentLoads, this->concurrentLoads);
+        if (this->faults.shouldInject("delay"))
             co_await sleepMs(this->faults.valueMs("delay"));
         co_await this->transfer();
-        --this->atOnce;
+        --this->concurrentLoads;
         ++this->loads;
-        if (this->faults.strikes("fail")) {
+        if (this->faults.shouldInject("fail")) {
             co_await exchange.respond(errorReply(500, "weights are unreadable"));
             co_return;
         }
@@ -62,20 +62,21 @@
     asio::awaitable<void> transfer()
     {
         double remaining = 1.0;
-        auto last = std::chrono::steady_clock::now();
+        auto previous = std::chrono::steady_clock::now();
         while (remaining > 0) {
             co_await sleepMs(tickMs);
             const auto now = std::chrono::steady_clock::now();
-            const double seconds = std::chrono::duration<double>(now - last).count();
-            last = now;
-            remaining -= seconds * this->options.loadsPerSecond / std::max(1, this->atOnce);
+            const double seconds = std::chrono::duration<double>(now - previous).count();
+            previous = now;
+            remaining -=
+                seconds * this->options.loadsPerSecond / std::max(1, this->concurrentLoads);
         }
     }
 
     StoreOptions options;
-    Faults faults;
-    int atOnce = 0;
-    int mostAtOnce = 0;
+    FaultInjector faults;
+    int concurrentLoads = 0;
+    int maxConcurrentLoads = 0;
     std::uint64_t loads = 0;
     HttpServer server;
 };
--- a/tools/standins/src/Support.cpp
+++ b/tools/standins/src/Support.cpp
@@ -22,21 +22,21 @@
     return jsonReply(status, {{"error", error}});
 }
 
-std::uint64_t queryNumber(std::string_view target, std::string_view key, std::uint64_t fallback)
+std::uint64_t queryNumber(std::string_view target, std::string_view key, std::uint64_t defaultValue)
 {
     const std::string wanted = std::string(key) + "=";
     std::size_t position = target.find('?');
     while (position != std::string_view::npos) {
         const std::string_view rest = target.substr(position + 1);
         if (rest.starts_with(wanted)) {
-            std::uint64_t value = fallback;
+            std::uint64_t value = defaultValue;
             const std::string_view digits = rest.substr(wanted.size());
             std::from_chars(digits.data(), digits.data() + digits.size(), value);
             return value;
         }
         position = target.find('&', position + 1);
     }
-    return fallback;
+    return defaultValue;
 }
 
 std::string_view pathOf(std::string_view target)
@@ -44,14 +44,14 @@
     return target.substr(0, target.find('?'));
 }
 
-HttpReply switchFault(Faults &faults, const std::string &body)
+HttpReply handleFaultRequest(FaultInjector &faults, const std::string &body)
 {
-    const Json order = Json::parse(body, nullptr, false);
-    if (!order.is_object() || !order.contains("fault"))
+    const Json fault = Json::parse(body, nullptr, false);
+    if (!fault.is_object() || !fault.contains("fault"))
         return jsonReply(400, {{"error", "write {\"fault\": kind, \"times\": n, \"ms\": m}"}});
-    const std::string kind = order["fault"];
-    faults.set(kind, order.value("times", 1), order.value("ms", 0));
-    return jsonReply(200, {{"fault", kind}, {"times", order.value("times", 1)}});
+    const std::string kind = fault["fault"];
+    faults.set(kind, fault.value("times", 1), fault.value("ms", 0));
+    return jsonReply(200, {{"fault", kind}, {"times", fault.value("times", 1)}});
 }
 
 asio::awaitable<void> sleepMs(double milliseconds)
--- a/tools/standins/src/Support.h
+++ b/tools/standins/src/Support.h
@@ -18,13 +18,14 @@
 HttpReply errorReply(int status, const char *error);
 
 /** Value of a query parameter, or the fallback. */
-std::uint64_t queryNumber(std::string_view target, std::string_view key, std::uint64_t fallback);
+std::uint64_t queryNumber(std::string_view target, std::string_view key,
+                          std::uint64_t defaultValue);
 
 /** Path of a request target without its query. */
 std::string_view pathOf(std::string_view target);
 
 /** Handles {"fault": kind, "times": n, "ms": m}; the reply says what was switched. */
-HttpReply switchFault(Faults &faults, const std::string &body);
+HttpReply handleFaultRequest(FaultInjector &faults, const std::string &body);
 
 asio::awaitable<void> sleepMs(double milliseconds);
 
--- a/tools/standins/src/VmList.cpp
+++ b/tools/standins/src/VmList.cpp
@@ -15,7 +15,7 @@
     VmList(asio::io_context &context, const VmListOptions &options)
         : context(context)
         , options(options)
-        , shown(options.vms)
+        , visibleVms(options.vms)
         , server(context, options.listen,
                  [this](HttpExchange &exchange) { return this->handle(exchange); })
     { }
@@ -31,28 +31,28 @@
         const HttpRequest &request = exchange.request();
         HttpReply reply;
         if (request.target() == "/control") {
-            reply = switchFault(this->faults, request.body());
+            reply = handleFaultRequest(this->faults, request.body());
         } else if (request.method_string() == "PUT") {
-            asio::co_spawn(this->context, this->showLater(request.body()), asio::detached);
+            asio::co_spawn(this->context, this->publishAfterLag(request.body()), asio::detached);
             reply.body = "{}";
-        } else if (this->faults.strikes("down")) {
+        } else if (this->faults.shouldInject("down")) {
             reply.status = 503;
         } else {
-            reply.body = this->shown;
+            reply.body = this->visibleVms;
         }
         co_await exchange.respond(reply);
     }
 
-    asio::awaitable<void> showLater(std::string vms)
+    asio::awaitable<void> publishAfterLag(std::string vms)
     {
         co_await sleepMs(this->options.lagMs);
-        this->shown = std::move(vms);
+        this->visibleVms = std::move(vms);
     }
 
     asio::io_context &context;
     VmListOptions options;
-    std::string shown;
-    Faults faults;
+    std::string visibleVms;
+    FaultInjector faults;
     HttpServer server;
 };
 
