--- a/tools/loadgen/src/Load.cpp
+++ b/tools/loadgen/src/Load.cpp
@@ -203,7 +203,7 @@
     }
 }
 
-asio::awaitable<void> sendUnary(LoadRun &run, PlannedRequest planned, Endpoint endpoint)
+asio::awaitable<void> sendNonStreamed(LoadRun &run, PlannedRequest planned, Endpoint endpoint)
 {
     const Clock::time_point began = Clock::now();
     HttpCall call = modelCall(run, planned);
@@ -268,7 +268,7 @@
     else if (planned.streamed)
         co_await sendStreamed(run, planned, endpoint);
     else
-        co_await sendUnary(run, planned, endpoint);
+        co_await sendNonStreamed(run, planned, endpoint);
     --run.inFlight;
 }
 
