--- a/tools/capacity/src/Main.cpp
+++ b/tools/capacity/src/Main.cpp
@@ -30,20 +30,20 @@
 using namespace monsoonbay::capacity;
 
 /** The size of two years from now, from letter 1. */
-struct TargetSize
+struct PlannedSize
 {
-    double nodes = 840;
-    double runners = 12000;
+    double entryVms = 840;
+    double engines = 12000;
     double adapters = 67000;
     double requestsPerSecond = 28000;
     double tokensPerSecond = 8e6;
     double zones = 6;
     double changesPerDay = 80000;
-    double wakingShareAnHour = 0.40;
+    double activatedSharePerHour = 0.40;
     double vmFailuresPerDay = 75;
     double restartsPerDay = 1500;
-    double slotsPerRunner = 8;
-    double coreShare = 0.044;
+    double slotsPerEngine = 8;
+    double coreFraction = 0.044;
     double bytes = 64e6;
     double bytesPerSecond = 26e3;
 };
@@ -61,7 +61,7 @@
     return entries;
 }
 
-Slope demandMemory()
+LinearFit measureDemandMemory()
 {
     std::vector<Point> points;
     for (const int count : {16750, 33500, 67000}) {
@@ -70,23 +70,23 @@
             recordRequests(*table, adapterAt(index), 1, Instant{});
         points.push_back({static_cast<double>(count), static_cast<double>(bytesOf(*table))});
     }
-    return fitSlope("demand table, memory", "adapter", "B", points);
+    return fitLine("demand table, memory", "adapter", "B", points);
 }
 
-Slope manifestMemory()
+LinearFit measureManifestMemory()
 {
     std::vector<Point> points;
     for (const int count : {16750, 33500, 67000}) {
         std::unique_ptr<AdapterTable> table;
         const std::vector<AdapterEntry> entries = adapterEntries(count);
-        const double bytes =
-            heapBytesOf([&] { table = std::make_unique<AdapterTable>(AdapterTable::of(entries)); });
+        const double bytes = heapBytesRetained(
+            [&] { table = std::make_unique<AdapterTable>(AdapterTable::of(entries)); });
         points.push_back({static_cast<double>(count), bytes});
     }
-    return fitSlope("manifest, memory", "adapter", "B", points);
+    return fitLine("manifest, memory", "adapter", "B", points);
 }
 
-Slope deltaTime()
+LinearFit measureDeltaTime()
 {
     std::vector<Point> points;
     for (const int count : {16750, 33500, 67000}) {
@@ -96,16 +96,16 @@
         ManifestDelta delta;
         delta.put.push_back({{"plan-7", "2"}, "base"});
         delta.remove.push_back({"plan-8", "1"});
-        points.push_back({static_cast<double>(count), microsecondsOf(300, [&](int) {
+        points.push_back({static_cast<double>(count), medianMicroseconds(300, [&](int) {
                               const auto changed = applyDelta(manifest, delta);
                               if (!changed.ok())
                                   std::abort();
                           })});
     }
-    return fitSlope("one delta applied, time", "adapter", "us", points);
+    return fitLine("one delta applied, time", "adapter", "us", points);
 }
 
-Slope checkTime()
+LinearFit measureCheckTime()
 {
     std::vector<Point> points;
     for (const int count : {16750, 33500, 67000}) {
@@ -113,12 +113,12 @@
         manifest.head.baseModels = {"base"};
         manifest.adapters = AdapterTable::of(adapterEntries(count));
         const std::string text = writeManifest(manifest);
-        points.push_back({static_cast<double>(count), microsecondsOf(1, [&](int) {
+        points.push_back({static_cast<double>(count), medianMicroseconds(1, [&](int) {
                               if (!parseManifest(text).ok())
                                   std::abort();
                           })});
     }
-    return fitSlope("whole manifest checked, time", "adapter", "us", points);
+    return fitLine("whole manifest checked, time", "adapter", "us", points);
 }
 
 TargetStatus statusFor(int target, int slots)
@@ -134,22 +134,22 @@
     return status;
 }
 
-Slope directoryMemory()
+LinearFit measureDirectoryMemory()
 {
     std::vector<Point> points;
     for (const int targets : {500, 1000, 2000}) {
         std::unique_ptr<ResidentDirectory> directory;
-        const double bytes = heapBytesOf([&] {
+        const double bytes = heapBytesRetained([&] {
             directory = std::make_unique<ResidentDirectory>("zone");
             for (int target = 0; target < targets; ++target)
                 directory->apply(statusFor(target, 8));
         });
         points.push_back({static_cast<double>(targets), bytes});
     }
-    return fitSlope("directory of residents, memory (8 slots a target)", "target", "B", points);
+    return fitLine("directory of residents, memory (8 slots a target)", "target", "B", points);
 }
 
-Slope routeTime()
+LinearFit measureRouteTime()
 {
     const PlacementPolicy *policy = findPlacementPolicy("forecast");
     std::vector<Point> points;
@@ -158,32 +158,32 @@
         for (int target = 0; target < targets; ++target)
             directory.apply(statusFor(target, 8));
         std::size_t found = 0;
-        points.push_back({static_cast<double>(targets), microsecondsOf(100000, [&](int call) {
+        points.push_back({static_cast<double>(targets), medianMicroseconds(100000, [&](int call) {
                               const AdapterId adapter{
                                   rendezvousScore(7, static_cast<std::uint64_t>(call))};
                               found += directory.choose(adapter, *policy, 0.8, 0.2) ? 1 : 0;
                           })});
     }
-    return fitSlope("one routing decision, time", "target", "us", points);
+    return fitLine("one routing decision, time", "target", "us", points);
 }
 
-Slope applyTime()
+LinearFit measureApplyTime()
 {
     std::vector<Point> points;
     for (const int slots : {4, 8, 16}) {
         ResidentDirectory directory("zone");
         std::uint64_t change = 1;
-        points.push_back({static_cast<double>(slots), microsecondsOf(20000, [&](int call) {
+        points.push_back({static_cast<double>(slots), medianMicroseconds(20000, [&](int call) {
                               TargetStatus status = statusFor(call % 500, slots);
                               status.version.change = ++change;
                               status.resident[0] = adapterAt(call % 67000);
                               directory.apply(status);
                           })});
     }
-    return fitSlope("one target's news applied, time", "slot", "us", points);
+    return fitLine("one target's news applied, time", "slot", "us", points);
 }
 
-Slope decideTime()
+LinearFit measureDecideTime()
 {
     std::vector<Point> points;
     for (const int targets : {125, 250, 500, 1000, 2000}) {
@@ -201,20 +201,21 @@
             recordRequests(state.demand, adapterAt(adapter), 1, now);
         int next = 0;
         points.push_back(
-            {static_cast<double>(targets), microsecondsOf(100, [&](int) {
-                 const AdapterId cold = adapterAt(30000 + ++next);
-                 updateWant(state, {cold, VmId{1}, 1, now, now + std::chrono::hours(1), 1, now},
+            {static_cast<double>(targets), medianMicroseconds(100, [&](int) {
+                 const AdapterId coldAdapter = adapterAt(30000 + ++next);
+                 updateWant(state,
+                            {coldAdapter, VmId{1}, 1, now, now + std::chrono::hours(1), 1, now},
                             now);
                  const PlacementActions actions = decide(state, now);
                  for (const LoadOrder &order : actions.orders)
                      recordLoadResult(state, order.permit, LoadOutcome::Loaded, now);
              })});
     }
-    return fitSlope("one load decided by the coordinator, time (8 slots a target)", "target", "us",
-                    points);
+    return fitLine("one load decided by the coordinator, time (8 slots a target)", "target", "us",
+                   points);
 }
 
-double decideWithFreeSlots()
+double measureIdleDecideTime()
 {
     Instant now = Instant{} + std::chrono::hours(1);
     PlacementState state = makePlacement({}, *findPlacementPolicy("forecast"), now);
@@ -230,18 +231,18 @@
     // none.
     for (int adapter = 0; adapter < 67000; ++adapter)
         state.backoffs[adapterAt(adapter)] = Backoff{1, Instant::max()};
-    return microsecondsOf(20, [&](int) {
+    return medianMicroseconds(20, [&](int) {
         now += std::chrono::milliseconds(50);
         decide(state, now);
     });
 }
 
-Slope membershipMemory()
+LinearFit measureMembershipMemory()
 {
     std::vector<Point> points;
     for (const int members : {210, 420, 840}) {
         MembershipState state = makeMembership({}, {}, 1, Instant{});
-        const double bytes = heapBytesOf([&] {
+        const double bytes = heapBytesRetained([&] {
             for (int index = 0; index < members; ++index) {
                 Member member;
                 member.name = "zone-a-entry-" + std::to_string(index);
@@ -254,10 +255,10 @@
         });
         points.push_back({static_cast<double>(members), bytes});
     }
-    return fitSlope("membership, memory", "member", "B", points);
+    return fitLine("membership, memory", "member", "B", points);
 }
 
-Slope membershipTick()
+LinearFit measureMembershipTick()
 {
     std::vector<Point> points;
     for (const int members : {210, 420, 840}) {
@@ -270,17 +271,17 @@
             applyGossip(state, {member}, Instant{});
         }
         Instant now{};
-        points.push_back({static_cast<double>(members), microsecondsOf(500, [&](int) {
+        points.push_back({static_cast<double>(members), medianMicroseconds(500, [&](int) {
                               now += std::chrono::milliseconds(50);
                               for (const Probe &probe : tick(state, now))
                                   noteHeard(state, probe.to, 1, now);
                               nextGossip(state);
                           })});
     }
-    return fitSlope("membership tick with its probes, time", "member", "us", points);
+    return fitLine("membership tick with its probes, time", "member", "us", points);
 }
 
-Slope ownershipTick()
+LinearFit measureOwnershipTick()
 {
     std::vector<Point> points;
     for (const int targets : {500, 1000, 2000}) {
@@ -296,20 +297,20 @@
         for (const OwnedTarget &target : list)
             applyClaim(state, target.target, VmId{2 + target.target.value % 139}, {5, 0}, false);
         Instant now = Instant{} + std::chrono::seconds(10);
-        points.push_back({static_cast<double>(targets), microsecondsOf(200, [&](int) {
+        points.push_back({static_cast<double>(targets), medianMicroseconds(200, [&](int) {
                               now += std::chrono::milliseconds(50);
                               tick(state, now);
                           })});
     }
-    return fitSlope("ownership tick, time", "target", "us", points);
+    return fitLine("ownership tick, time", "target", "us", points);
 }
 
-Slope keyMemory()
+LinearFit measureKeyMemory()
 {
     std::vector<Point> points;
     for (const int count : {2000, 4000, 8000}) {
         KeyRecords keys = makeKeyRecords({}, VmId{1}, Instant{});
-        const double bytes = heapBytesOf([&] {
+        const double bytes = heapBytesRetained([&] {
             for (int index = 0; index < count; ++index) {
                 const KeyRequest request{static_cast<std::uint64_t>(index) * 7919, 1, 1};
                 reserveKey(keys, request, Instant{});
@@ -320,21 +321,21 @@
         });
         points.push_back({static_cast<double>(count), bytes});
     }
-    return fitSlope("record of an Idempotency-Key, memory (600 B answer)", "record", "B", points);
+    return fitLine("record of an Idempotency-Key, memory (600 B answer)", "record", "B", points);
 }
 
-double requestDecisionTime()
+double measureRequestDecisionTime()
 {
     RetryBudget budget;
     AdmissionState admission;
     admission.config.maxInFlight = 1000000;
-    return microsecondsOf(100000, [&](int) {
+    return medianMicroseconds(100000, [&](int) {
         admit(admission, ServiceId{1}, 1);
-        RequestLifecycle life;
-        life.traits.deadline = Instant{} + std::chrono::hours(1);
-        const std::uint32_t attempt = beginAttempt(life);
-        takePiece(life, attempt, 0);
-        endAttempt(life, {attempt, ErrorKind::Ok, true, 1}, budget, Instant{});
+        RequestLifecycle lifecycle;
+        lifecycle.traits.deadline = Instant{} + std::chrono::hours(1);
+        const std::uint32_t attempt = beginAttempt(lifecycle);
+        takePiece(lifecycle, attempt, 0);
+        endAttempt(lifecycle, {attempt, ErrorKind::Ok, true, 1}, budget, Instant{});
         release(admission, ServiceId{1});
     });
 }
@@ -355,16 +356,16 @@
     return news;
 }
 
-Slope newsBytes()
+LinearFit measureNewsBytes()
 {
     std::vector<Point> points;
     for (const int slots : {4, 8, 16})
         points.push_back(
             {static_cast<double>(slots), static_cast<double>(targetNews(slots).ByteSizeLong())});
-    return fitSlope("news of one target, bytes", "slot", "B", points);
+    return fitLine("news of one target, bytes", "slot", "B", points);
 }
 
-PeerHandlers quietHandlers()
+PeerHandlers emptyReplyHandlers()
 {
     PeerHandlers handlers;
     handlers.tell = [](v1::PeerNews) -> asio::awaitable<v1::PeerNewsReply> {
@@ -374,33 +375,33 @@
 }
 
 /** Sends `count` empty news to a peer, one after the other. */
-void tellTimes(PeerClient &client, const Endpoint &peer, int count)
+void sendEmptyNews(PeerClient &client, const Endpoint &peer, int count)
 {
     asio::io_context context(1);
-    const auto work = [&]() -> asio::awaitable<void> {
+    const auto sendAll = [&]() -> asio::awaitable<void> {
         for (int number = 0; number < count; ++number) {
             v1::PeerNews news;
-            const Duration patience = std::chrono::seconds(5);
-            co_await client.tell(peer, std::move(news), patience);
+            const Duration timeout = std::chrono::seconds(5);
+            co_await client.tell(peer, std::move(news), timeout);
         }
     };
     // While gRPC works, the context has nothing to do; the guard keeps it until the last reply.
     auto guard = asio::make_work_guard(context);
-    asio::co_spawn(context, work(), [&guard](const std::exception_ptr &) { guard.reset(); });
+    asio::co_spawn(context, sendAll(), [&guard](const std::exception_ptr &) { guard.reset(); });
     context.run();
 }
 
 /** A peer server with the threads that answer for it. */
-struct QuietPeer
+struct EmptyReplyPeer
 {
     asio::io_context context;
     asio::executor_work_guard<asio::io_context::executor_type> work{context.get_executor()};
-    PeerServer server{context, {"127.0.0.1", 0}, quietHandlers()};
+    PeerServer server{context, {"127.0.0.1", 0}, emptyReplyHandlers()};
     std::thread thread{[this] {
         this->context.run();
     }};
 
-    ~QuietPeer()
+    ~EmptyReplyPeer()
     {
         this->context.stop();
         this->thread.join();
@@ -413,28 +414,28 @@
 };
 
 /** Memory of both ends of a connection between peers, each after one message. */
-Slope channelMemory()
+LinearFit measureChannelMemory()
 {
-    QuietPeer peer;
+    EmptyReplyPeer peer;
     std::vector<Point> points;
     std::vector<std::unique_ptr<PeerClient>> clients;
     const auto addOne = [&] {
         clients.push_back(std::make_unique<PeerClient>());
-        tellTimes(*clients.back(), peer.endpoint(), 1);
+        sendEmptyNews(*clients.back(), peer.endpoint(), 1);
     };
     addOne(); // what gRPC sets up once
     double total = 0;
     for (const int count : {20, 40, 80}) {
-        total += heapBytesOf([&] {
+        total += heapBytesRetained([&] {
             while (static_cast<int>(clients.size()) <= count)
                 addOne();
         });
         points.push_back({static_cast<double>(count), total});
     }
-    return fitSlope("connection between peers, memory of both ends", "connection", "B", points);
+    return fitLine("connection between peers, memory of both ends", "connection", "B", points);
 }
 
-double probeBytes()
+double measureProbeBytes()
 {
     v1::PeerNews news;
     news.set_vm("zone-a-entry-101");
@@ -461,7 +462,7 @@
     std::string role;
     std::string mechanism;
     double bytes = 0;
-    double coreShare = 0;
+    double coreFraction = 0;
     double bytesPerSecond = 0;
     std::string note;
 };
@@ -471,115 +472,120 @@
     std::ostringstream text;
     text << "| " << cost.role << " | " << cost.mechanism << " | " << std::fixed
          << std::setprecision(2) << cost.bytes / 1e6 << " | " << std::setprecision(3)
-         << cost.coreShare * 100 << " | " << std::setprecision(2) << cost.bytesPerSecond / 1e3
+         << cost.coreFraction * 100 << " | " << std::setprecision(2) << cost.bytesPerSecond / 1e3
          << " | " << cost.note << " |\n";
     return text.str();
 }
 
-struct Slopes
-{
-    Slope demand = demandMemory();
-    Slope manifest = manifestMemory();
-    Slope delta = deltaTime();
-    Slope check = checkTime();
-    Slope directory = directoryMemory();
-    Slope route = routeTime();
-    Slope apply = applyTime();
-    Slope decide = decideTime();
-    Slope members = membershipMemory();
-    Slope memberTick = membershipTick();
-    Slope ownerTick = ownershipTick();
-    Slope keys = keyMemory();
-    Slope news = newsBytes();
-    double request = requestDecisionTime();
-    Slope channel = channelMemory();
-    double idleDecide = decideWithFreeSlots();
-    double probe = probeBytes();
+struct Measurements
+{
+    LinearFit demand = measureDemandMemory();
+    LinearFit manifest = measureManifestMemory();
+    LinearFit delta = measureDeltaTime();
+    LinearFit check = measureCheckTime();
+    LinearFit directory = measureDirectoryMemory();
+    LinearFit route = measureRouteTime();
+    LinearFit apply = measureApplyTime();
+    LinearFit decide = measureDecideTime();
+    LinearFit membership = measureMembershipMemory();
+    LinearFit membershipTick = measureMembershipTick();
+    LinearFit ownershipTick = measureOwnershipTick();
+    LinearFit keys = measureKeyMemory();
+    LinearFit news = measureNewsBytes();
+    double request = measureRequestDecisionTime();
+    LinearFit channel = measureChannelMemory();
+    double idleDecide = measureIdleDecideTime();
+    double probe = measureProbeBytes();
 };
 
-double at(const Slope &slope, double size)
+double predict(const LinearFit &fit, double size)
 {
-    return slope.fixed + slope.perUnit * size;
+    return fit.intercept + fit.slope * size;
 }
 
-std::vector<RoleCost> roleCosts(const Slopes &slopes, const TargetSize &size)
+std::vector<RoleCost> roleCosts(const Measurements &measured, const PlannedSize &size)
 {
     constexpr double us = 1e-6;
-    const double zoneRunners = size.runners / size.zones;
-    const double zoneNodes = size.nodes / size.zones;
-    const double ownedRunners = size.runners / size.nodes;
-    const double wakes = size.adapters * size.wakingShareAnHour / 3600;
-    const double changes = 2 * wakes; // a slot begins and ends a load
-    const double restartedSlots = size.restartsPerDay / 86400 * size.slotsPerRunner;
-    const double newsPerSecond = changes + restartedSlots;
-    const double newsSize = at(slopes.news, size.slotsPerRunner);
+    const double enginesPerZone = size.engines / size.zones;
+    const double entryVmsPerZone = size.entryVms / size.zones;
+    const double enginesPerOwner = size.engines / size.entryVms;
+    const double activationsPerSecond = size.adapters * size.activatedSharePerHour / 3600;
+    const double slotChangesPerSecond = 2 * activationsPerSecond; // a slot begins and ends a load
+    const double restartedSlotsPerSecond = size.restartsPerDay / 86400 * size.slotsPerEngine;
+    const double newsPerSecond = slotChangesPerSecond + restartedSlotsPerSecond;
+    const double newsBytes = predict(measured.news, size.slotsPerEngine);
     // Frames and headers of a small gRPC message on a warm connection: assumed, not measured.
-    constexpr double framing = 120;
-    const double requests = size.requestsPerSecond / size.nodes;
-    const double tick = 20; // ticks a second of the membership and ownership loops
+    constexpr double framingBytes = 120;
+    const double requestsPerEntryVm = size.requestsPerSecond / size.entryVms;
+    const double ticksPerSecond = 20; // ticks a second of the membership and ownership loops
     std::vector<RoleCost> costs;
-    costs.push_back({"ingress", "admission, life, routing by directory", 0,
-                     requests * (slopes.request + at(slopes.route, zoneRunners)) * us, 0,
-                     "decisions only; the relay of bytes is not control"});
+    costs.push_back(
+        {"ingress", "admission, life, routing by directory", 0,
+         requestsPerEntryVm * (measured.request + predict(measured.route, enginesPerZone)) * us, 0,
+         "decisions only; the relay of bytes is not control"});
     costs.push_back({"owner", "lease by engine, one claim order a quarter lease",
-                     ownedRunners * 4096, tick * at(slopes.ownerTick, zoneRunners) * us,
-                     ownedRunners * 2 * 600, "all targets of the zone in view, 14 owned"});
+                     enginesPerOwner * 4096,
+                     ticksPerSecond * predict(measured.ownershipTick, enginesPerZone) * us,
+                     enginesPerOwner * 2 * 600, "all targets of the zone in view, 14 owned"});
     costs.push_back({"membership", "SWIM: 10 probes a second, indirect probes, gossip",
-                     at(slopes.members, size.nodes), tick * at(slopes.memberTick, size.nodes) * us,
-                     10 * 2 * (slopes.probe + framing),
+                     predict(measured.membership, size.entryVms),
+                     ticksPerSecond * predict(measured.membershipTick, size.entryVms) * us,
+                     10 * 2 * (measured.probe + framingBytes),
                      "the same for any number of VMs but for the tick"});
     costs.push_back({"directory, whole fleet", "news of every change to every node",
-                     at(slopes.directory, size.runners),
-                     newsPerSecond * at(slopes.apply, size.slotsPerRunner) * us,
-                     newsPerSecond * (newsSize + framing), "changes only"});
+                     predict(measured.directory, size.engines),
+                     newsPerSecond * predict(measured.apply, size.slotsPerEngine) * us,
+                     newsPerSecond * (newsBytes + framingBytes), "changes only"});
     costs.push_back({"directory, loads and pins of the zone", "every 300 ms as today", 0,
-                     zoneRunners / 0.3 * at(slopes.apply, size.slotsPerRunner) * us,
-                     zoneRunners / 0.3 * newsSize, "BREAKS the budget if broadcast as today"});
+                     enginesPerZone / 0.3 * predict(measured.apply, size.slotsPerEngine) * us,
+                     enginesPerZone / 0.3 * newsBytes, "BREAKS the budget if broadcast as today"});
     costs.push_back({"directory, loads and pins by need",
                      "to the coordinator only, every 2 s, batched by owner", 0, 0,
-                     ownedRunners / 2 * newsSize, "what the growth needs instead"});
+                     enginesPerOwner / 2 * newsBytes, "what the growth needs instead"});
     costs.push_back({"load permits (coordinator)", "one a region, soft state",
-                     at(slopes.demand, size.adapters) + size.runners / 3 * 200,
-                     wakes / 3 * at(slopes.decide, size.runners / 3) * us, requests * 20,
-                     "only on the coordinating node"});
+                     predict(measured.demand, size.adapters) + size.engines / 3 * 200,
+                     activationsPerSecond / 3 * predict(measured.decide, size.engines / 3) * us,
+                     requestsPerEntryVm * 20, "only on the coordinating node"});
     costs.push_back({"idempotency records", "two holders by hash, 600 s",
-                     requests * 2 * 600 * 0.1 * slopes.keys.perUnit, 0, requests * 0.1 * 2 * 900,
-                     "if one request in ten carries a key"});
-    const double perDay = size.changesPerDay / 86400;
+                     requestsPerEntryVm * 2 * 600 * 0.1 * measured.keys.slope, 0,
+                     requestsPerEntryVm * 0.1 * 2 * 900, "if one request in ten carries a key"});
+    const double manifestChangesPerSecond = size.changesPerDay / 86400;
     costs.push_back({"manifest reader and spreader", "deltas through peers, judged on each node",
-                     at(slopes.manifest, size.adapters),
-                     perDay * at(slopes.delta, size.adapters) * us, perDay * (400 + framing) * 2,
+                     predict(measured.manifest, size.adapters),
+                     manifestChangesPerSecond * predict(measured.delta, size.adapters) * us,
+                     manifestChangesPerSecond * (400 + framingBytes) * 2,
                      "two readers of the log a zone"});
-    costs.push_back({"connections within the zone",
-                     "one gRPC channel each way to each peer of the zone",
-                     zoneNodes * slopes.channel.perUnit, 0, 0, "what a node talks to by need"});
+    costs.push_back(
+        {"connections within the zone", "one gRPC channel each way to each peer of the zone",
+         entryVmsPerZone * measured.channel.slope, 0, 0, "what a node talks to by need"});
     costs.push_back({"connections to all", "one gRPC channel each way to every node",
-                     size.nodes * slopes.channel.perUnit, 0, 0,
+                     size.entryVms * measured.channel.slope, 0, 0,
                      "as today; BREAKS the budget if it exceeds it"});
     return costs;
 }
 
-void writeReport(const TargetSize &size)
+void writeReport(const PlannedSize &size)
 {
-    const Slopes slopes;
+    const Measurements measured;
     std::cout
         << "## Slopes\n\n| what | size: cost | slope | at size 0 | fit |\n|---|---|---|---|---|\n";
-    for (const Slope *slope :
-         {&slopes.demand, &slopes.manifest, &slopes.delta, &slopes.check, &slopes.directory,
-          &slopes.route, &slopes.apply, &slopes.decide, &slopes.members, &slopes.memberTick,
-          &slopes.ownerTick, &slopes.keys, &slopes.news, &slopes.channel})
-        std::cout << slopeRow(*slope);
+    for (const LinearFit *fit :
+         {&measured.demand, &measured.manifest, &measured.delta, &measured.check,
+          &measured.directory, &measured.route, &measured.apply, &measured.decide,
+          &measured.membership, &measured.membershipTick, &measured.ownershipTick, &measured.keys,
+          &measured.news, &measured.channel})
+        std::cout << fitRow(*fit);
     std::cout << "\nOne request's decisions (admission, life): " << std::setprecision(3)
-              << slopes.request << " us. A probe between peers: " << slopes.probe
+              << measured.request << " us. A probe between peers: " << measured.probe
               << " B before framing (120 B assumed).\nOne tick of the coordinator with free slots "
                  "and 67,000 adapters known: "
-              << slopes.idleDecide << " us.\n\n"
+              << measured.idleDecide << " us.\n\n"
               << "## A node at 840 nodes, 12,000 runners, 67,000 adapters\n\n"
               << "| role | mechanism | memory MB | % of a core | KB/s | note "
                  "|\n|---|---|---|---|---|---|\n";
-    for (const RoleCost &cost : roleCosts(slopes, size))
+    for (const RoleCost &cost : roleCosts(measured, size))
         std::cout << roleRow(cost);
-    std::cout << "| budget | | " << size.bytes / 1e6 << " | " << size.coreShare * 100 << " | "
+    std::cout << "| budget | | " << size.bytes / 1e6 << " | " << size.coreFraction * 100 << " | "
               << size.bytesPerSecond / 1e3 << " | |\n";
 }
 
@@ -594,6 +600,6 @@
         std::cout << options.help();
         return 0;
     }
-    writeReport(TargetSize{});
+    writeReport(PlannedSize{});
     return 0;
 }
--- a/tools/capacity/src/Measure.cpp
+++ b/tools/capacity/src/Measure.cpp
@@ -13,7 +13,7 @@
 
 constexpr int rounds = 5;
 
-double processorSeconds()
+double threadCpuSeconds()
 {
     timespec now{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
@@ -28,10 +28,10 @@
 
 } // namespace
 
-Slope fitSlope(const std::string &name, const std::string &sizeUnit, const std::string &costUnit,
-               const std::vector<Point> &points)
+LinearFit fitLine(const std::string &name, const std::string &sizeUnit, const std::string &costUnit,
+                  const std::vector<Point> &points)
 {
-    Slope slope{name, sizeUnit, costUnit, points, 0, 0, 0};
+    LinearFit fit{name, sizeUnit, costUnit, points, 0, 0, 0};
     double meanSize = 0;
     double meanCost = 0;
     for (const Point &point : points) {
@@ -46,26 +46,26 @@
         sizeCost += (point.size - meanSize) * (point.cost - meanCost);
         costCost += (point.cost - meanCost) * (point.cost - meanCost);
     }
-    slope.perUnit = sizeSize > 0 ? sizeCost / sizeSize : 0;
-    slope.fixed = meanCost - slope.perUnit * meanSize;
-    slope.fit = costCost > 0 ? sizeCost * sizeCost / (sizeSize * costCost) : 1;
-    return slope;
+    fit.slope = sizeSize > 0 ? sizeCost / sizeSize : 0;
+    fit.intercept = meanCost - fit.slope * meanSize;
+    fit.rSquared = costCost > 0 ? sizeCost * sizeCost / (sizeSize * costCost) : 1;
+    return fit;
 }
 
-double microsecondsOf(int calls, const std::function<void(int)> &call)
+double medianMicroseconds(int calls, const std::function<void(int)> &call)
 {
     std::vector<double> measured;
     for (int round = 0; round < rounds; ++round) {
-        const double began = processorSeconds();
+        const double began = threadCpuSeconds();
         for (int number = 0; number < calls; ++number)
             call(number);
-        measured.push_back((processorSeconds() - began) * 1e6 / calls);
+        measured.push_back((threadCpuSeconds() - began) * 1e6 / calls);
     }
     std::nth_element(measured.begin(), measured.begin() + rounds / 2, measured.end());
     return measured[rounds / 2];
 }
 
-double heapBytesOf(const std::function<void()> &build)
+double heapBytesRetained(const std::function<void()> &build)
 {
     malloc_trim(0);
     const double before = heapInUse();
@@ -73,15 +73,15 @@
     return heapInUse() - before;
 }
 
-std::string slopeRow(const Slope &slope)
+std::string fitRow(const LinearFit &fit)
 {
     std::ostringstream text;
-    text << "| " << slope.name << " |";
-    for (const Point &point : slope.points)
+    text << "| " << fit.name << " |";
+    for (const Point &point : fit.points)
         text << " " << std::setprecision(6) << point.size << ": " << std::setprecision(4)
              << point.cost << ";";
-    text << " | " << std::setprecision(4) << slope.perUnit << " " << slope.costUnit << " a "
-         << slope.sizeUnit << " | " << slope.fixed << " | " << std::setprecision(3) << slope.fit
+    text << " | " << std::setprecision(4) << fit.slope << " " << fit.costUnit << " a "
+         << fit.sizeUnit << " | " << fit.intercept << " | " << std::setprecision(3) << fit.rSquared
          << " |\n";
     return text.str();
 }
--- a/tools/capacity/src/Measure.h
+++ b/tools/capacity/src/Measure.h
@@ -14,26 +14,26 @@
 };
 
 /** A straight line through the points, and how well it fits. */
-struct Slope
+struct LinearFit
 {
     std::string name;
     std::string sizeUnit;
     std::string costUnit;
     std::vector<Point> points;
-    double perUnit = 0;
-    double fixed = 0;
-    double fit = 0; ///< coefficient of determination
+    double slope = 0;
+    double intercept = 0;
+    double rSquared = 0; ///< coefficient of determination
 };
 
-Slope fitSlope(const std::string &name, const std::string &sizeUnit, const std::string &costUnit,
-               const std::vector<Point> &points);
+LinearFit fitLine(const std::string &name, const std::string &sizeUnit, const std::string &costUnit,
+                  const std::vector<Point> &points);
 
 /** Processor time in microseconds of one call, from many calls; the median of several rounds. */
-double microsecondsOf(int calls, const std::function<void(int)> &call);
+double medianMicroseconds(int calls, const std::function<void(int)> &call);
 
 /** Bytes of the heap that `build` leaves behind. */
-double heapBytesOf(const std::function<void()> &build);
+double heapBytesRetained(const std::function<void()> &build);
 
-std::string slopeRow(const Slope &slope);
+std::string fitRow(const LinearFit &fit);
 
 } // namespace monsoonbay::capacity
