--- a/tools/loadgen/include/loadgen/Experiment.h
+++ b/tools/loadgen/include/loadgen/Experiment.h
@@ -8,20 +8,23 @@
 
 namespace monsoonbay::loadgen {
 
-/** One named experiment in virtual time, run with several policies over the same arrivals. */
+/** A named scenario of the simulation; all policies get the same arrivals. */
 struct Experiment
 {
     std::string_view name;
     std::string_view description;
     SimulationOptions (*options)(const std::string &deployment);
-    double windowStart; ///< the window that the table is about
-    double windowEnd;
-    int hotRanks; ///< 0: all requests
+    double windowStart; ///< the table counts requests that arrive from here, in seconds
+    double windowEnd; ///< and before here
+    int hotRanks; ///< counts only requests of this many hottest adapters; 0: all requests
 };
 
 const std::vector<Experiment> &experiments();
 
-/** Runs an experiment with each policy and writes one row a policy, with ratios to plain-good. */
+/**
+ * Runs an experiment with each policy, with the seeds 1 to `seeds`. Returns a Markdown table with
+ * one row a policy; ratios are relative to the policy "plain-good", or 1 if it is not among them.
+ */
 std::string runExperiment(const Experiment &experiment, const std::string &deployment,
                           const std::vector<std::string> &policies, int seeds);
 
--- a/tools/loadgen/include/loadgen/PathBench.h
+++ b/tools/loadgen/include/loadgen/PathBench.h
@@ -7,8 +7,9 @@
 namespace monsoonbay::loadgen {
 
 /**
- * Measures what the path adds: the same small requests straight to the engines and through the one
- * entry VM, in one run. Returns a Markdown page with the table.
+ * Measures the overhead of an entry VM: sends the same small requests directly to the engines and
+ * through the only entry VM of the deployment. Returns a Markdown table.
+ * Each phase sends for `seconds`.
  */
 std::string measureEntryVmOverhead(const Deployment &deployment, double seconds);
 
--- a/tools/loadgen/src/Deployment.cpp
+++ b/tools/loadgen/src/Deployment.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-/** How many of a kind stand in each zone, in the zones' order. */
+/** Number of VMs of each kind in each zone, in the order of the zones. */
 struct VmCounts
 {
     std::vector<int> entryVms;
@@ -21,8 +21,8 @@
     std::vector<int> apps;
 };
 
-// Each VM gets a loopback address of its own, 127.DEPLOYMENT.ZONE.N, so that all of them can use
-// the same ports, as VMs do.
+// Each VM gets its own loopback address, 127.DEPLOYMENT.ZONE.N, so that all of them can use the
+// same ports, as real VMs do.
 std::string addressOf(int deployment, std::size_t zone, int number)
 {
     return "127." + std::to_string(deployment) + "." + std::to_string(zone + 1) + "."
@@ -71,7 +71,7 @@
     return deployment;
 }
 
-/** One entry VM before four engines that take no time: what is left is the path. */
+/** One entry VM and four engines with steps of 0 ms, so that the entry VM dominates latency. */
 Deployment bench()
 {
     Deployment deployment;
@@ -95,6 +95,7 @@
     return static_cast<bool>(file);
 }
 
+/** Address of a platform service, 127.DEPLOYMENT.200.N. */
 std::string platformAddress(const Deployment &deployment, int number)
 {
     const std::string &anyAddress = deployment.entryVms.front().address;
@@ -102,6 +103,7 @@
     return network + ".200." + std::to_string(number);
 }
 
+// Last byte of the addresses of the platform services.
 constexpr int logNumber = 1;
 constexpr int vmListNumber = 2;
 constexpr int storeNumber = 3;
--- a/tools/loadgen/src/Experiment.cpp
+++ b/tools/loadgen/src/Experiment.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+/** The default options have the sizes of the deployment "bavaria". */
 SimulationOptions baseOptions(const std::string &deployment)
 {
     SimulationOptions options;
@@ -88,19 +89,22 @@
     return options;
 }
 
+/** Results of one policy over all seeds. */
 struct PolicyResult
 {
     std::string policy;
-    SimulationSummary summary; ///< means over the seeds
+    SimulationSummary summary; ///< means; sums of counts and of totalStall; the lowest
+                               ///< promptRefusalShare
     double batchEfficiency = 0;
     double loads = 0;
     double prefetches = 0;
     double storeBusyShare = 0;
     double shiftsSeen = 0;
     int maxConcurrentLoads = 0;
-    std::uint64_t violations = 0;
+    std::uint64_t violations = 0; ///< evictions of an adapter in use, dispatches without adapter
 };
 
+/** Adds the result of one seed; `weight` is one over the number of seeds. */
 void accumulate(PolicyResult &sum, const SimulationReport &report, const SimulationSummary &summary,
                 double weight)
 {
--- a/tools/loadgen/src/Load.cpp
+++ b/tools/loadgen/src/Load.cpp
@@ -32,19 +32,19 @@
     return std::chrono::duration<double>(Clock::now() - begin).count();
 }
 
-/** One caller's request, drawn before it is sent. */
+/** A request with its random properties, drawn before it is sent. */
 struct PlannedRequest
 {
     bool model = true;
-    int adapter = 0;
+    int adapter = 0; ///< index, also its popularity rank
     bool streamed = false;
     bool withIdempotencyKey = false;
     int tokens = 16;
     std::uint64_t number = 0;
-    std::size_t entryVm = 0;
+    std::size_t entryVm = 0; ///< index of the VM that it is sent to
 };
 
-/** All of one load run; one thread. */
+/** State of one load run; used by one thread. */
 struct LoadRun
 {
     const Deployment &deployment;
@@ -65,6 +65,7 @@
     return weights;
 }
 
+/** The text that an engine stand-in generates for this adapter and number of tokens. */
 std::string expectedText(const std::string &adapter, int tokens)
 {
     std::string text;
@@ -73,6 +74,7 @@
     return text;
 }
 
+/** Counts a refusal, or a failure if the problem document does not say that nothing ran. */
 void countProblem(LoadReport &report, const std::string &body, int status)
 {
     const Json json = Json::parse(body, nullptr, false);
@@ -104,7 +106,7 @@
     return call;
 }
 
-/** Checks a streamed answer event by event. */
+/** Checks the server-sent events of a streamed answer. */
 struct StreamChecker
 {
     std::string adapter;
@@ -115,7 +117,7 @@
     bool errorEvent = false;
     std::string buffer;
 
-    /** Returns how many tokens the data held. */
+    /** Processes a chunk of the response body; returns the number of tokens in it. */
     int consume(const std::string &data)
     {
         int tokens = 0;
@@ -129,6 +131,7 @@
         return tokens;
     }
 
+    /** Returns true if the event holds a token. */
     bool consumeEvent(const std::string &event)
     {
         if (event == "data: [DONE]") {
@@ -287,8 +290,8 @@
     return planned;
 }
 
-// Open loop: requests leave at their drawn times whatever the answers do, so a slow system is not
-// spared by its own slowness.
+// Open loop: requests are sent at their drawn times without waiting for earlier answers, so that
+// slow answers do not reduce the load.
 asio::awaitable<void> sendOpenLoop(LoadRun &run, bool model, double perSecond)
 {
     std::exponential_distribution<double> gap(perSecond);
@@ -308,6 +311,7 @@
     }
 }
 
+/** Prints a line each second; stops the run once all are answered, or after the last deadline. */
 asio::awaitable<void> showProgress(LoadRun &run)
 {
     asio::steady_timer timer(run.context);
@@ -319,7 +323,7 @@
         std::cerr << "\r" << std::fixed << std::setprecision(0) << secondsSince(began)
                   << " s: " << run.report.sent << " sent, "
                   << run.report.answered + run.report.plainAnswered << " answered, " << run.inFlight
-                  << " open    " << std::flush;
+                  << " in flight    " << std::flush;
         const bool over = secondsSince(began) > run.options.seconds && run.inFlight == 0;
         if (over || secondsSince(began) > maxSeconds)
             break;
@@ -343,6 +347,7 @@
     return settings.value.log;
 }
 
+/** True if the entry VM is ready and can use every model engine. */
 bool isReady(const Deployment &deployment, const EntryVm &vm)
 {
     const Json status = getJson(Endpoint{vm.address, operatorsPort}, "/v1/status");
@@ -482,27 +487,27 @@
         row(name, cells.str());
     };
     row("requests sent", report.sent);
-    row("answered by models", report.answered);
-    row("answered by plain services", report.plainAnswered);
+    row("model requests answered", report.answered);
+    row("requests to plain services answered", report.plainAnswered);
     for (const auto &[kind, count] : report.refusals)
         row("  " + kind, count);
     row("failed (ran or may have run)", report.failed);
     row("transport errors", report.transportErrors);
     row("wrong answers", report.wrongAnswers);
-    row("duplicate pieces", report.streamsWithDuplicates);
-    row("partial answers passed off as whole", report.truncated);
-    row("evictions under a running request", engines.evictionsInUse);
-    row("requests run twice", engines.executedTwice);
-    quantileRow("load stall s, worst VM, p50 / p95 / p99",
+    row("streams with a duplicate token", report.streamsWithDuplicates);
+    row("truncated answers without an error", report.truncated);
+    row("evictions of an adapter in use", engines.evictionsInUse);
+    row("requests executed twice", engines.executedTwice);
+    quantileRow("load stall s, highest VM, p50 / p95 / p99",
                 Quantiles{stalls.requests, stalls.p50, stalls.p95, stalls.p99});
     const double share = stalls.requests == 0
         ? 0
         : static_cast<double>(stalls.stalled) / static_cast<double>(stalls.requests);
-    row("share of model requests stalled", share);
-    quantileRow("first token s, p50 / p95 / p99", quantilesOf(report.firstTokenSeconds));
-    quantileRow("between tokens s, p50 / p95 / p99", quantilesOf(report.betweenTokensSeconds));
-    quantileRow("whole answer s, p50 / p95 / p99", quantilesOf(report.answerSeconds));
-    row("loads by the engines", engines.loads);
+    row("share of model requests that stalled", share);
+    quantileRow("time to first token s, p50 / p95 / p99", quantilesOf(report.firstTokenSeconds));
+    quantileRow("time between tokens s, p50 / p95 / p99", quantilesOf(report.betweenTokensSeconds));
+    quantileRow("time to complete answer s, p50 / p95 / p99", quantilesOf(report.answerSeconds));
+    row("adapter loads by the engines", engines.loads);
     row("batch efficiency", engines.batchEfficiency());
     return text.str();
 }
@@ -538,7 +543,7 @@
         << "<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n"
         << "<text x=\"" << margin << "\" y=\"20\" font-size=\"14\">" << title << "</text>\n"
         << "<text x=\"" << margin << "\" y=\"38\" fill=\"#1f6fb2\">first token</text>\n"
-        << "<text x=\"" << margin + 90 << "\" y=\"38\" fill=\"#c0392b\">whole answer</text>\n";
+        << "<text x=\"" << margin + 90 << "\" y=\"38\" fill=\"#c0392b\">complete answer</text>\n";
     for (const double tick : {0.01, 0.1, 1.0, 10.0}) {
         svg << "<line x1=\"" << x(tick) << "\" x2=\"" << x(tick) << "\" y1=\"" << margin
             << "\" y2=\"" << height - margin << "\" stroke=\"#ddd\"/><text x=\"" << x(tick) - 10
--- a/tools/loadgen/src/Main.cpp
+++ b/tools/loadgen/src/Main.cpp
@@ -17,29 +17,33 @@
 
 cxxopts::Options commandLine()
 {
-    cxxopts::Options options("monsoonbay-loadgen",
-                             "Load and experiment tool\n\n"
-                             "  plan  writes manifest, VM list, settings and process list\n"
-                             "  load  brings a started deployment up and sends it a mixed load\n"
-                             "  path  measures what the path adds, on the deployment bench\n"
-                             "  experiment  runs the placement decisions in virtual time\n");
-    options.add_options()("command", "plan, load or experiment", cxxopts::value<std::string>())(
-        "deployment", "bavaria or finland",
+    cxxopts::Options options(
+        "monsoonbay-loadgen",
+        "Load and experiment tool\n\n"
+        "  plan  writes manifest, VM list, settings and process list\n"
+        "  load  publishes the manifest to a started deployment and sends a mixed load\n"
+        "  path  measures the overhead of an entry VM, with the deployment bench\n"
+        "  experiment  simulates placement policies in virtual time\n");
+    options.add_options()("command", "plan, load, path or experiment",
+                          cxxopts::value<std::string>())(
+        "deployment", "bavaria, finland or bench",
         cxxopts::value<std::string>()->default_value("bavaria"))(
-        "folder", "folder of the plan", cxxopts::value<std::string>()->default_value("out/demo"))(
+        "folder", "folder for the generated files",
+        cxxopts::value<std::string>()->default_value("out/demo"))(
         "placement", "forecast or plain-good",
         cxxopts::value<std::string>()->default_value("forecast"))(
-        "seconds", "length of the load", cxxopts::value<double>()->default_value("20"))(
-        "rate", "model requests a second", cxxopts::value<double>()->default_value("12"))(
-        "plain-rate", "plain requests a second", cxxopts::value<double>()->default_value("20"))(
+        "seconds", "duration of the load", cxxopts::value<double>()->default_value("20"))(
+        "rate", "model requests per second", cxxopts::value<double>()->default_value("12"))(
+        "plain-rate", "requests to plain services per second",
+        cxxopts::value<double>()->default_value("20"))(
         "deadline-ms", "deadline of each request", cxxopts::value<int>()->default_value("20000"))(
         "name", "experiment, or all", cxxopts::value<std::string>()->default_value("all"))(
-        "policies", "placement policies to compare, first to last",
+        "policies", "placement policies to compare, in the order of the rows",
         cxxopts::value<std::vector<std::string>>()->default_value(
-            "naive,plain-good,forecast,ranking,oracle"))("seeds", "runs of each policy",
+            "naive,plain-good,forecast,ranking,oracle"))("seeds", "number of seeds for each policy",
                                                          cxxopts::value<int>()->default_value("4"))(
-        "seed", "seed of all draws",
-        cxxopts::value<std::uint64_t>()->default_value("1"))("h,help", "this text");
+        "seed", "seed of the random generator",
+        cxxopts::value<std::uint64_t>()->default_value("1"))("h,help", "show this help");
     options.parse_positional({"command"});
     options.positional_help("COMMAND");
     return options;
@@ -58,7 +62,7 @@
     const std::string folder = arguments["folder"].as<std::string>();
     if (loadgen::writePlan(deployment, folder, arguments["placement"].as<std::string>()))
         return 0;
-    std::cerr << folder << ": cannot be written; choose another --folder\n";
+    std::cerr << folder << ": cannot write the plan; choose another --folder\n";
     return 1;
 }
 
@@ -68,7 +72,7 @@
     constexpr double timeoutSeconds = 30;
     if (!loadgen::publishAndAwaitReady(deployment, readFile(folder + "/manifest.json"),
                                        timeoutSeconds)) {
-        std::cerr << "the deployment did not get ready; look at the logs in " << folder << "\n";
+        std::cerr << "the deployment was not ready in time; see the logs in " << folder << "\n";
         return 1;
     }
     loadgen::LoadOptions options;
@@ -96,7 +100,7 @@
     constexpr double timeoutSeconds = 30;
     if (!loadgen::publishAndAwaitReady(deployment, readFile(folder + "/manifest.json"),
                                        timeoutSeconds)) {
-        std::cerr << "the deployment did not get ready; look at the logs in " << folder << "\n";
+        std::cerr << "the deployment was not ready in time; see the logs in " << folder << "\n";
         return 1;
     }
     std::cout << loadgen::measureEntryVmOverhead(deployment, arguments["seconds"].as<double>());
@@ -118,7 +122,7 @@
     }
     if (found)
         return 0;
-    std::cerr << "no such experiment; choose all or one of:";
+    std::cerr << "unknown experiment; choose all or one of:";
     for (const loadgen::Experiment &candidate : loadgen::experiments())
         std::cerr << " " << candidate.name;
     std::cerr << "\n";
@@ -138,7 +142,7 @@
         }
         const auto deployment = loadgen::findDeployment(arguments["deployment"].as<std::string>());
         if (deployment.name.empty()) {
-            std::cerr << "no such deployment; choose bavaria or finland\n";
+            std::cerr << "unknown deployment; choose bavaria, finland or bench\n";
             return exitUsage;
         }
         const std::string command = arguments["command"].as<std::string>();
@@ -150,7 +154,7 @@
             return path(deployment, arguments);
         if (command == "experiment")
             return experiment(deployment.name, arguments);
-        std::cerr << "no such command; choose plan, load, path or experiment\n";
+        std::cerr << "unknown command; choose plan, load, path or experiment\n";
         return exitUsage;
     } catch (const std::exception &error) {
         std::cerr << error.what() << "\n";
--- a/tools/loadgen/src/PathBench.cpp
+++ b/tools/loadgen/src/PathBench.cpp
@@ -28,14 +28,14 @@
 constexpr int clientThreads = 3;
 constexpr auto callTimeout = std::chrono::seconds(10);
 
-/** One phase of the measurement. */
+/** One phase of the measurement, which gives one row of the table. */
 struct Phase
 {
-    bool direct = false;
+    bool direct = false; ///< to the engines, not through the entry VM
     bool streamed = false;
     int tokens = 1;
-    int connections = 48; ///< in all
-    double requestsPerSecond = 0; ///< 0: as fast as answers come
+    int connections = 48; ///< of all client threads together
+    double requestsPerSecond = 0; ///< open loop at this rate; 0: closed loop on `connections`
     double seconds = 3;
 };
 
@@ -48,14 +48,14 @@
     std::vector<double> latencies;
 };
 
-/** An adapter and the engine that holds it, so that both ways do the same work. */
+/** An adapter and the engine where it is resident, so that direct requests do the same work. */
 struct AdapterLocation
 {
     std::string adapter;
     Endpoint engine;
 };
 
-/** What one client thread works on. */
+/** State of one client thread. */
 struct Worker
 {
     Worker(const Deployment &deployment, const std::vector<AdapterLocation> &locations,
@@ -74,7 +74,7 @@
     HttpClient client{context};
     PhaseResult result{};
     std::uint64_t sent = 0;
-    Clock::time_point measuredFrom{};
+    Clock::time_point measuredFrom{}; ///< latencies of earlier requests are left out
 };
 
 HttpCall makeCall(const Worker &worker, const AdapterLocation &location, std::uint64_t number)
@@ -119,7 +119,7 @@
         co_await sendOne(worker);
 }
 
-// Open loop at an even pace: what queues up shows in the latency.
+// Open loop at a constant rate, so that queueing shows in the latency.
 asio::awaitable<void> openLoop(Worker &worker, Clock::time_point until)
 {
     asio::steady_timer timer(worker.context);
@@ -143,7 +143,8 @@
     for (std::size_t number = 0; number < clientThreads; ++number) {
         workers.push_back(std::make_unique<Worker>(deployment, locations, phase, number));
         Worker &worker = *workers.back();
-        // An open loop begins without connections and opens many at once; that is not the path.
+        // An open loop has to open many connections at its start. The first second is left out,
+        // since that is not part of the overhead.
         if (phase.requestsPerSecond > 0)
             worker.measuredFrom = began + std::chrono::seconds(1);
         if (phase.requestsPerSecond > 0) {
@@ -200,7 +201,7 @@
         locations.push_back({adapterName(index) + "@1", {}});
     Phase phase;
     phase.seconds = seconds;
-    runPhase(deployment, locations, phase); // loads the adapters, warms the connections
+    runPhase(deployment, locations, phase); // warm-up: loads the adapters and opens connections
     locations = findResidentAdapters(deployment);
     const PhaseResult through = runPhase(deployment, locations, phase);
     writeRow(page, "through the entry VM, 48 connections", through);
--- a/tools/loadgen/src/Simulation.cpp
+++ b/tools/loadgen/src/Simulation.cpp
@@ -18,13 +18,14 @@
 namespace {
 
 constexpr double infiniteTime = 1e300;
-constexpr double tickSeconds = 0.05;
+constexpr double tickSeconds = 0.05; // interval of placement decisions and deadline checks
 
 Instant instantOf(double seconds)
 {
     return Instant{} + fromSeconds(seconds);
 }
 
+/** A request in an engine, queued or in the batch. */
 struct RunningSequence
 {
     int adapter = 0;
@@ -32,7 +33,7 @@
     SlotPin pin;
 };
 
-/** A fake engine: a slot table as its owner keeps it, and continuous batching in steps. */
+/** Model of an engine: the slot table that its owner keeps, and continuous batching in steps. */
 struct Engine
 {
     TargetId id;
@@ -40,28 +41,30 @@
     SlotTable table;
     std::vector<RunningSequence> running;
     std::deque<RunningSequence> queued;
-    double nextStep = infiniteTime;
-    std::uint64_t epoch = 1;
+    double nextStep = infiniteTime; ///< end of the current step
+    std::uint64_t epoch = 1; ///< grows with each restart
 };
 
+/** A request whose adapter is not resident. */
 struct WaitingRequest
 {
-    std::size_t request = 0; ///< index into the run's requests
+    std::size_t request = 0; ///< index into Simulation::requests
     int adapter = 0;
     int tokens = 0;
     double deadline = 0;
-    int boundEngine = -1; ///< engine that the naive policy chose
+    int boundEngine = -1; ///< engine that the policy "naive" chose, or -1
 };
 
-/** A load in the fake store. */
+/** An adapter load in the model of the weight store. */
 struct StoreTransfer
 {
     LoadOrder order;
-    double remaining = 1; ///< of one load at full rate
-    bool fails = false;
-    std::uint64_t epoch = 0;
+    double remaining = 1; ///< share of the load that is not transferred yet
+    bool fails = false; ///< injected failure
+    std::uint64_t epoch = 0; ///< of the engine when the load began
 };
 
+/** Complete state of a simulation. Adapters are indices; ranks order them by popularity. */
 struct Simulation
 {
     explicit Simulation(const SimulationOptions &options)
@@ -83,16 +86,16 @@
     double storeBusySeconds = 0;
     PlacementState placement;
     const PlacementPolicy *policy = nullptr;
-    bool naive = false;
-    bool oracle = false;
-    bool ranking = false; ///< the true popularity is known, not the arrivals
+    bool naive = false; ///< requests wait for the engine chosen at their arrival
+    bool oracle = false; ///< the policy knows all arrivals
+    bool ranking = false; ///< the policy knows the true popularity but not the arrivals
     std::vector<SimulatedRequest> requests;
     std::uint64_t steps = 0;
     std::uint64_t sequenceSteps = 0;
     SimulationReport report;
     int flashAdapter = -1;
     double flashRate = 0;
-    /** All arrivals, drawn beforehand so that every policy sees the same ones. */
+    /** An arrival; all are drawn in advance so that every policy gets the same ones. */
     struct Arrival
     {
         double at;
@@ -101,8 +104,8 @@
         int tokens;
     };
     std::vector<Arrival> arrivals;
-    std::vector<std::deque<std::size_t>>
-        futureArrivals; ///< arrivals of each adapter that are to come
+    /** Indices of the arrivals of each adapter that are still to come. */
+    std::vector<std::deque<std::size_t>> futureArrivals;
     double now = 0;
 };
 
@@ -185,7 +188,7 @@
     config.loadsPerSecond = options.loadsPerSecond;
     config.wantLifetime = fromSeconds(1e6);
     config.loadTimeout = fromSeconds(1e6);
-    // The true rates do not age.
+    // The true rates must not decay.
     if (simulation.ranking)
         config.demand.slowSeconds = 1e30;
     simulation.placement = makePlacement(config, *simulation.policy, Instant{});
@@ -208,6 +211,7 @@
     return view;
 }
 
+/** Starts the next step if the engine is idle and has sequences. */
 void startStepping(Engine &engine, const SimulationOptions &options, double now)
 {
     if (engine.nextStep != infiniteTime)
@@ -222,6 +226,7 @@
         + options.stepSecondsPerSequence * static_cast<double>(engine.running.size());
 }
 
+/** Ends a step, which gives each sequence of the batch one token, and starts the next. */
 void finishStep(Simulation &simulation, Engine &engine)
 {
     if (simulation.now >= simulation.options.measuredFrom) {
@@ -241,6 +246,7 @@
     startStepping(engine, simulation.options, simulation.now);
 }
 
+/** Sends a request to an engine, which must hold its adapter. */
 void dispatch(Simulation &simulation, Engine &engine, const WaitingRequest &request)
 {
     const AdapterId id = simulation.adapters[static_cast<std::size_t>(request.adapter)].id();
@@ -270,7 +276,7 @@
     return candidates;
 }
 
-/** The engine to send a request to now, or -1 if it has to wait. */
+/** Index of the engine that can run the request now, or -1 if it has to wait. */
 int findEngine(const Simulation &simulation, const WaitingRequest &request, int homeZone)
 {
     const AdapterId id = simulation.adapters[static_cast<std::size_t>(request.adapter)].id();
@@ -285,6 +291,7 @@
     return found ? static_cast<int>(best) : -1;
 }
 
+/** Replaces what placement knows of the requests that wait for this adapter. */
 void updateWants(Simulation &simulation, int adapter)
 {
     const AdapterId id = simulation.adapters[static_cast<std::size_t>(adapter)].id();
@@ -314,6 +321,7 @@
         simulation.placement.wants.erase(id);
 }
 
+/** Dispatches the requests that wait for this adapter and for which an engine is found. */
 void dispatchWaiting(Simulation &simulation, int adapter)
 {
     const auto found = simulation.waiting.find(adapter);
@@ -334,8 +342,10 @@
     updateWants(simulation, adapter);
 }
 
-// ---- the oracle: Belady's eviction and prefetch with the store's rate, knowing all arrivals ----
+// ---- The policy "oracle": knows all arrivals, evicts by Belady's algorithm and prefetches the
+// adapter that is needed next, one load at a time at the rate of the store. ----
 
+/** Time of the next request for this adapter. */
 double nextUse(const Simulation &simulation, int adapter)
 {
     if (simulation.waiting.contains(adapter))
@@ -347,6 +357,7 @@
     return infiniteTime;
 }
 
+/** A free slot, or the unpinned adapter whose next use is latest and later than `needed`. */
 std::optional<SlotChoice> farthestSlot(const Simulation &simulation, double needed)
 {
     std::optional<SlotChoice> best;
@@ -366,6 +377,7 @@
     return best;
 }
 
+/** The adapter with the most waiting requests, else the one that is needed next. */
 std::optional<LoadChoice> oracleLoad(const Simulation &simulation)
 {
     int chosenAdapter = -1;
@@ -406,6 +418,7 @@
                          [id](const Engine &engine) { return engine.id == id; });
 }
 
+/** Starts a load, as the owner of the engine does when it gets a LoadOrder. */
 void executeLoad(Simulation &simulation, const LoadOrder &order)
 {
     Engine &engine = engineById(simulation, order.target);
@@ -430,6 +443,7 @@
                                                     static_cast<int>(simulation.transfers.size()));
 }
 
+/** Refuses all requests that wait for the adapter of the verdict. */
 void refuseWaiting(Simulation &simulation, const WantVerdict &verdict)
 {
     const int adapter = simulation.adapterIndex.at(verdict.adapter);
@@ -445,7 +459,7 @@
     simulation.waiting.erase(found);
 }
 
-/** Puts the true rates into the demand table: a bound for what any estimate could reach. */
+/** Puts the true rates into the demand table, which bounds what an estimate could achieve. */
 void useTrueRates(Simulation &simulation)
 {
     PlacementState &state = simulation.placement;
@@ -464,7 +478,7 @@
             if (entry.lastTick == 0 || entry.adapter != simulation.adapters[adapter].id())
                 continue;
             entry.slow = static_cast<float>(rate * window);
-            entry.lastTick = ~std::uint32_t{0}; // never silent
+            entry.lastTick = ~std::uint32_t{0}; // no discount for the time since the last request
         }
     }
     state.demand.slowWindow = window;
@@ -498,6 +512,7 @@
         refuseWaiting(simulation, verdict);
 }
 
+/** Loads a second for each transfer; the transfers share the rate of the store. */
 double transferRate(const Simulation &simulation)
 {
     if (simulation.transfers.empty() || simulation.now < simulation.storeDownUntil)
