--- a/tools/standins/include/standins/FaultInjector.h
+++ b/tools/standins/include/standins/FaultInjector.h
@@ -10,9 +10,9 @@
 {
 public:
     /** Switches a fault on for `times` occasions; a negative number is for ever, 0 is off. */
-    void set(const std::string &kind, int times, int valueMs)
+    void set(const std::string &kind, int times, int parameter)
     {
-        this->faults[kind] = Entry{times, valueMs};
+        this->faults[kind] = Entry{times, parameter};
     }
 
     /** True if the fault shouldInject now; counts the occasion. */
@@ -26,17 +26,17 @@
         return true;
     }
 
-    int valueMs(const std::string &kind) const
+    int parameter(const std::string &kind) const
     {
         const auto found = this->faults.find(kind);
-        return found == this->faults.end() ? 0 : found->second.valueMs;
+        return found == this->faults.end() ? 0 : found->second.parameter;
     }
 
 private:
     struct Entry
     {
         int times = 0;
-        int valueMs = 0;
+        int parameter = 0;
     };
     std::map<std::string, Entry> faults;
 };
--- a/tools/standins/src/Engine.cpp
+++ b/tools/standins/src/Engine.cpp
@@ -104,7 +104,7 @@
             co_return;
         }
         if (this->faults.shouldInject("delay"))
-            co_await sleepMs(this->faults.valueMs("delay"));
+            co_await sleepMs(this->faults.parameter("delay"));
         if (path == "/v1/status") {
             const HttpReply reply = jsonReply(200, this->report);
             co_await exchange.respond(reply);
--- a/tools/standins/src/Log.cpp
+++ b/tools/standins/src/Log.cpp
@@ -56,7 +56,7 @@
     {
         HttpReply reply = handleFaultRequest(this->faults, body);
         if (this->faults.shouldInject("truncate")) {
-            const auto maxKept = static_cast<std::size_t>(this->faults.valueMs("truncate"));
+            const auto maxKept = static_cast<std::size_t>(this->faults.parameter("truncate"));
             while (this->records.size() > maxKept)
                 this->records.pop_front();
         }
--- a/tools/standins/src/PlainService.cpp
+++ b/tools/standins/src/PlainService.cpp
@@ -42,7 +42,7 @@
             co_return;
         }
         if (this->faults.shouldInject("delay"))
-            co_await sleepMs(this->faults.valueMs("delay"));
+            co_await sleepMs(this->faults.parameter("delay"));
         const std::string id = headerOf(request, "X-Request-Id");
         ++this->executions;
         if (!id.empty() && ++this->executionsById[id] > 1)
--- a/tools/standins/src/Store.cpp
+++ b/tools/standins/src/Store.cpp
@@ -47,7 +47,7 @@
         ++this->concurrentLoads;
         this->maxConcurrentLoads = std::max(this->maxConcurrentLoads, this->concurrentLoads);
         if (this->faults.shouldInject("delay"))
-            co_await sleepMs(this->faults.valueMs("delay"));
+            co_await sleepMs(this->faults.parameter("delay"));
         co_await this->transfer();
         --this->concurrentLoads;
         ++this->loads;
