--- a/tools/standins/include/standins/FaultInjector.h
+++ b/tools/standins/include/standins/FaultInjector.h
@@ -5,17 +5,20 @@
 
 namespace monsoonbay::standins {
 
-/** FaultInjector that were switched on and how many more times each will strike. */
+/** The faults to inject, by kind, and how many more times each is injected. */
 class FaultInjector
 {
 public:
-    /** Switches a fault on for `times` occasions; a negative number is for ever, 0 is off. */
+    /**
+     * Injects a fault the next `times` times; a negative number means always, 0 turns it off. What
+     * `parameter` means depends on the kind: milliseconds of a delay, or a number of records.
+     */
     void set(const std::string &kind, int times, int parameter)
     {
         this->faults[kind] = Entry{times, parameter};
     }
 
-    /** True if the fault shouldInject now; counts the occasion. */
+    /** True if the fault is to be injected now; uses up one of its times. */
     bool shouldInject(const std::string &kind)
     {
         const auto found = this->faults.find(kind);
@@ -26,6 +29,7 @@
         return true;
     }
 
+    /** The parameter of the fault, or 0 if it was never set. */
     int parameter(const std::string &kind) const
     {
         const auto found = this->faults.find(kind);
--- a/tools/standins/include/standins/Standins.h
+++ b/tools/standins/include/standins/Standins.h
@@ -13,60 +13,65 @@
 
 namespace monsoonbay::standins {
 
-/** How a model engine behaves. Times in milliseconds. */
+/**
+ * A stand-in for a model engine: continuous batching, adapter slots and fenced commands, but the
+ * text of an answer is computed from the adapter and the position of each token.
+ */
 struct EngineOptions
 {
     std::string name;
     Endpoint listen;
     Endpoint store;
-    int slots = 8;
-    int maxBatch = 16;
-    double stepMs = 20;
-    double stepMsPerSequence = 0.5;
-    int reportLagMs = 500;
-    bool checksTokens = true;
+    int slots = 8; ///< adapters that can be resident
+    int maxBatch = 16; ///< sequences in one step
+    double stepMs = 20; ///< fixed part of a step
+    double stepMsPerSequence = 0.5; ///< added to a step for each sequence in the batch
+    int reportLagMs = 500; ///< interval at which the status report is refreshed
+    bool checksTokens = true; ///< rejects commands with an old fencing token
 };
 
+/** A stand-in for a service without a model, which echoes its requests. */
 struct PlainServiceOptions
 {
     std::string name;
     Endpoint listen;
-    int serviceMs = 5;
+    int serviceMs = 5; ///< time that a request takes
 };
 
-/** The weight store gives `loadsPerSecond` at full speed to one load at a time. */
+/** A stand-in for the weight store. Concurrent loads share the rate of `loadsPerSecond`. */
 struct StoreOptions
 {
     Endpoint listen;
     double loadsPerSecond = 2;
 };
 
-/** The log keeps the newest `retainedRecords`. */
+/** A stand-in for the log of the platform, which keeps the newest `retainedRecords`. */
 struct LogOptions
 {
     Endpoint listen;
     std::size_t retainedRecords = 1000000;
 };
 
-/** The VM list answers with a JSON array of VMs, `lagMs` after it was changed. */
+/** A stand-in for the VM list of the platform; a change becomes visible after `lagMs`. */
 struct VmListOptions
 {
     Endpoint listen;
-    std::string vms = "[]";
+    std::string vms = "[]"; ///< JSON array of VMs
     int lagMs = 0;
 };
 
-/** A collector of traces keeps all spans it is sent. */
+/** A stand-in for a collector of traces, which keeps all spans that it receives. */
 struct CollectorOptions
 {
     Endpoint listen;
 };
 
-/** One stand-in listening on its endpoint; it ends when destroyed. */
+/** A server that stands in for a part of the platform or a target; it stops when destroyed. */
 class Standin
 {
 public:
     virtual ~Standin() = default;
+    /** The port in use; differs from the options if they ask for port 0. */
     virtual std::uint16_t port() const = 0;
 };
 
@@ -79,7 +84,10 @@
 
 std::unique_ptr<Standin> startCollector(asio::io_context &context, const CollectorOptions &options);
 
-/** Runs stand-ins of a test on one thread of their own; they need no locks. */
+/**
+ * Runs the stand-ins of a test on free ports of 127.0.0.1, all on one thread, so that they need no
+ * locks.
+ */
 class StandinHost
 {
 public:
--- a/tools/standins/src/Collector.cpp
+++ b/tools/standins/src/Collector.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/** Takes OTLP/JSON on /v1/traces and shows the spans it has as a flat array on /v1/spans. */
+/** Receives OTLP/JSON on /v1/traces; any other path returns all spans as a flat array. */
 class Collector final : public Standin
 {
 public:
@@ -32,7 +32,7 @@
     {
         const Json request = Json::parse(body, nullptr, false);
         if (!request.is_object() || !request.contains("resourceSpans"))
-            return errorReply(400, "not an OTLP export");
+            return errorReply(400, "body is not an OTLP export");
         for (const Json &resource : request["resourceSpans"]) {
             for (const Json &scope : resource["scopeSpans"]) {
                 for (const Json &span : scope["spans"])
--- a/tools/standins/src/Engine.cpp
+++ b/tools/standins/src/Engine.cpp
@@ -18,19 +18,21 @@
 namespace {
 
 constexpr auto nothrowAwaitable = asio::as_tuple(asio::use_awaitable);
+// Finished requests that can still be read by their id.
 constexpr std::size_t maxFinishedRequests = 20000;
 
+/** A request and the progress of its generation. */
 struct Sequence
 {
     std::string id;
     std::string adapter;
-    std::uint64_t epoch = 0;
-    int tokens = 0;
+    std::uint64_t epoch = 0; ///< of the engine when the request arrived
+    int tokens = 0; ///< to generate
     int produced = 0;
-    int priority = 5;
+    int priority = 5; ///< the lowest number is scheduled first
     bool cancelled = false;
     bool aborted = false; ///< its adapter was evicted or the engine restarted
-    std::vector<std::shared_ptr<asio::steady_timer>> waiters;
+    std::vector<std::shared_ptr<asio::steady_timer>> waiters; ///< of waitForProgress()
 
     bool ended() const
     {
@@ -40,20 +42,21 @@
 
 using SequencePtr = std::shared_ptr<Sequence>;
 
+/** Counters of the status report. */
 struct Counters
 {
     std::uint64_t steps = 0;
-    std::uint64_t sequenceSteps = 0;
+    std::uint64_t sequenceSteps = 0; ///< sum of the batch sizes of all steps
     std::uint64_t loads = 0;
     std::uint64_t evictions = 0;
-    std::uint64_t evictionsInUse = 0;
+    std::uint64_t evictionsInUse = 0; ///< evictions of an adapter with running requests
     std::uint64_t staleCommands = 0;
     std::uint64_t requests = 0;
-    std::uint64_t executedTwice = 0;
+    std::uint64_t executedTwice = 0; ///< requests whose id was received before
 };
 
-// The text depends on the adapter and the position, so a checker sees a neighbour's answer, a
-// gap and a repeat.
+// The text depends on the adapter and the position, so that a check of the answer detects text of
+// another adapter, a gap and a duplicate.
 std::string tokenText(const Sequence &sequence, int index)
 {
     return sequence.adapter + ":" + std::to_string(index) + " ";
@@ -69,6 +72,7 @@
     return jsonReply(409, {{"error", "stale-token"}, {"token", token}});
 }
 
+/** Serves completions, commands, status and reads of requests by their id. */
 class Engine final : public Standin
 {
 public:
@@ -128,6 +132,7 @@
         return reply;
     }
 
+    /** Behaves as after a restart of the engine: no adapter and no request is left. */
     void restart()
     {
         ++this->epoch;
@@ -147,7 +152,7 @@
     {
         const Json command = Json::parse(exchange.request().body(), nullptr, false);
         if (!command.is_object()) {
-            co_await exchange.respond(errorReply(400, "not an order"));
+            co_await exchange.respond(errorReply(400, "command is not a JSON object"));
             co_return;
         }
         const std::uint64_t token = command.value("token", std::uint64_t{0});
@@ -169,7 +174,7 @@
                 co_await this->load(command.value("adapter", ""), command.value("evict", ""));
             co_await exchange.respond(reply);
         } else {
-            co_await exchange.respond(errorReply(400, "unknown order"));
+            co_await exchange.respond(errorReply(400, "unknown kind of command"));
         }
     }
 
@@ -218,7 +223,7 @@
     {
         const Json body = Json::parse(exchange.request().body(), nullptr, false);
         if (!body.is_object() || !body.contains("model")) {
-            co_await exchange.respond(errorReply(400, "no model named"));
+            co_await exchange.respond(errorReply(400, "model is missing"));
             co_return;
         }
         const std::string adapter = body["model"];
@@ -251,6 +256,10 @@
         return !id.empty() && this->sequences.contains(id);
     }
 
+    /**
+     * DELETE cancels the request. Otherwise sends its answer again: as a whole with whole=1, or as
+     * a stream that begins with the token `from`.
+     */
     asio::awaitable<void> handleRequestById(HttpExchange &exchange, std::string id)
     {
         const auto found = this->sequences.find(id);
@@ -345,6 +354,7 @@
         return event;
     }
 
+    /** Waits until the sequence has a new token, or ended. */
     asio::awaitable<void> waitForProgress(SequencePtr sequence)
     {
         auto timer = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor,
@@ -368,8 +378,8 @@
         asio::co_spawn(this->context, this->stepLoop(), asio::detached);
     }
 
-    // Continuous batching: at every step boundary the queue fills the free places, then each
-    // running sequence gets one token.
+    // Continuous batching: before each step, queued sequences fill the free places of the batch;
+    // the step then generates one token for each running sequence.
     asio::awaitable<void> stepLoop()
     {
         while (!this->queued.empty() || !this->running.empty()) {
@@ -433,6 +443,7 @@
         this->finished.pop_front();
     }
 
+    /** The status as of now; the engine serves it with a lag, in `report`. */
     Json currentReport() const
     {
         Json adapters = Json::array();
@@ -475,11 +486,12 @@
     asio::steady_timer stepTimer;
     FaultInjector faults;
     std::uint64_t epoch = 1;
-    std::pair<std::uint64_t, std::uint64_t> highestToken{0, 0};
-    std::map<std::string, int> resident;
-    std::size_t loading = 0;
+    std::pair<std::uint64_t, std::uint64_t> highestToken{0, 0}; ///< of the fencing tokens
+                                                                ///< seen: offset, local count
+    std::map<std::string, int> resident; ///< running and queued requests by adapter
+    std::size_t loading = 0; ///< loads in progress
     std::unordered_map<std::string, SequencePtr> sequences;
-    std::deque<std::string> finished;
+    std::deque<std::string> finished; ///< ids, oldest first
     std::vector<SequencePtr> running;
     std::deque<SequencePtr> queued;
     bool stepping = false;
--- a/tools/standins/src/Log.cpp
+++ b/tools/standins/src/Log.cpp
@@ -12,8 +12,10 @@
 namespace {
 
 /**
- * POST /v1/append {"stream","body"} gives {"offset"}; GET /v1/read?from=N&max=M&waitMs=W gives
- * {"first","next","records":[{"offset","stream","body"}]}. Offsets start at 1.
+ * POST /v1/append {"stream","body"} appends a record and returns {"offset"}.
+ * GET /v1/read?from=N&max=M&waitMs=W returns
+ * {"first","next","records":[{"offset","stream","body"}]}: at most M records from offset N on,
+ * after waiting up to W ms for an append if there is none yet. Offsets start at 1.
  */
 class Log final : public Standin
 {
@@ -52,6 +54,7 @@
             co_await exchange.respond(errorReply(404, "no such path"));
     }
 
+    /** Sets a fault; "truncate" drops the oldest records at once, down to its parameter. */
     HttpReply control(const std::string &body)
     {
         HttpReply reply = handleFaultRequest(this->faults, body);
@@ -68,7 +71,7 @@
         const Json body = Json::parse(exchange.request().body(), nullptr, false);
         const bool valid = body.is_object() && body.contains("stream") && body.contains("body");
         if (!valid) {
-            co_await exchange.respond(errorReply(400, "give stream and body"));
+            co_await exchange.respond(errorReply(400, "stream or body is missing"));
             co_return;
         }
         const std::uint64_t offset = this->next++;
@@ -121,7 +124,7 @@
 
     LogOptions options;
     FaultInjector faults;
-    std::uint64_t next = 1;
+    std::uint64_t next = 1; ///< offset of the next record
     std::deque<Json> records;
     std::vector<std::shared_ptr<asio::steady_timer>> waitingReaders;
     HttpServer server;
--- a/tools/standins/src/Main.cpp
+++ b/tools/standins/src/Main.cpp
@@ -65,31 +65,35 @@
 int main(int argc, char **argv)
 {
     cxxopts::Options options("monsoonbay-standins",
-                             "Stand-ins of the platform and of targets, for tests and demos");
+                             "Stand-ins for the platform and for targets, for tests and demos");
     options.add_options()("role", "engine, service, store, log, collector or vmlist",
                           cxxopts::value<std::string>())(
         "name", "name of the VM", cxxopts::value<std::string>()->default_value("standin"))(
-        "address", "IP number to listen on",
+        "address", "IP address to listen on",
         cxxopts::value<std::string>()->default_value("127.0.0.1"))(
         "port", "TCP port, 0 for any", cxxopts::value<std::uint16_t>()->default_value("0"))(
-        "store-address", "the engine's weight store",
+        "store-address", "address of the weight store",
         cxxopts::value<std::string>()->default_value("127.0.0.1"))(
-        "store-port", "its port", cxxopts::value<std::uint16_t>()->default_value("0"))(
+        "store-port", "port of the weight store",
+        cxxopts::value<std::uint16_t>()->default_value("0"))(
         "slots", "adapter slots of the engine", cxxopts::value<int>()->default_value("8"))(
         "max-batch", "sequences in one step", cxxopts::value<int>()->default_value("16"))(
-        "step-ms", "length of a step", cxxopts::value<double>()->default_value("20"))(
-        "step-ms-per-sequence", "added for each sequence",
+        "step-ms", "duration of a step", cxxopts::value<double>()->default_value("20"))(
+        "step-ms-per-sequence", "added to a step for each sequence",
         cxxopts::value<double>()->default_value("0.5"))(
-        "report-lag-ms", "age of load reports", cxxopts::value<int>()->default_value("500"))(
-        "checks-tokens", "refuse orders with old fencing tokens",
-        cxxopts::value<bool>()->default_value("true"))("service-ms", "time of a plain call",
-                                                       cxxopts::value<int>()->default_value("5"))(
-        "loads-per-second", "rate of the store", cxxopts::value<double>()->default_value("2"))(
-        "retained-records", "records the log keeps",
+        "report-lag-ms", "interval between status reports",
+        cxxopts::value<int>()->default_value("500"))("checks-tokens",
+                                                     "reject commands with an old fencing token",
+                                                     cxxopts::value<bool>()->default_value("true"))(
+        "service-ms", "duration of a call to a plain service",
+        cxxopts::value<int>()->default_value("5"))("loads-per-second",
+                                                   "loads per second of the store",
+                                                   cxxopts::value<double>()->default_value("2"))(
+        "retained-records", "number of records that the log keeps",
         cxxopts::value<std::size_t>()->default_value("1000000"))(
         "vms", "file with the VM list", cxxopts::value<std::string>()->default_value(""))(
-        "vm-list-lag-ms", "lag of the VM list",
-        cxxopts::value<int>()->default_value("0"))("h,help", "this text");
+        "vm-list-lag-ms", "delay until a change of the VM list is visible",
+        cxxopts::value<int>()->default_value("0"))("h,help", "show this help");
     try {
         const cxxopts::ParseResult arguments = options.parse(argc, argv);
         if (arguments.count("help") != 0 || arguments.count("role") == 0) {
@@ -99,7 +103,7 @@
         boost::asio::io_context context(1);
         const auto standin = startRole(context, arguments);
         if (!standin) {
-            std::cerr << "no such role; choose engine, service, store, log, collector or vmlist\n";
+            std::cerr << "unknown role; choose engine, service, store, log, collector or vmlist\n";
             return 2;
         }
         std::cout << standin->port() << std::endl;
--- a/tools/standins/src/PlainService.cpp
+++ b/tools/standins/src/PlainService.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Answers any path with what it was asked; counts effects, and repeats by request id. */
+/** Echoes requests on any path; counts executions, and those that repeat a request id. */
 class PlainServiceStandin final : public Standin
 {
 public:
--- a/tools/standins/src/Store.cpp
+++ b/tools/standins/src/Store.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr double tickMs = 5;
+constexpr double tickMs = 5; // interval at which a load checks its progress
 
-/** Concurrent loads share the rate, so that asking for two at a time gains nothing. */
+/** Serves loads on any path. They share the rate, so concurrent loads are not faster in total. */
 class Store final : public Standin
 {
 public:
@@ -59,6 +59,7 @@
         co_await exchange.respond(reply);
     }
 
+    /** Returns once one load is transferred at this load's share of the rate. */
     asio::awaitable<void> transfer()
     {
         double remaining = 1.0;
--- a/tools/standins/src/Support.cpp
+++ b/tools/standins/src/Support.cpp
@@ -48,7 +48,7 @@
 {
     const Json fault = Json::parse(body, nullptr, false);
     if (!fault.is_object() || !fault.contains("fault"))
-        return jsonReply(400, {{"error", "write {\"fault\": kind, \"times\": n, \"ms\": m}"}});
+        return jsonReply(400, {{"error", "expected {\"fault\": kind, \"times\": n, \"ms\": m}"}});
     const std::string kind = fault["fault"];
     faults.set(kind, fault.value("times", 1), fault.value("ms", 0));
     return jsonReply(200, {{"fault", kind}, {"times", fault.value("times", 1)}});
--- a/tools/standins/src/Support.h
+++ b/tools/standins/src/Support.h
@@ -14,17 +14,20 @@
 
 HttpReply jsonReply(int status, const Json &body);
 
-/** {"error": text}. A function of its own, since GCC 12 rejects braces in co_await expressions. */
+/** {"error": text}. A separate function, since GCC 12 rejects braces in co_await expressions. */
 HttpReply errorReply(int status, const char *error);
 
-/** Value of a query parameter, or the fallback. */
+/** Value of a query parameter, or the default if it is missing or not a number. */
 std::uint64_t queryNumber(std::string_view target, std::string_view key,
                           std::uint64_t defaultValue);
 
 /** Path of a request target without its query. */
 std::string_view pathOf(std::string_view target);
 
-/** Handles {"fault": kind, "times": n, "ms": m}; the reply says what was switched. */
+/**
+ * Handles the body {"fault": kind, "times": n, "ms": parameter} of POST /control. The reply
+ * confirms the fault and its times.
+ */
 HttpReply handleFaultRequest(FaultInjector &faults, const std::string &body);
 
 asio::awaitable<void> sleepMs(double milliseconds);
--- a/tools/standins/src/VmList.cpp
+++ b/tools/standins/src/VmList.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** GET /v1/vms gives the array; PUT /v1/vms replaces it, seen only after the lag. */
+/** GET /v1/vms returns the array; PUT /v1/vms replaces it, which is visible after the lag. */
 class VmList final : public Standin
 {
 public:
