--- a/tools/capacity/src/Main.cpp
+++ b/tools/capacity/src/Main.cpp
@@ -1,5 +1,7 @@
-// Measures slopes of the decisions and of the messages between entry VMs, and works out from them
-// what a node of the size of docs/CAPACITY.md spends. The page's tables are this program's output.
+// Measures how the memory, CPU time and message sizes of an entry VM grow with the size of the
+// deployment, fits a line to each, and computes from the lines what one entry VM spends at the size
+// of docs/CAPACITY.md. The tables of docs/measurements/capacity.md are the output of this program,
+// where an entry VM is called a node and a model engine a runner.
 
 #include <cmath>
 #include <iomanip>
@@ -29,7 +31,7 @@
 using namespace monsoonbay;
 using namespace monsoonbay::capacity;
 
-/** The size of two years from now, from letter 1. */
+/** The size that the requirements give for two years from now, and the budget of one entry VM. */
 struct PlannedSize
 {
     double entryVms = 840;
@@ -38,14 +40,14 @@
     double requestsPerSecond = 28000;
     double tokensPerSecond = 8e6;
     double zones = 6;
-    double changesPerDay = 80000;
-    double activatedSharePerHour = 0.40;
+    double changesPerDay = 80000; ///< of the manifest
+    double activatedSharePerHour = 0.40; ///< of the adapters: those that were idle and get requests
     double vmFailuresPerDay = 75;
     double restartsPerDay = 1500;
     double slotsPerEngine = 8;
-    double coreFraction = 0.044;
-    double bytes = 64e6;
-    double bytesPerSecond = 26e3;
+    double coreFraction = 0.044; ///< budget: CPU time
+    double bytes = 64e6; ///< budget: memory
+    double bytesPerSecond = 26e3; ///< budget: network traffic
 };
 
 AdapterId adapterAt(int index)
@@ -86,6 +88,7 @@
     return fitLine("manifest, memory", "adapter", "B", points);
 }
 
+/** Time to apply a manifest delta of two adapters. */
 LinearFit measureDeltaTime()
 {
     std::vector<Point> points;
@@ -105,6 +108,7 @@
     return fitLine("one delta applied, time", "adapter", "us", points);
 }
 
+/** Time to parse and check a complete manifest. */
 LinearFit measureCheckTime()
 {
     std::vector<Point> points;
@@ -215,6 +219,7 @@
                    points);
 }
 
+/** CPU time in microseconds of a placement decision that finds nothing to load. */
 double measureIdleDecideTime()
 {
     Instant now = Instant{} + std::chrono::hours(1);
@@ -227,8 +232,7 @@
     }
     for (int adapter = 0; adapter < 67000; ++adapter)
         recordRequests(state.demand, adapterAt(adapter), 1, now);
-    // Nothing may be loaded: every adapter backs off, so each call looks through all and finds
-    // none.
+    // All adapters are in backoff, so each call examines every adapter and loads none.
     for (int adapter = 0; adapter < 67000; ++adapter)
         state.backoffs[adapterAt(adapter)] = Backoff{1, Instant::max()};
     return medianMicroseconds(20, [&](int) {
@@ -324,6 +328,7 @@
     return fitLine("record of an Idempotency-Key, memory (600 B answer)", "record", "B", points);
 }
 
+/** CPU time in microseconds of admission and the attempt bookkeeping of one request. */
 double measureRequestDecisionTime()
 {
     RetryBudget budget;
@@ -340,6 +345,7 @@
     });
 }
 
+/** A state update of one target, for measuring its encoded size. */
 v1::TargetNews targetNews(int slots)
 {
     v1::TargetNews news;
@@ -374,7 +380,7 @@
     return handlers;
 }
 
-/** Sends `count` empty news to a peer, one after the other. */
+/** Sends `count` empty state updates to a peer, one after the other. */
 void sendEmptyNews(PeerClient &client, const Endpoint &peer, int count)
 {
     asio::io_context context(1);
@@ -385,13 +391,14 @@
             co_await client.tell(peer, std::move(news), timeout);
         }
     };
-    // While gRPC works, the context has nothing to do; the guard keeps it until the last reply.
+    // The context has no work while a gRPC call is in progress; the guard keeps it running until
+    // the last reply.
     auto guard = asio::make_work_guard(context);
     asio::co_spawn(context, sendAll(), [&guard](const std::exception_ptr &) { guard.reset(); });
     context.run();
 }
 
-/** A peer server with the threads that answer for it. */
+/** A peer server, with its thread, that answers state updates with an empty reply. */
 struct EmptyReplyPeer
 {
     asio::io_context context;
@@ -413,7 +420,7 @@
     }
 };
 
-/** Memory of both ends of a connection between peers, each after one message. */
+/** Memory of both ends of connections between peers, measured after one message on each. */
 LinearFit measureChannelMemory()
 {
     EmptyReplyPeer peer;
@@ -423,7 +430,7 @@
         clients.push_back(std::make_unique<PeerClient>());
         sendEmptyNews(*clients.back(), peer.endpoint(), 1);
     };
-    addOne(); // what gRPC sets up once
+    addOne(); // leaves out what gRPC allocates once per process
     double total = 0;
     for (const int count : {20, 40, 80}) {
         total += heapBytesRetained([&] {
@@ -435,6 +442,7 @@
     return fitLine("connection between peers, memory of both ends", "connection", "B", points);
 }
 
+/** Size of a membership probe that carries the state of three members. */
 double measureProbeBytes()
 {
     v1::PeerNews news;
@@ -456,7 +464,7 @@
     return static_cast<double>(news.ByteSizeLong());
 }
 
-/** What one node spends on a role at the target size. */
+/** What one entry VM spends on a role at the planned size. */
 struct RoleCost
 {
     std::string role;
@@ -477,6 +485,7 @@
     return text.str();
 }
 
+/** All measured lines and values; the members are measured in the order of their declaration. */
 struct Measurements
 {
     LinearFit demand = measureDemandMemory();
@@ -498,6 +507,7 @@
     double probe = measureProbeBytes();
 };
 
+/** Cost at this size according to the fitted line. */
 double predict(const LinearFit &fit, double size)
 {
     return fit.intercept + fit.slope * size;
@@ -510,14 +520,15 @@
     const double entryVmsPerZone = size.entryVms / size.zones;
     const double enginesPerOwner = size.engines / size.entryVms;
     const double activationsPerSecond = size.adapters * size.activatedSharePerHour / 3600;
-    const double slotChangesPerSecond = 2 * activationsPerSecond; // a slot begins and ends a load
+    // A slot changes when a load begins and when it ends.
+    const double slotChangesPerSecond = 2 * activationsPerSecond;
     const double restartedSlotsPerSecond = size.restartsPerDay / 86400 * size.slotsPerEngine;
     const double newsPerSecond = slotChangesPerSecond + restartedSlotsPerSecond;
     const double newsBytes = predict(measured.news, size.slotsPerEngine);
-    // Frames and headers of a small gRPC message on a warm connection: assumed, not measured.
+    // Frames and headers of a small gRPC message on an open connection; assumed, not measured.
     constexpr double framingBytes = 120;
     const double requestsPerEntryVm = size.requestsPerSecond / size.entryVms;
-    const double ticksPerSecond = 20; // ticks a second of the membership and ownership loops
+    const double ticksPerSecond = 20; // of the membership and ownership loops
     std::vector<RoleCost> costs;
     costs.push_back(
         {"ingress", "admission, life, routing by directory", 0,
@@ -593,9 +604,10 @@
 
 int main(int argc, char **argv)
 {
-    cxxopts::Options options("monsoonbay-capacity",
-                             "Measures slopes and prints the tables of docs/CAPACITY.md");
-    options.add_options()("h,help", "this text");
+    cxxopts::Options options(
+        "monsoonbay-capacity",
+        "Measures costs by size and prints the tables of docs/measurements/capacity.md");
+    options.add_options()("h,help", "show this help");
     if (options.parse(argc, argv).count("help") != 0) {
         std::cout << options.help();
         return 0;
