--- a/tools/loadgen/src/Load.cpp
+++ b/tools/loadgen/src/Load.cpp
@@ -169,10 +169,10 @@
         ++run.report.transportErrors;
         co_return;
     }
-    std::string piece;
+    std::string chunk;
     if (head.status != 200) {
-        co_await stream.read(piece);
-        countProblem(run.report, piece, head.status);
+        co_await stream.read(chunk);
+        countProblem(run.report, chunk, head.status);
         co_return;
     }
     StreamChecker check;
@@ -180,16 +180,16 @@
     Clock::time_point last = began;
     std::error_code error;
     while (true) {
-        error = co_await stream.read(piece);
-        if (error || piece.empty())
+        error = co_await stream.read(chunk);
+        if (error || chunk.empty())
             break;
-        const bool first = check.nextIndex == 0;
-        const int tokens = check.consume(piece);
+        const bool isFirst = check.nextIndex == 0;
+        const int tokens = check.consume(chunk);
         if (tokens == 0)
             continue;
-        std::vector<double> &list =
-            first ? run.report.firstTokenSeconds : run.report.betweenTokensSeconds;
-        list.push_back(secondsSince(last));
+        std::vector<double> &samples =
+            isFirst ? run.report.firstTokenSeconds : run.report.betweenTokensSeconds;
+        samples.push_back(secondsSince(last));
         last = Clock::now();
     }
     run.report.wrongAnswers += check.wrong ? 1 : 0;
@@ -253,9 +253,9 @@
         co_return;
     }
     const Json json = Json::parse(result.body, nullptr, false);
-    const bool right = json.is_object() && json.value("target", "") == call.path
+    const bool matches = json.is_object() && json.value("target", "") == call.path
         && json.value("echo", "") == call.body;
-    if (right)
+    if (matches)
         ++run.report.plainAnswered;
     else
         ++run.report.wrongAnswers;
@@ -324,8 +324,8 @@
                   << " s: " << run.report.sent << " sent, "
                   << run.report.answered + run.report.plainAnswered << " answered, " << run.inFlight
                   << " in flight    " << std::flush;
-        const bool over = secondsSince(began) > run.options.seconds && run.inFlight == 0;
-        if (over || secondsSince(began) > maxSeconds)
+        const bool finished = secondsSince(began) > run.options.seconds && run.inFlight == 0;
+        if (finished || secondsSince(began) > maxSeconds)
             break;
     }
     std::cerr << "\n";
@@ -394,10 +394,10 @@
     while (secondsSince(began) < timeoutSeconds) {
         if (!published)
             published = callBlocking(logEndpoint(deployment), append, callTimeout).ok();
-        const bool up = published
+        const bool allReady = published
             && std::all_of(deployment.entryVms.begin(), deployment.entryVms.end(),
                            [&](const EntryVm &vm) { return isReady(deployment, vm); });
-        if (up) {
+        if (allReady) {
             std::cerr << "all " << deployment.entryVms.size() << " entry VMs are ready after "
                       << std::fixed << std::setprecision(1) << secondsSince(began) << " s\n";
             return true;
--- a/tools/loadgen/src/Simulation.cpp
+++ b/tools/loadgen/src/Simulation.cpp
@@ -168,8 +168,8 @@
     simulation.rankDraw = std::discrete_distribution<int>(weights.begin(), weights.end());
     simulation.oracle = options.policy == "oracle";
     simulation.ranking = options.policy == "ranking";
-    const bool bound = simulation.oracle || simulation.ranking;
-    simulation.policy = findPlacementPolicy(bound ? "forecast" : options.policy);
+    const bool hasExtraKnowledge = simulation.oracle || simulation.ranking;
+    simulation.policy = findPlacementPolicy(hasExtraKnowledge ? "forecast" : options.policy);
     assert(simulation.policy != nullptr);
     simulation.naive = options.policy == "naive";
     for (int index = 0; index < options.engines; ++index) {
@@ -534,12 +534,12 @@
 
 void advanceTransfers(Simulation &simulation, double until)
 {
-    const double passed = until - simulation.now;
+    const double elapsed = until - simulation.now;
     if (!simulation.transfers.empty())
-        simulation.storeBusySeconds += passed;
-    const double done = passed * transferRate(simulation);
+        simulation.storeBusySeconds += elapsed;
+    const double transferred = elapsed * transferRate(simulation);
     for (StoreTransfer &transfer : simulation.transfers)
-        transfer.remaining -= done;
+        transfer.remaining -= transferred;
 }
 
 void endTransfers(Simulation &simulation)
@@ -635,7 +635,7 @@
 
 void expireWaiting(Simulation &simulation)
 {
-    std::vector<int> expiredAdapters;
+    std::vector<int> affectedAdapters;
     for (auto &[adapter, requests] : simulation.waiting) {
         const std::size_t before = requests.size();
         std::erase_if(requests, [&simulation](const WaitingRequest &request) {
@@ -647,9 +647,9 @@
             return true;
         });
         if (requests.size() != before)
-            expiredAdapters.push_back(adapter);
+            affectedAdapters.push_back(adapter);
     }
-    for (const int adapter : expiredAdapters) {
+    for (const int adapter : affectedAdapters) {
         if (simulation.waiting[adapter].empty())
             simulation.waiting.erase(adapter);
         updateWants(simulation, adapter);
