--- a/tools/loadgen/src/Simulation.cpp
+++ b/tools/loadgen/src/Simulation.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr double infiniteTime = 1e300;
-constexpr double tickSeconds = 0.05; // interval of placement decisions and deadline checks
+constexpr double tickSeconds = 0.05; // of periodic placement decisions and deadline checks
 
 Instant instantOf(double seconds)
 {
@@ -109,6 +109,7 @@
     double now = 0;
 };
 
+/** Draws all arrivals: Poisson arrivals with Zipf popularity, and those of flash crowds. */
 void drawArrivals(Simulation &simulation)
 {
     const SimulationOptions &options = simulation.options;
@@ -196,6 +197,7 @@
     return simulation;
 }
 
+/** The engine as placement sees it. */
 TargetView viewOf(const Engine &engine, const SimulationOptions &options)
 {
     TargetView view;
@@ -261,6 +263,7 @@
     startStepping(engine, simulation.options, simulation.now);
 }
 
+/** All engines as candidates of the router, for a request that arrived in `homeZone`. */
 std::vector<RouteCandidate> candidatesFor(const Simulation &simulation, AdapterId id, int homeZone)
 {
     std::vector<RouteCandidate> candidates;
@@ -484,6 +487,7 @@
     state.demand.slowWindow = window;
 }
 
+/** Runs a placement decision and executes its loads and refusals. */
 void runPlacement(Simulation &simulation)
 {
     for (const Engine &engine : simulation.engines)
@@ -520,6 +524,7 @@
     return simulation.options.loadsPerSecond / static_cast<double>(simulation.transfers.size());
 }
 
+/** Time of the next end of a transfer, or the end of the store's downtime. */
 double nextTransferEnd(const Simulation &simulation)
 {
     if (simulation.transfers.empty())
@@ -603,6 +608,7 @@
     runPlacement(simulation);
 }
 
+/** Restarts all engines of a zone; their running and queued requests are dropped. */
 void restartZone(Simulation &simulation, int zone)
 {
     for (Engine &engine : simulation.engines) {
