--- a/tools/loadgen/src/Load.cpp
+++ b/tools/loadgen/src/Load.cpp
@@ -32,19 +32,19 @@
     return std::chrono::duration<double>(Clock::now() - begin).count();
 }
 
-/** One caller's request, drawn before it is sent. */
+/** A request with its random properties, drawn before it is sent. */
 struct PlannedRequest
 {
     bool model = true;
-    int adapter = 0;
+    int adapter = 0; ///< index, also its popularity rank
     bool streamed = false;
-    bool keyed = false;
+    bool withIdempotencyKey = false;
     int tokens = 16;
     std::uint64_t number = 0;
-    std::size_t entryVm = 0;
+    std::size_t entryVm = 0; ///< index of the VM that it is sent to
 };
 
-/** All of one load run; one thread. */
+/** State of one load run; used by one thread. */
 struct LoadRun
 {
     const Deployment &deployment;
@@ -54,7 +54,7 @@
     std::mt19937_64 random{};
     std::discrete_distribution<int> adapters{};
     LoadReport report{};
-    std::uint64_t open = 0;
+    std::uint64_t inFlight = 0;
 };
 
 std::vector<double> zipfWeights(int count, double exponent)
@@ -65,6 +65,7 @@
     return weights;
 }
 
+/** The text that an engine stand-in generates for this adapter and number of tokens. */
 std::string expectedText(const std::string &adapter, int tokens)
 {
     std::string text;
@@ -73,7 +74,8 @@
     return text;
 }
 
-void noteProblem(LoadReport &report, const std::string &body, int status)
+/** Counts a refusal, or a failure if the problem document does not say that nothing ran. */
+void countProblem(LoadReport &report, const std::string &body, int status)
 {
     const Json json = Json::parse(body, nullptr, false);
     const bool problem = json.is_object() && json.contains("type");
@@ -99,24 +101,24 @@
     call.headers = {{"Authorization", "Bearer " + demoToken},
                     {"Content-Type", "application/json"},
                     {"Monsoonbay-Deadline-Ms", std::to_string(run.options.deadlineMs)}};
-    if (planned.keyed)
+    if (planned.withIdempotencyKey)
         call.headers.push_back({"Idempotency-Key", "load-" + std::to_string(planned.number)});
     return call;
 }
 
-/** Checks a streamed answer event by event. */
-struct StreamCheck
+/** Checks the server-sent events of a streamed answer. */
+struct StreamChecker
 {
     std::string adapter;
-    int next = 0;
+    int nextIndex = 0;
     bool wrong = false;
     bool duplicate = false;
     bool done = false;
     bool errorEvent = false;
     std::string buffer;
 
-    /** Returns how many tokens the data held. */
-    int take(const std::string &data)
+    /** Processes a chunk of the response body; returns the number of tokens in it. */
+    int consume(const std::string &data)
     {
         int tokens = 0;
         this->buffer += data;
@@ -124,12 +126,13 @@
         while ((end = this->buffer.find("\n\n")) != std::string::npos) {
             const std::string event = this->buffer.substr(0, end);
             this->buffer.erase(0, end + 2);
-            tokens += this->takeEvent(event) ? 1 : 0;
+            tokens += this->consumeEvent(event) ? 1 : 0;
         }
         return tokens;
     }
 
-    bool takeEvent(const std::string &event)
+    /** Returns true if the event holds a token. */
+    bool consumeEvent(const std::string &event)
     {
         if (event == "data: [DONE]") {
             this->done = true;
@@ -148,9 +151,9 @@
         const std::string text = json["choices"][0].value("text", "");
         this->wrong = this->wrong || json.value("model", "") != this->adapter
             || text != this->adapter + ":" + std::to_string(index) + " ";
-        this->duplicate = this->duplicate || index < this->next;
-        this->wrong = this->wrong || index > this->next;
-        this->next = index + 1;
+        this->duplicate = this->duplicate || index < this->nextIndex;
+        this->wrong = this->wrong || index > this->nextIndex;
+        this->nextIndex = index + 1;
         return true;
     }
 };
@@ -166,44 +169,44 @@
         ++run.report.transportErrors;
         co_return;
     }
-    std::string piece;
+    std::string chunk;
     if (head.status != 200) {
-        co_await stream.read(piece);
-        noteProblem(run.report, piece, head.status);
+        co_await stream.read(chunk);
+        countProblem(run.report, chunk, head.status);
         co_return;
     }
-    StreamCheck check;
+    StreamChecker check;
     check.adapter = adapterName(planned.adapter) + "@1";
     Clock::time_point last = began;
     std::error_code error;
     while (true) {
-        error = co_await stream.read(piece);
-        if (error || piece.empty())
+        error = co_await stream.read(chunk);
+        if (error || chunk.empty())
             break;
-        const bool first = check.next == 0;
-        const int tokens = check.take(piece);
+        const bool isFirst = check.nextIndex == 0;
+        const int tokens = check.consume(chunk);
         if (tokens == 0)
             continue;
-        std::vector<double> &list =
-            first ? run.report.firstTokenSeconds : run.report.betweenTokensSeconds;
-        list.push_back(secondsSince(last));
+        std::vector<double> &samples =
+            isFirst ? run.report.firstTokenSeconds : run.report.betweenTokensSeconds;
+        samples.push_back(secondsSince(last));
         last = Clock::now();
     }
-    run.report.wrong += check.wrong ? 1 : 0;
-    run.report.duplicate += check.duplicate ? 1 : 0;
-    const bool whole = check.done && !error && check.next == planned.tokens;
-    const bool saidBroken = error || check.errorEvent;
-    if (whole) {
+    run.report.wrongAnswers += check.wrong ? 1 : 0;
+    run.report.streamsWithDuplicates += check.duplicate ? 1 : 0;
+    const bool complete = check.done && !error && check.nextIndex == planned.tokens;
+    const bool reportedFailure = error || check.errorEvent;
+    if (complete) {
         ++run.report.answered;
         run.report.answerSeconds.push_back(secondsSince(began));
-    } else if (saidBroken) {
+    } else if (reportedFailure) {
         ++run.report.failed;
     } else {
-        ++run.report.partial;
+        ++run.report.truncated;
     }
 }
 
-asio::awaitable<void> sendWhole(LoadRun &run, PlannedRequest planned, Endpoint endpoint)
+asio::awaitable<void> sendNonStreamed(LoadRun &run, PlannedRequest planned, Endpoint endpoint)
 {
     const Clock::time_point began = Clock::now();
     HttpCall call = modelCall(run, planned);
@@ -214,7 +217,7 @@
         co_return;
     }
     if (result.status != 200) {
-        noteProblem(run.report, result.body, result.status);
+        countProblem(run.report, result.body, result.status);
         co_return;
     }
     const std::string adapter = adapterName(planned.adapter) + "@1";
@@ -226,9 +229,9 @@
         ++run.report.answered;
         run.report.answerSeconds.push_back(secondsSince(began));
     } else if (expected.starts_with(text)) {
-        ++run.report.partial;
+        ++run.report.truncated;
     } else {
-        ++run.report.wrong;
+        ++run.report.wrongAnswers;
     }
 }
 
@@ -246,21 +249,21 @@
         co_return;
     }
     if (result.status != 200) {
-        noteProblem(run.report, result.body, result.status);
+        countProblem(run.report, result.body, result.status);
         co_return;
     }
     const Json json = Json::parse(result.body, nullptr, false);
-    const bool right = json.is_object() && json.value("target", "") == call.path
+    const bool matches = json.is_object() && json.value("target", "") == call.path
         && json.value("echo", "") == call.body;
-    if (right)
+    if (matches)
         ++run.report.plainAnswered;
     else
-        ++run.report.wrong;
+        ++run.report.wrongAnswers;
 }
 
 asio::awaitable<void> sendOne(LoadRun &run, PlannedRequest planned)
 {
-    ++run.open;
+    ++run.inFlight;
     ++run.report.sent;
     const Endpoint endpoint{run.deployment.entryVms[planned.entryVm].address, callersPort};
     if (!planned.model)
@@ -268,11 +271,11 @@
     else if (planned.streamed)
         co_await sendStreamed(run, planned, endpoint);
     else
-        co_await sendWhole(run, planned, endpoint);
-    --run.open;
+        co_await sendNonStreamed(run, planned, endpoint);
+    --run.inFlight;
 }
 
-PlannedRequest draw(LoadRun &run, bool model, std::uint64_t number)
+PlannedRequest drawRequest(LoadRun &run, bool model, std::uint64_t number)
 {
     std::uniform_real_distribution<double> unit(0, 1);
     PlannedRequest planned;
@@ -280,16 +283,16 @@
     planned.number = number;
     planned.adapter = run.adapters(run.random);
     planned.streamed = unit(run.random) < run.options.streamedShare;
-    planned.keyed = unit(run.random) < run.options.keyedShare;
-    planned.tokens = std::uniform_int_distribution<int>(run.options.leastTokens,
-                                                        run.options.mostTokens)(run.random);
+    planned.withIdempotencyKey = unit(run.random) < run.options.idempotencyKeyShare;
+    planned.tokens = std::uniform_int_distribution<int>(run.options.minTokens,
+                                                        run.options.maxTokens)(run.random);
     planned.entryVm = run.random() % run.deployment.entryVms.size();
     return planned;
 }
 
-// Open loop: requests leave at their drawn times whatever the answers do, so a slow system is not
-// spared by its own slowness.
-asio::awaitable<void> sendAll(LoadRun &run, bool model, double perSecond)
+// Open loop: requests are sent at their drawn times without waiting for earlier answers, so that
+// slow answers do not reduce the load.
+asio::awaitable<void> sendOpenLoop(LoadRun &run, bool model, double perSecond)
 {
     std::exponential_distribution<double> gap(perSecond);
     asio::steady_timer timer(run.context);
@@ -303,25 +306,26 @@
             began
             + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(due)));
         co_await timer.async_wait(nothrowAwaitable);
-        const PlannedRequest planned = draw(run, model, number * 2 + (model ? 0 : 1));
+        const PlannedRequest planned = drawRequest(run, model, number * 2 + (model ? 0 : 1));
         asio::co_spawn(run.context, sendOne(run, planned), asio::detached);
     }
 }
 
+/** Prints a line each second; stops the run once all are answered, or after the last deadline. */
 asio::awaitable<void> showProgress(LoadRun &run)
 {
     asio::steady_timer timer(run.context);
     const Clock::time_point began = Clock::now();
-    const double patience = run.options.seconds + run.options.deadlineMs / 1000.0 + 6;
+    const double maxSeconds = run.options.seconds + run.options.deadlineMs / 1000.0 + 6;
     for (int tick = 1;; ++tick) {
         timer.expires_after(std::chrono::seconds(1));
         co_await timer.async_wait(nothrowAwaitable);
         std::cerr << "\r" << std::fixed << std::setprecision(0) << secondsSince(began)
                   << " s: " << run.report.sent << " sent, "
-                  << run.report.answered + run.report.plainAnswered << " answered, " << run.open
-                  << " open    " << std::flush;
-        const bool over = secondsSince(began) > run.options.seconds && run.open == 0;
-        if (over || secondsSince(began) > patience)
+                  << run.report.answered + run.report.plainAnswered << " answered, " << run.inFlight
+                  << " in flight    " << std::flush;
+        const bool finished = secondsSince(began) > run.options.seconds && run.inFlight == 0;
+        if (finished || secondsSince(began) > maxSeconds)
             break;
     }
     std::cerr << "\n";
@@ -343,7 +347,8 @@
     return settings.value.log;
 }
 
-bool isUp(const Deployment &deployment, const EntryVm &vm)
+/** True if the entry VM is ready and can use every model engine. */
+bool isReady(const Deployment &deployment, const EntryVm &vm)
 {
     const Json status = getJson(Endpoint{vm.address, operatorsPort}, "/v1/status");
     if (!status.is_object() || !status.value("ready", false))
@@ -375,7 +380,8 @@
     return quantiles;
 }
 
-bool bringUp(const Deployment &deployment, const std::string &manifest, double patienceSeconds)
+bool publishAndAwaitReady(const Deployment &deployment, const std::string &manifest,
+                          double timeoutSeconds)
 {
     const Clock::time_point began = Clock::now();
     const Json record{{"stream", "manifest"},
@@ -385,13 +391,13 @@
     append.path = "/v1/append";
     append.body = record.dump();
     bool published = false;
-    while (secondsSince(began) < patienceSeconds) {
+    while (secondsSince(began) < timeoutSeconds) {
         if (!published)
             published = callBlocking(logEndpoint(deployment), append, callTimeout).ok();
-        const bool up = published
+        const bool allReady = published
             && std::all_of(deployment.entryVms.begin(), deployment.entryVms.end(),
-                           [&](const EntryVm &vm) { return isUp(deployment, vm); });
-        if (up) {
+                           [&](const EntryVm &vm) { return isReady(deployment, vm); });
+        if (allReady) {
             std::cerr << "all " << deployment.entryVms.size() << " entry VMs are ready after "
                       << std::fixed << std::setprecision(1) << secondsSince(began) << " s\n";
             return true;
@@ -410,18 +416,18 @@
     const std::vector<double> weights = zipfWeights(deployment.adapters, options.zipfExponent);
     run.adapters = std::discrete_distribution<int>(weights.begin(), weights.end());
     if (options.modelRequestsPerSecond > 0)
-        asio::co_spawn(run.context, sendAll(run, true, options.modelRequestsPerSecond),
+        asio::co_spawn(run.context, sendOpenLoop(run, true, options.modelRequestsPerSecond),
                        asio::detached);
     if (options.plainRequestsPerSecond > 0)
-        asio::co_spawn(run.context, sendAll(run, false, options.plainRequestsPerSecond),
+        asio::co_spawn(run.context, sendOpenLoop(run, false, options.plainRequestsPerSecond),
                        asio::detached);
     asio::co_spawn(run.context, showProgress(run), asio::detached);
     run.context.run();
-    run.report.transportErrors += run.open;
+    run.report.transportErrors += run.inFlight;
     return std::move(run.report);
 }
 
-std::vector<std::string> readResident(const Target &target)
+std::vector<std::string> readResidentAdapters(const Target &target)
 {
     std::vector<std::string> adapters;
     const Json status = getJson(Endpoint{target.address, targetPort}, "/v1/status");
@@ -432,7 +438,7 @@
     return adapters;
 }
 
-EngineTotals readEngines(const Deployment &deployment)
+EngineTotals readEngineTotals(const Deployment &deployment)
 {
     EngineTotals totals;
     for (const Target &target : deployment.targets) {
@@ -442,14 +448,14 @@
         totals.steps += status.value("steps", std::uint64_t{0});
         totals.sequenceSteps += status.value("sequenceSteps", std::uint64_t{0});
         totals.loads += status.value("loads", std::uint64_t{0});
-        totals.evictedUnderRun += status.value("evictedUnderRun", std::uint64_t{0});
-        totals.twiceRun += status.value("twiceRun", std::uint64_t{0});
+        totals.evictionsInUse += status.value("evictedUnderRun", std::uint64_t{0});
+        totals.executedTwice += status.value("twiceRun", std::uint64_t{0});
         totals.maxBatch = std::max(totals.maxBatch, status.value("maxBatch", 1));
     }
     return totals;
 }
 
-StallTotals readStalls(const Deployment &deployment)
+StallTotals readStallTotals(const Deployment &deployment)
 {
     StallTotals totals;
     for (const EntryVm &vm : deployment.entryVms) {
@@ -481,27 +487,27 @@
         row(name, cells.str());
     };
     row("requests sent", report.sent);
-    row("answered by models", report.answered);
-    row("answered by plain services", report.plainAnswered);
+    row("model requests answered", report.answered);
+    row("requests to plain services answered", report.plainAnswered);
     for (const auto &[kind, count] : report.refusals)
         row("  " + kind, count);
     row("failed (ran or may have run)", report.failed);
     row("transport errors", report.transportErrors);
-    row("wrong answers", report.wrong);
-    row("duplicate pieces", report.duplicate);
-    row("partial answers passed off as whole", report.partial);
-    row("evictions under a running request", engines.evictedUnderRun);
-    row("requests run twice", engines.twiceRun);
-    quantileRow("load stall s, worst VM, p50 / p95 / p99",
+    row("wrong answers", report.wrongAnswers);
+    row("streams with a duplicate token", report.streamsWithDuplicates);
+    row("truncated answers without an error", report.truncated);
+    row("evictions of an adapter in use", engines.evictionsInUse);
+    row("requests executed twice", engines.executedTwice);
+    quantileRow("load stall s, highest VM, p50 / p95 / p99",
                 Quantiles{stalls.requests, stalls.p50, stalls.p95, stalls.p99});
     const double share = stalls.requests == 0
         ? 0
         : static_cast<double>(stalls.stalled) / static_cast<double>(stalls.requests);
-    row("share of model requests stalled", share);
-    quantileRow("first token s, p50 / p95 / p99", quantilesOf(report.firstTokenSeconds));
-    quantileRow("between tokens s, p50 / p95 / p99", quantilesOf(report.betweenTokensSeconds));
-    quantileRow("whole answer s, p50 / p95 / p99", quantilesOf(report.answerSeconds));
-    row("loads by the engines", engines.loads);
+    row("share of model requests that stalled", share);
+    quantileRow("time to first token s, p50 / p95 / p99", quantilesOf(report.firstTokenSeconds));
+    quantileRow("time between tokens s, p50 / p95 / p99", quantilesOf(report.betweenTokensSeconds));
+    quantileRow("time to complete answer s, p50 / p95 / p99", quantilesOf(report.answerSeconds));
+    row("adapter loads by the engines", engines.loads);
     row("batch efficiency", engines.batchEfficiency());
     return text.str();
 }
@@ -511,11 +517,12 @@
     constexpr double width = 640;
     constexpr double height = 320;
     constexpr double margin = 48;
-    constexpr double longest = 30;
-    constexpr double shortest = 0.01;
+    constexpr double longestSeconds = 30;
+    constexpr double shortestSeconds = 0.01;
     const auto x = [&](double seconds) {
-        const double share = std::log(std::clamp(seconds, shortest, longest) / shortest)
-            / std::log(longest / shortest);
+        const double share =
+            std::log(std::clamp(seconds, shortestSeconds, longestSeconds) / shortestSeconds)
+            / std::log(longestSeconds / shortestSeconds);
         return margin + share * (width - 2 * margin);
     };
     const auto curve = [&](std::vector<double> values, const std::string &colour) {
@@ -536,7 +543,7 @@
         << "<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n"
         << "<text x=\"" << margin << "\" y=\"20\" font-size=\"14\">" << title << "</text>\n"
         << "<text x=\"" << margin << "\" y=\"38\" fill=\"#1f6fb2\">first token</text>\n"
-        << "<text x=\"" << margin + 90 << "\" y=\"38\" fill=\"#c0392b\">whole answer</text>\n";
+        << "<text x=\"" << margin + 90 << "\" y=\"38\" fill=\"#c0392b\">complete answer</text>\n";
     for (const double tick : {0.01, 0.1, 1.0, 10.0}) {
         svg << "<line x1=\"" << x(tick) << "\" x2=\"" << x(tick) << "\" y1=\"" << margin
             << "\" y2=\"" << height - margin << "\" stroke=\"#ddd\"/><text x=\"" << x(tick) - 10
--- a/tools/standins/src/Log.cpp
+++ b/tools/standins/src/Log.cpp
@@ -12,8 +12,10 @@
 namespace {
 
 /**
- * POST /v1/append {"stream","body"} gives {"offset"}; GET /v1/read?from=N&max=M&waitMs=W gives
- * {"first","next","records":[{"offset","stream","body"}]}. Offsets start at 1.
+ * POST /v1/append {"stream","body"} appends a record and returns {"offset"}.
+ * GET /v1/read?from=N&max=M&waitMs=W returns
+ * {"first","next","records":[{"offset","stream","body"}]}: at most M records from offset N on,
+ * after waiting up to W ms for an append if there is none yet. Offsets start at 1.
  */
 class Log final : public Standin
 {
@@ -40,7 +42,7 @@
             co_await exchange.respond(this->control(exchange.request().body()));
             co_return;
         }
-        if (this->faults.strikes("down")) {
+        if (this->faults.shouldInject("down")) {
             co_await exchange.respond(errorReply(503, "log is down"));
             co_return;
         }
@@ -52,12 +54,13 @@
             co_await exchange.respond(errorReply(404, "no such path"));
     }
 
+    /** Sets a fault; "truncate" drops the oldest records at once, down to its parameter. */
     HttpReply control(const std::string &body)
     {
-        HttpReply reply = switchFault(this->faults, body);
-        if (this->faults.strikes("truncate")) {
-            const auto kept = static_cast<std::size_t>(this->faults.valueMs("truncate"));
-            while (this->records.size() > kept)
+        HttpReply reply = handleFaultRequest(this->faults, body);
+        if (this->faults.shouldInject("truncate")) {
+            const auto maxKept = static_cast<std::size_t>(this->faults.parameter("truncate"));
+            while (this->records.size() > maxKept)
                 this->records.pop_front();
         }
         return reply;
@@ -68,7 +71,7 @@
         const Json body = Json::parse(exchange.request().body(), nullptr, false);
         const bool valid = body.is_object() && body.contains("stream") && body.contains("body");
         if (!valid) {
-            co_await exchange.respond(errorReply(400, "give stream and body"));
+            co_await exchange.respond(errorReply(400, "stream or body is missing"));
             co_return;
         }
         const std::uint64_t offset = this->next++;
@@ -77,7 +80,7 @@
         if (this->records.size() > this->options.retainedRecords)
             this->records.pop_front();
         this->wakeReaders();
-        if (this->faults.strikes("lostAnswer")) {
+        if (this->faults.shouldInject("lostAnswer")) {
             exchange.abort();
             co_return;
         }
@@ -88,14 +91,14 @@
     asio::awaitable<void> read(HttpExchange &exchange, std::string target)
     {
         const std::uint64_t from = queryNumber(target, "from", 1);
-        const std::uint64_t most = queryNumber(target, "max", 1000);
+        const std::uint64_t maxRecords = queryNumber(target, "max", 1000);
         const std::uint64_t waitMs = queryNumber(target, "waitMs", 0);
         if (from >= this->next && waitMs > 0)
             co_await this->waitForAppend(waitMs);
         Json found = Json::array();
         const std::uint64_t first = this->next - this->records.size();
         for (std::uint64_t offset = std::max(from, first); offset < this->next; ++offset) {
-            if (found.size() >= most)
+            if (found.size() >= maxRecords)
                 break;
             found.push_back(this->records[offset - first]);
         }
@@ -108,22 +111,22 @@
     {
         auto timer = std::make_shared<asio::steady_timer>(co_await asio::this_coro::executor,
                                                           std::chrono::milliseconds(waitMs));
-        this->readers.push_back(timer);
+        this->waitingReaders.push_back(timer);
         co_await timer->async_wait(asio::as_tuple(asio::use_awaitable));
-        std::erase(this->readers, timer);
+        std::erase(this->waitingReaders, timer);
     }
 
     void wakeReaders()
     {
-        for (const auto &timer : this->readers)
+        for (const auto &timer : this->waitingReaders)
             timer->cancel();
     }
 
     LogOptions options;
-    Faults faults;
-    std::uint64_t next = 1;
+    FaultInjector faults;
+    std::uint64_t next = 1; ///< offset of the next record
     std::deque<Json> records;
-    std::vector<std::shared_ptr<asio::steady_timer>> readers;
+    std::vector<std::shared_ptr<asio::steady_timer>> waitingReaders;
     HttpServer server;
 };
 
--- a/tools/standins/src/Store.cpp
+++ b/tools/standins/src/Store.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr double tickMs = 5;
+constexpr double tickMs = 5; // interval at which a load checks its progress
 
-/** Concurrent loads share the rate, so that asking for two at a time gains nothing. */
+/** Serves loads on any path. They share the rate, so concurrent loads are not faster in total. */
 class Store final : public Standin
 {
 public:
@@ -31,27 +31,27 @@
     {
         const std::string target(exchange.request().target());
         if (target == "/control") {
-            co_await exchange.respond(switchFault(this->faults, exchange.request().body()));
+            co_await exchange.respond(handleFaultRequest(this->faults, exchange.request().body()));
             co_return;
         }
         if (target == "/v1/status") {
             const HttpReply status =
-                jsonReply(200, {{"loads", this->loads}, {"mostAtOnce", this->mostAtOnce}});
+                jsonReply(200, {{"loads", this->loads}, {"mostAtOnce", this->maxConcurrentLoads}});
             co_await exchange.respond(status);
             co_return;
         }
-        if (this->faults.strikes("down")) {
+        if (this->faults.shouldInject("down")) {
             co_await exchange.respond(errorReply(503, "store is down"));
             co_return;
         }
-        ++this->atOnce;
-        this->mostAtOnce = std::max(this->mostAtOnce, this->atOnce);
-        if (this->faults.strikes("delay"))
-            co_await sleepMs(this->faults.valueMs("delay"));
+        ++this->concurrentLoads;
+        this->maxConcurrentLoads = std::max(this->maxConcurrentLoads, this->concurrentLoads);
+        if (this->faults.shouldInject("delay"))
+            co_await sleepMs(this->faults.parameter("delay"));
         co_await this->transfer();
-        --this->atOnce;
+        --this->concurrentLoads;
         ++this->loads;
-        if (this->faults.strikes("fail")) {
+        if (this->faults.shouldInject("fail")) {
             co_await exchange.respond(errorReply(500, "weights are unreadable"));
             co_return;
         }
@@ -59,23 +59,25 @@
         co_await exchange.respond(reply);
     }
 
+    /** Returns once one load is transferred at this load's share of the rate. */
     asio::awaitable<void> transfer()
     {
         double remaining = 1.0;
-        auto last = std::chrono::steady_clock::now();
+        auto previous = std::chrono::steady_clock::now();
         while (remaining > 0) {
             co_await sleepMs(tickMs);
             const auto now = std::chrono::steady_clock::now();
-            const double seconds = std::chrono::duration<double>(now - last).count();
-            last = now;
-            remaining -= seconds * this->options.loadsPerSecond / std::max(1, this->atOnce);
+            const double seconds = std::chrono::duration<double>(now - previous).count();
+            previous = now;
+            remaining -=
+                seconds * this->options.loadsPerSecond / std::max(1, this->concurrentLoads);
         }
     }
 
     StoreOptions options;
-    Faults faults;
-    int atOnce = 0;
-    int mostAtOnce = 0;
+    FaultInjector faults;
+    int concurrentLoads = 0;
+    int maxConcurrentLoads = 0;
     std::uint64_t loads = 0;
     HttpServer server;
 };
