--- a/libs/daemon/src/Ingress.cpp
+++ b/libs/daemon/src/Ingress.cpp
@@ -113,12 +113,12 @@
         return handleEvent(this->active, this->attempt, event);
     }
 
-    bool gone() const override
+    bool isDisconnected() const override
     {
         return this->active.callerGone;
     }
 
-    void whenGone(std::function<void()> handler) override
+    void onDisconnect(std::function<void()> handler) override
     {
         if (this->active.callerGone)
             handler();
@@ -474,7 +474,7 @@
 asio::awaitable<void> watchCaller(ActiveRequest &active)
 {
     co_await active.exchange.callerGone();
-    if (active.exchange.begun() && !active.life.headDelivered)
+    if (active.exchange.hasStartedResponse() && !active.life.headDelivered)
         co_return;
     active.callerGone = true;
     if (active.cancelAttempt)
--- a/libs/daemon/src/OwnerRun.cpp
+++ b/libs/daemon/src/OwnerRun.cpp
@@ -185,7 +185,7 @@
     RunProgress progress;
     const auto executor = co_await asio::this_coro::executor;
     const auto stream = std::make_shared<HttpClientStream>(node.http, info.endpoint);
-    sink->whenGone([executor, weak = std::weak_ptr(stream)] {
+    sink->onDisconnect([executor, weak = std::weak_ptr(stream)] {
         asio::post(executor, [weak] {
             if (const auto open = weak.lock())
                 open->cancel();
@@ -197,9 +197,9 @@
     const HttpResult head = co_await stream->begin(std::move(call), left);
     progress.dispatched = head.sent;
     if (head.error) {
-        progress.kind = sink->gone() ? ErrorKind::CallerGone
-            : head.sent              ? ErrorKind::BrokenStream
-                                     : ErrorKind::NoTarget;
+        progress.kind = sink->isDisconnected() ? ErrorKind::CallerGone
+            : head.sent                        ? ErrorKind::BrokenStream
+                                               : ErrorKind::NoTarget;
         progress.ended = !head.sent;
         co_return progress;
     }
@@ -217,7 +217,7 @@
         co_await passStream(node, request, *stream, *sink, progress);
     else
         co_await passBuffered(node, request, *stream, *sink, progress);
-    if (sink->gone())
+    if (sink->isDisconnected())
         progress.kind = ErrorKind::CallerGone;
     co_return progress;
 }
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -66,7 +66,7 @@
     std::function<void(TargetEntry)> target;
     std::function<void(std::string id)> targetRemoved;
     /** The complete list, and the ids whose entries exist but cannot be parsed. */
-    std::function<void(std::vector<TargetEntry>, const std::vector<std::string> &)> wholeList;
+    std::function<void(std::vector<TargetEntry>, const std::vector<std::string> &)> fullTargetList;
     /** The document stored under `key` does not have the platform's format. */
     std::function<void(std::string_view what, const std::string &key)> unreadable;
     std::function<void()> listFailed; ///< an attempt to read the list failed
@@ -147,16 +147,17 @@
     std::string_view name;
 
     // Headers of calls and answers.
-    CallMetadata (*readCall)(const RequestHead &);
-    void (*writeSend)(RequestHead &, const SendMetadata &);
-    AnswerMetadata (*readAnswer)(int status, const ResponseHead &);
+    CallMetadata (*readCallMetadata)(const RequestHead &);
+    void (*writeSendMetadata)(RequestHead &, const SendMetadata &);
+    AnswerMetadata (*readAnswerMetadata)(int status, const ResponseHead &);
 
     // Feeds; `follow` runs until the context stops.
     asio::awaitable<void> (*follow)(HttpClient &, const GatewaySettings &, PlatformSink);
     bool (*readConfig)(std::string_view document, ServingConfig &);
 
     // Engines.
-    asio::awaitable<CommandOutcome> (*order)(HttpClient &, EngineAddress, EngineCommand, Duration);
+    asio::awaitable<CommandOutcome> (*command)(HttpClient &, EngineAddress, EngineCommand,
+                                               Duration);
     asio::awaitable<std::optional<EngineReport>> (*report)(HttpClient &, EngineAddress, Duration);
 
     // Leases in the store.
--- a/libs/gateway/src/CallAnswer.cpp
+++ b/libs/gateway/src/CallAnswer.cpp
@@ -83,7 +83,7 @@
     request->target(call.request->target());
     for (const HttpHeader &header : endToEndHeaders(*call.request))
         request->insert(header.name, header.value);
-    call.node.platform->writeSend(*request, facts);
+    call.node.platform->writeSendMetadata(*request, facts);
     request->body() = call.request->body();
     if (hasBody(call))
         request->content_length(request->body().size());
--- a/libs/gateway/src/CallServing.cpp
+++ b/libs/gateway/src/CallServing.cpp
@@ -461,7 +461,7 @@
 asio::awaitable<void> serveCall(ActiveCallPtr call)
 {
     GatewayNode &node = call->node;
-    call->facts = node.platform->readCall(*call->request);
+    call->facts = node.platform->readCallMetadata(*call->request);
     if (isStarting(node))
         co_await awaitStart(*call);
     call->routes = node.routes;
--- a/libs/gateway/src/EngineCommands.cpp
+++ b/libs/gateway/src/EngineCommands.cpp
@@ -133,7 +133,7 @@
     held.commandInFlight = true;
     held.commandSince = BootClock::now();
     const CommandOutcome outcome =
-        co_await node.platform->order(node.http, address, command, commandTimeout);
+        co_await node.platform->command(node.http, address, command, commandTimeout);
     held.commandInFlight = false;
     const Instant now = BootClock::now();
     // The engine restarted meanwhile under the same id. Which of the two processes got the command,
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -225,8 +225,8 @@
         recordRemoved(node.targetTable, id, BootClock::now());
         sweep(node);
     };
-    sink.wholeList = [&node](std::vector<TargetEntry> entries,
-                             const std::vector<std::string> &unreadable) {
+    sink.fullTargetList = [&node](std::vector<TargetEntry> entries,
+                                  const std::vector<std::string> &unreadable) {
         for (const TargetEntry &entry : entries)
             applyTarget(node, entry);
         recordFullList(node.targetTable, std::move(entries), unreadable, BootClock::now());
--- a/libs/gateway/src/GatewayPeers.cpp
+++ b/libs/gateway/src/GatewayPeers.cpp
@@ -95,7 +95,7 @@
                                      grpc::ServerUnaryReactor *reactor, std::uint64_t number)
     {
         v1::LoadReply answer = co_await this->handlers.load(std::move(request));
-        if (!this->calls.take(number))
+        if (!this->calls.claimEnd(number))
             co_return;
         *reply = std::move(answer);
         reactor->Finish(grpc::Status::OK);
@@ -111,7 +111,7 @@
         const std::uint64_t number = this->open(reactor);
         asio::post(this->context, [this, request, reply, reactor, number, &handler] {
             // If a shutdown has ended the RPC, its messages no longer exist.
-            if (!this->calls.take(number))
+            if (!this->calls.claimEnd(number))
                 return;
             *reply = handler(*request);
             reactor->Finish(grpc::Status::OK);
@@ -172,9 +172,9 @@
         const auto start = [call, method, &open, number](Completion completion) {
             method(*call->stub, call->context, *call->request, call->reply,
                    [call, completion, &open, number](const grpc::Status &status) {
-                       open.take(number);
+                       open.claimEnd(number);
                        completion(status.ok());
-                       open.done();
+                       open.markEnded();
                    });
         };
         const bool answered = co_await completionOf(start);
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -232,7 +232,8 @@
         this->lastError = error;
         co_return false;
     }
-    this->answerFacts = this->node.platform->readAnswer(this->status(), this->parser->get());
+    this->answerFacts =
+        this->node.platform->readAnswerMetadata(this->status(), this->parser->get());
     co_return true;
 }
 
--- a/libs/transport/include/transport/HttpClient.h
+++ b/libs/transport/include/transport/HttpClient.h
@@ -24,12 +24,12 @@
 };
 
 /** Timeouts of a call whose response may be long. */
-struct HttpPatience
+struct HttpTimeouts
 {
     Duration header{}; ///< until the header of the response has been read
     Duration idle{}; ///< after that, between two pieces of the body
 
-    auto operator<=>(const HttpPatience &) const = default;
+    auto operator<=>(const HttpTimeouts &) const = default;
 };
 
 /** Outcome of a call: an error, or the response. */
@@ -61,7 +61,7 @@
     asio::awaitable<HttpResult> call(Endpoint endpoint, HttpCall call, Duration timeout);
 
     /** The same, but may take as long as each part arrives within its timeout. */
-    asio::awaitable<HttpResult> call(Endpoint endpoint, HttpCall call, HttpPatience timeouts);
+    asio::awaitable<HttpResult> call(Endpoint endpoint, HttpCall call, HttpTimeouts timeouts);
 
     struct Impl;
 
--- a/libs/transport/include/transport/HttpServer.h
+++ b/libs/transport/include/transport/HttpServer.h
@@ -58,7 +58,7 @@
     /** Completes when the caller has closed its side of the connection, or when cancelled. */
     asio::awaitable<void> callerGone();
 
-    bool begun() const noexcept;
+    bool hasStartedResponse() const noexcept;
     bool keepAlive() const noexcept;
 
 private:
--- a/libs/transport/include/transport/OpenCalls.h
+++ b/libs/transport/include/transport/OpenCalls.h
@@ -34,14 +34,14 @@
     }
 
     /** Claims the right to end the call; false if the call was claimed or ended before. */
-    bool take(std::uint64_t call)
+    bool claimEnd(std::uint64_t call)
     {
         const std::lock_guard guard(this->mutex);
         return this->endHandlers.erase(call) > 0;
     }
 
     /** Marks a call as over; none of its callbacks may run after this. */
-    void done()
+    void markEnded()
     {
         const std::lock_guard guard(this->mutex);
         --this->open;
--- a/libs/transport/include/transport/PeerNetwork.h
+++ b/libs/transport/include/transport/PeerNetwork.h
@@ -24,10 +24,10 @@
     /** Sends an event; false once the other VM has disconnected or cancelled the run. */
     virtual asio::awaitable<bool> write(const v1::RunEvent &event) = 0;
 
-    virtual bool gone() const = 0;
+    virtual bool isDisconnected() const = 0;
 
     /** Calls `handler` once, on any thread, when the other VM disconnects or cancels the run. */
-    virtual void whenGone(std::function<void()> handler) = 0;
+    virtual void onDisconnect(std::function<void()> handler) = 0;
 };
 
 /** Handlers of the RPCs. The ones that are not coroutines run on gRPC's threads: never block. */
--- a/libs/transport/src/HttpClient.cpp
+++ b/libs/transport/src/HttpClient.cpp
@@ -244,7 +244,7 @@
 // A timeout for the whole call aborts a long response over a slow link every time, however steadily
 // it arrives: a configuration of 4,250 routes (1 MB) was never read over 10 Mbit/s within 0.5 s.
 asio::awaitable<HttpResult> HttpClient::call(Endpoint endpoint, HttpCall call,
-                                             HttpPatience timeouts)
+                                             HttpTimeouts timeouts)
 {
     HttpClientStream stream(*this, std::move(endpoint));
     HttpResult result = co_await stream.begin(std::move(call), timeouts.header);
--- a/libs/transport/src/HttpServer.cpp
+++ b/libs/transport/src/HttpServer.cpp
@@ -66,7 +66,7 @@
     return this->received;
 }
 
-bool HttpExchange::begun() const noexcept
+bool HttpExchange::hasStartedResponse() const noexcept
 {
     return this->responseStarted;
 }
@@ -216,7 +216,7 @@
         stream.expires_never();
         HttpExchange exchange(stream, parser.release());
         co_await state->handler(exchange);
-        if (!exchange.begun()) {
+        if (!exchange.hasStartedResponse()) {
             HttpReply reply;
             reply.status = 500;
             co_await exchange.respond(reply);
--- a/libs/transport/src/PeerClient.cpp
+++ b/libs/transport/src/PeerClient.cpp
@@ -56,7 +56,7 @@
     /** Ends the call, unless it was ended from outside before; called when its user drops it. */
     void endIfOpen()
     {
-        if (this->calls.take(this->call))
+        if (this->calls.claimEnd(this->call))
             this->end();
     }
 
@@ -80,7 +80,7 @@
         {
             const std::shared_ptr<RunReader> last = std::move(this->self);
         }
-        open.done();
+        open.markEnded();
     }
 
     OpenCalls &calls;
@@ -137,9 +137,9 @@
         const auto start = [call, method, &open, number](Completion completion) {
             method(*call->stub, call->context, call->request, call->reply,
                    [call, completion, &open, number](const grpc::Status &status) {
-                       open.take(number);
+                       open.claimEnd(number);
                        completion(status.ok());
-                       open.done();
+                       open.markEnded();
                    });
         };
         result.ok = co_await completionOf(start);
--- a/libs/transport/src/PeerServer.cpp
+++ b/libs/transport/src/PeerServer.cpp
@@ -37,12 +37,12 @@
         });
     }
 
-    bool gone() const override
+    bool isDisconnected() const override
     {
         return this->cancelled;
     }
 
-    void whenGone(std::function<void()> handler) override
+    void onDisconnect(std::function<void()> handler) override
     {
         const std::lock_guard guard(this->mutex);
         if (this->cancelled)
@@ -95,7 +95,7 @@
                                std::uint64_t call)
 {
     co_await handlers.run(std::move(request), reactor);
-    if (calls.take(call))
+    if (calls.claimEnd(call))
         reactor->finish(grpc::Status::OK);
 }
 
@@ -105,7 +105,7 @@
 {
     v1::PeerNewsReply answer = co_await handlers.tell(std::move(news));
     // A shutdown has ended the call already; `reply` must not be used any more.
-    if (!calls.take(call))
+    if (!calls.claimEnd(call))
         co_return;
     *reply = std::move(answer);
     reactor->Finish(grpc::Status::OK);
@@ -175,7 +175,7 @@
 };
 
 constexpr int maxMessageBytes = 64 * 1024 * 1024;
-constexpr auto shutdownPatience = std::chrono::seconds(1);
+constexpr auto serverShutdownTimeout = std::chrono::seconds(1);
 
 } // namespace
 
@@ -209,7 +209,7 @@
 PeerServer::~PeerServer()
 {
     this->impl->service.calls.endAll();
-    this->impl->server->Shutdown(std::chrono::system_clock::now() + shutdownPatience);
+    this->impl->server->Shutdown(std::chrono::system_clock::now() + serverShutdownTimeout);
 }
 
 std::uint16_t PeerServer::port() const noexcept
--- a/libs/transport/tests/OpenCalls.cpp
+++ b/libs/transport/tests/OpenCalls.cpp
@@ -17,8 +17,8 @@
     int ended = 0;
     const std::uint64_t late = calls.add([&ended] { ++ended; });
     cr_assert_eq(ended, 1);
-    cr_assert(!calls.take(late), "an ended call must not be ended again");
-    calls.done();
+    cr_assert(!calls.claimEnd(late), "an ended call must not be ended again");
+    calls.markEnded();
     calls.waitAll();
 }
 
