--- a/libs/gateway/src/ActiveCall.cpp
+++ b/libs/gateway/src/ActiveCall.cpp
@@ -182,7 +182,7 @@
     reply.body = problem.dump();
     const bool refused = answer.status == 503 || answer.status == 429;
     logEvent(refused ? EventId::CallRefused : EventId::CallFailed,
-             {{"call", call.facts.attemptId},
+             {{"call", call.metadata.attemptId},
               {"status", std::to_string(answer.status)},
               {"reason", answer.reason},
               {"route", call.route != nullptr ? call.route->name : call.host + call.path},
--- a/libs/gateway/src/ActiveCall.h
+++ b/libs/gateway/src/ActiveCall.h
@@ -39,7 +39,7 @@
     std::shared_ptr<HttpRequest> request; ///< shared with a write that may outlive an attempt
     std::string host;
     std::string path;
-    CallMetadata facts;
+    CallMetadata metadata;
     std::shared_ptr<const RouteTable> routes;
     const Route *route = nullptr;
     std::string service;
--- a/libs/gateway/src/CallAnswer.cpp
+++ b/libs/gateway/src/CallAnswer.cpp
@@ -46,17 +46,17 @@
                                                       : AttemptResult::Unverified;
 }
 
-asio::awaitable<AttemptResult> passStream(ActiveCall &call, CallerStream &relay,
+asio::awaitable<AttemptResult> passStream(ActiveCall &call, CallerStream &callerStream,
                                           TargetExchange &exchange,
                                           const std::function<void()> &onPiece)
 {
-    relay.restart();
+    callerStream.restart();
     std::string piece;
     while (true) {
         const BodyRead end = co_await exchange.read(piece);
         if (!piece.empty()) {
             onPiece();
-            const bool passed = co_await relay.pass(exchange, std::move(piece));
+            const bool passed = co_await callerStream.pass(exchange, std::move(piece));
             if (!passed) {
                 exchange.abandon();
                 call.closeConnection = true;
@@ -68,14 +68,14 @@
         if (end == BodyRead::Some)
             continue;
         call.bodyDelimiter = exchange.bodyDelimiter();
-        call.trailingBytes = relay.trailingBytes();
-        co_return co_await relay.finish(exchange);
+        call.trailingBytes = callerStream.trailingBytes();
+        co_return co_await callerStream.finish(exchange);
     }
 }
 
 } // namespace
 
-std::shared_ptr<HttpRequest> requestFor(const ActiveCall &call, const SendMetadata &facts)
+std::shared_ptr<HttpRequest> requestFor(const ActiveCall &call, const SendMetadata &metadata)
 {
     auto request = std::make_shared<HttpRequest>();
     request->version(11);
@@ -83,23 +83,23 @@
     request->target(call.request->target());
     for (const HttpHeader &header : endToEndHeaders(*call.request))
         request->insert(header.name, header.value);
-    call.node.platform->writeSendMetadata(*request, facts);
+    call.node.platform->writeSendMetadata(*request, metadata);
     request->body() = call.request->body();
     if (hasBody(call))
         request->content_length(request->body().size());
     return request;
 }
 
-SendMetadata sendFactsOf(const ActiveCall &call, const CallAnswer &answer)
+SendMetadata sendMetadataOf(const ActiveCall &call, const CallAnswer &answer)
 {
-    SendMetadata facts;
-    facts.workspace = call.workspace;
-    if (call.facts.timeLeft)
-        facts.timeLeft = std::max(timeLeft(call) - deadlineMargin, Duration::zero());
-    facts.expectedVersion = versionInForce(call.node, call.facts.adapter);
-    facts.urgency = priorityOf(call);
-    facts.resumeAfter = answer.callerStream.lastId();
-    return facts;
+    SendMetadata metadata;
+    metadata.workspace = call.workspace;
+    if (call.metadata.timeLeft)
+        metadata.timeLeft = std::max(timeLeft(call) - deadlineMargin, Duration::zero());
+    metadata.expectedVersion = versionInForce(call.node, call.metadata.adapter);
+    metadata.urgency = priorityOf(call);
+    metadata.resumeAfter = answer.callerStream.lastId();
+    return metadata;
 }
 
 void recordAttempt(ActiveCall &call)
@@ -140,7 +140,7 @@
     if (answer.callerStream.started()) {
         answer.callerStream.cut();
         logEvent(EventId::StreamCut,
-                 {{"call", call.facts.attemptId},
+                 {{"call", call.metadata.attemptId},
                   {"timedOut", call.timedOut ? "yes" : "no"},
                   {"sends", std::to_string(call.attempts)}});
         co_return;
--- a/libs/gateway/src/CallAnswer.h
+++ b/libs/gateway/src/CallAnswer.h
@@ -28,11 +28,11 @@
     LocalReply refusal;
 };
 
-/** The request to a target or to another VM: the caller's, with `facts` in its headers. */
-std::shared_ptr<HttpRequest> requestFor(const ActiveCall &call, const SendMetadata &facts);
+/** The request to a target or to another VM: the caller's, with `metadata` in its headers. */
+std::shared_ptr<HttpRequest> requestFor(const ActiveCall &call, const SendMetadata &metadata);
 
 /** Metadata for the next attempt; the id of the target is left to set. */
-SendMetadata sendFactsOf(const ActiveCall &call, const CallAnswer &answer);
+SendMetadata sendMetadataOf(const ActiveCall &call, const CallAnswer &answer);
 
 /** Counts an attempt that is about to be sent to a target or another VM. */
 void recordAttempt(ActiveCall &call);
--- a/libs/gateway/src/CallListener.cpp
+++ b/libs/gateway/src/CallListener.cpp
@@ -120,9 +120,9 @@
 
 struct CallListener::Impl
 {
-    Impl(GatewayNode &node, ListenerKind origin)
+    Impl(GatewayNode &node, ListenerKind kind)
         : node(node)
-        , origin(origin)
+        , kind(kind)
         , acceptor(node.context)
     { }
 
@@ -184,13 +184,13 @@
 
     std::uint32_t addedHeaderBytes() const
     {
-        return this->origin == ListenerKind::Peers ? forwardedHeaderBytes : 0;
+        return this->kind == ListenerKind::Peers ? forwardedHeaderBytes : 0;
     }
 
     /** False if a forwarded call is refused; the other VM was sent the reason. */
     asio::awaitable<bool> admit(CallerConnection &connection, const RequestHead &head)
     {
-        if (this->origin == ListenerKind::Callers)
+        if (this->kind == ListenerKind::Callers)
             co_return true;
         const ForwardRefusal refusal = admitForwarded(this->node, readForwardedCall(head));
         if (refusal == ForwardRefusal::None)
@@ -232,7 +232,7 @@
             std::make_shared<ActiveCall>(this->node, connection.stream, std::move(request));
         call->host = hostOf(*call->request);
         call->path = std::string(call->request->target());
-        const int forwarded = this->origin == ListenerKind::Peers ? 1 : 0;
+        const int forwarded = this->kind == ListenerKind::Peers ? 1 : 0;
         if (forwarded > 0) {
             call->forwarded = readForwardedCall(*call->request);
             eraseForwardedCall(*call->request);
@@ -247,15 +247,15 @@
     }
 
     GatewayNode &node;
-    ListenerKind origin;
+    ListenerKind kind;
     tcp::acceptor acceptor;
     std::unordered_set<CallerConnection *> open;
     bool stopping = false;
     bool closing = false;
 };
 
-CallListener::CallListener(GatewayNode &node, const Endpoint &address, ListenerKind origin)
-    : impl(std::make_shared<Impl>(node, origin))
+CallListener::CallListener(GatewayNode &node, const Endpoint &address, ListenerKind kind)
+    : impl(std::make_shared<Impl>(node, kind))
 {
     const tcp::endpoint listenAddress(asio::ip::make_address(address.address), address.port);
     this->impl->acceptor.open(listenAddress.protocol());
--- a/libs/gateway/src/CallListener.h
+++ b/libs/gateway/src/CallListener.h
@@ -15,7 +15,7 @@
 {
 public:
     /** Throws std::system_error if the address cannot be listened on. */
-    CallListener(GatewayNode &node, const Endpoint &address, ListenerKind origin);
+    CallListener(GatewayNode &node, const Endpoint &address, ListenerKind kind);
     ~CallListener();
 
     CallListener(const CallListener &) = delete;
--- a/libs/gateway/src/CallPlacement.cpp
+++ b/libs/gateway/src/CallPlacement.cpp
@@ -81,10 +81,10 @@
 {
     if (!call.node.settings.placement.awaitLoads)
         return -1;
-    if (call.facts.adapter.empty() || wasDeclined(call, target))
+    if (call.metadata.adapter.empty() || wasDeclined(call, target))
         return -1;
     const auto incoming =
-        loadUnderWay(call.node, target, call.facts.adapter, fromSeconds(loadMs / 1000));
+        loadUnderWay(call.node, target, call.metadata.adapter, fromSeconds(loadMs / 1000));
     return incoming ? 1000 * toSeconds(*incoming) : -1;
 }
 
@@ -165,10 +165,11 @@
         view.shortObjectiveRuns = usage.shortObjectiveRuns;
         view.cachedTokens = cachedInEngine(call, entry, usage, spec.engine->kvTokens);
         view.usable = isUsable(node, entry.id, usage, now);
-        view.hasModel = runtime.models.count(call.facts.model) > 0;
+        view.hasModel = runtime.models.count(call.metadata.model) > 0;
         const EngineRecord *record = node.shared.engines.find(entry.id);
         view.warm = record != nullptr
-            && hasHostCopy(runtime.copies, call.facts.adapter, HostRetention{record->copiesKept});
+            && hasHostCopy(runtime.copies, call.metadata.adapter,
+                           HostRetention{record->copiesKept});
         view.loadMs = record == nullptr ? 0 : view.warm ? record->copyMs : record->fetchMs;
         view.fetchMs = record == nullptr ? 0 : record->fetchMs;
         view.incomingMs = incomingMs(call, entry.id, view.loadMs);
@@ -208,16 +209,16 @@
     GatewayNode &node = call.node;
     if (call.prefixes.empty())
         call.prefixes =
-            promptPrefixes(call.facts.adapter, call.facts.prompt, call.facts.promptTokens);
+            promptPrefixes(call.metadata.adapter, call.metadata.prompt, call.metadata.promptTokens);
     EngineNeed need;
-    need.adapter = call.facts.adapter;
+    need.adapter = call.metadata.adapter;
     need.version = versionInForce(node, need.adapter);
-    need.promptTokens = call.facts.promptTokens;
-    need.outputTokens = call.facts.maxOutputTokens;
+    need.promptTokens = call.metadata.promptTokens;
+    need.outputTokens = call.metadata.maxOutputTokens;
     need.objectives.firstEventMs = 1000 * toSeconds(call.route->latencyObjective);
     need.objectives.pauseMs = 1000 * toSeconds(call.route->gapObjective);
-    if (const auto quickest = shortestObjective(call))
-        need.shortestObjectiveMs = 1000 * toSeconds(*quickest);
+    if (const auto shortest = shortestObjective(call))
+        need.shortestObjectiveMs = 1000 * toSeconds(*shortest);
     startCapacityWait(call);
     Placement placement;
     while (!call.cancelled()) {
@@ -231,11 +232,11 @@
             co_return placement;
         }
         if (BootClock::now() >= call.capacityWait.deadline && choice.step != EngineStep::Send) {
-            const bool anyOrderable =
+            const bool anyCommandable =
                 std::any_of(views.begin(), views.end(), [&node](const EngineView &view) {
                     return view.usable && canCommand(node, view.id);
                 });
-            placement.refusal = anyOrderable
+            placement.refusal = anyCommandable
                 ? refuseForCapacity(call, "no engine has room")
                 : makeLocalReply(503, "no engine has a reachable lease holder", longRetryAfter);
             co_return placement;
@@ -267,7 +268,7 @@
             limits.whole = timeLeft(call);
             limits.begin = beginWaitLimit(call);
             limits.rank = call.route->priority;
-            const bool loaded = co_await requestLoad(node, id, call.facts.model, need.adapter,
+            const bool loaded = co_await requestLoad(node, id, call.metadata.model, need.adapter,
                                                      need.version, missed, limits);
             if (missed)
                 call.adapterMissingAt.clear();
@@ -347,11 +348,11 @@
     : call(call)
     , target(target)
     , runtime(runtimeOf(call.node, target))
-    , adapter(call.facts.adapter)
+    , adapter(call.metadata.adapter)
     , prompt(call, target, BootClock::now())
-    , waiting(call.facts.promptTokens - call.cachedTokens)
-    , held(call.facts.promptTokens + call.facts.maxOutputTokens)
-    , quick(shortestObjective(call) == call.route->latencyObjective ? 1 : 0)
+    , waiting(call.metadata.promptTokens - call.cachedTokens)
+    , held(call.metadata.promptTokens + call.metadata.maxOutputTokens)
+    , shortObjectiveRuns(shortestObjective(call) == call.route->latencyObjective ? 1 : 0)
     , waitingBefore(
           call.node.settings.placement.forecast ? totalLoad(call.node, target).waitingTokens : 0)
     , sentAt(BootClock::now())
@@ -359,7 +360,7 @@
     this->runtime.ownUsage.runs += 1;
     this->runtime.ownUsage.waitingTokens += this->waiting;
     this->runtime.ownUsage.heldTokens += this->held;
-    this->runtime.ownUsage.shortObjectiveRuns += this->quick;
+    this->runtime.ownUsage.shortObjectiveRuns += this->shortObjectiveRuns;
     if (this->adapter.empty())
         return;
     if (++this->runtime.ownAdapterRuns[this->adapter] == 1)
@@ -371,7 +372,7 @@
     this->runtime.ownUsage.waitingTokens -= this->waiting;
     this->runtime.ownUsage.runs -= 1;
     this->runtime.ownUsage.heldTokens -= this->held;
-    this->runtime.ownUsage.shortObjectiveRuns -= this->quick;
+    this->runtime.ownUsage.shortObjectiveRuns -= this->shortObjectiveRuns;
     if (this->adapter.empty())
         return;
     const auto runs = this->runtime.ownAdapterRuns.find(this->adapter);
--- a/libs/gateway/src/CallPlacement.h
+++ b/libs/gateway/src/CallPlacement.h
@@ -39,7 +39,7 @@
     double waiting;
     bool firstEventSeen = false;
     double held;
-    int quick; ///< 1 for a call of a route with the shortest objective
+    int shortObjectiveRuns; ///< 1 for a call of a route with the shortest objective
     double waitingBefore; ///< tokens of other calls that waited there, as far as known
     Instant sentAt;
 };
--- a/libs/gateway/src/CallServing.cpp
+++ b/libs/gateway/src/CallServing.cpp
@@ -40,7 +40,7 @@
                  {{"target", target.id},
                   {"address", target.endpoint.text()},
                   {"outcome", std::to_string(static_cast<int>(outcome))},
-                  {"call", call.facts.attemptId}});
+                  {"call", call.metadata.attemptId}});
 }
 
 void recordAnswered(ActiveCall &call, const TargetEntry &target)
@@ -52,12 +52,12 @@
     if (call.bodyDelimiter == BodyDelimiter::CloseDelimited)
         call.node.metrics.add(Counter::AnswersUnproved);
     logEvent(EventId::CallAnswered,
-             {{"call", call.facts.attemptId},
+             {{"call", call.metadata.attemptId},
               {"route", call.route->name},
-              {"adapter", call.facts.adapter},
+              {"adapter", call.metadata.adapter},
               {"target", target.id},
               {"software", target.software},
-              {"resumes", call.facts.resumes},
+              {"resumes", call.metadata.resumes},
               {"firstMs", millisText(first - call.arrivedAt)},
               {"wholeMs", millisText(now - call.arrivedAt)},
               {"placingMs", millisText(call.placementTime)},
@@ -66,7 +66,7 @@
               {"longestGapMs", millisText(call.longestGap)},
               {"loads", std::to_string(call.loads)},
               {"sends", std::to_string(call.attempts)},
-              {"promptTokens", std::to_string(static_cast<int>(call.facts.promptTokens))},
+              {"promptTokens", std::to_string(static_cast<int>(call.metadata.promptTokens))},
               {"cachedTokens", std::to_string(static_cast<int>(call.cachedTokens))},
               {"endShownBy", std::string(delimiterName(call.bodyDelimiter))},
               {"leftOver", std::to_string(call.trailingBytes)},
@@ -201,7 +201,7 @@
         const ServiceRetryBudget &budget = this->node.retryBudgets[this->call.service];
         const TargetUsage others = othersUsageAt(this->node, target);
         logEvent(EventId::CallBounced,
-                 {{"call", this->call.facts.attemptId},
+                 {{"call", this->call.metadata.attemptId},
                   {"target", target},
                   {"software", software},
                   {"end", std::to_string(static_cast<int>(end))},
@@ -243,7 +243,7 @@
     {
         // Counted from here on; else the engine's lease holder may reassign its slot meanwhile.
         InFlightGuard inFlight(this->call, target.id);
-        TargetExchange exchange(this->node, target, this->call.facts.attemptId);
+        TargetExchange exchange(this->node, target, this->call.metadata.attemptId);
         const bool connected = co_await exchange.connect();
         this->sendError = exchange.error();
         if (!connected) {
@@ -259,23 +259,23 @@
             this->answer.refusal = std::move(*keyRefusal);
             co_return AttemptResult::Refused;
         }
-        SendMetadata facts = sendFactsOf(this->call, this->answer);
-        facts.targetId = target.id;
+        SendMetadata metadata = sendMetadataOf(this->call, this->answer);
+        metadata.targetId = target.id;
         recordAttempt(this->call);
         const bool mayHaveRunBefore = this->call.mayHaveRun;
         this->call.mayHaveRun = true;
         if (mayHaveRunBefore)
             chargeQuotaAgain(this->call);
         ++this->call.runsStarted;
-        const bool headReceived = co_await exchange.send(requestFor(this->call, facts));
+        const bool headReceived = co_await exchange.send(requestFor(this->call, metadata));
         this->sendError = exchange.error();
         if (!headReceived) {
             if (!this->call.cancelled())
                 this->recordBroken(exchange, target);
             co_return AttemptResult::Broken;
         }
-        applyAnswerHints(this->node, target.id, exchange.facts());
-        if (exchange.facts().notRun) {
+        applyAnswerHints(this->node, target.id, exchange.metadata());
+        if (exchange.metadata().notRun) {
             this->call.mayHaveRun = mayHaveRunBefore;
             if (mayHaveRunBefore)
                 refundQuota(this->call);
@@ -283,7 +283,7 @@
             co_await this->handleNotRun(exchange, target);
             co_return AttemptResult::NotRun;
         }
-        const bool inauthentic = exchange.status() < 300 && !exchange.facts().authentic;
+        const bool inauthentic = exchange.status() < 300 && !exchange.metadata().authentic;
         if (inauthentic) {
             exchange.abandon();
             recordResult(this->call, target, SendOutcome::Broken);
@@ -327,16 +327,16 @@
         const bool complete = co_await readFully(exchange, body);
         if (!complete)
             exchange.abandon();
-        const AnswerMetadata &facts = exchange.facts();
-        const bool otherTarget = !facts.answeredBy.empty() && facts.answeredBy != target.id;
-        if (facts.misdirected && otherTarget) {
+        const AnswerMetadata &metadata = exchange.metadata();
+        const bool otherTarget = !metadata.answeredBy.empty() && metadata.answeredBy != target.id;
+        if (metadata.misdirected && otherTarget) {
             // The address belongs to another target now; the target list will soon follow.
             recordResult(this->call, target, SendOutcome::Unreachable);
             co_return;
         }
-        if (facts.misdirected) {
-            runtimeOf(this->node, target.id).resident.erase(this->call.facts.adapter);
-            dropPrefixesOf(this->node, target.id, this->call.facts.adapter);
+        if (metadata.misdirected) {
+            runtimeOf(this->node, target.id).resident.erase(this->call.metadata.adapter);
+            dropPrefixesOf(this->node, target.id, this->call.metadata.adapter);
             this->call.adapterMissingAt = target.id;
             this->call.triedTargets.pop_back();
             co_return;
@@ -391,8 +391,8 @@
     if (call.forwarded)
         call.arrivedAt -= call.forwarded->waited;
     call.deadline = call.arrivedAt + call.route->timeout;
-    if (call.facts.timeLeft)
-        call.deadline = std::min(call.deadline, received + *call.facts.timeLeft);
+    if (call.metadata.timeLeft)
+        call.deadline = std::min(call.deadline, received + *call.metadata.timeLeft);
 }
 
 asio::awaitable<std::optional<LocalReply>> acceptFromCaller(ActiveCall &call)
@@ -433,8 +433,8 @@
 asio::awaitable<void> findRoute(ActiveCall &call)
 {
     GatewayNode &node = call.node;
-    const Duration allowedWait = call.facts.timeLeft
-        ? fromSeconds(newRouteWaitShare * toSeconds(*call.facts.timeLeft))
+    const Duration allowedWait = call.metadata.timeLeft
+        ? fromSeconds(newRouteWaitShare * toSeconds(*call.metadata.timeLeft))
         : maxNewRouteWait;
     const Instant limit = call.arrivedAt + std::min(maxNewRouteWait, allowedWait);
     call.route = call.routes->findRoute(call.host, call.path);
@@ -461,7 +461,7 @@
 asio::awaitable<void> serveCall(ActiveCallPtr call)
 {
     GatewayNode &node = call->node;
-    call->facts = node.platform->readCallMetadata(*call->request);
+    call->metadata = node.platform->readCallMetadata(*call->request);
     if (isStarting(node))
         co_await awaitStart(*call);
     call->routes = node.routes;
--- a/libs/gateway/src/CallerAuthentication.cpp
+++ b/libs/gateway/src/CallerAuthentication.cpp
@@ -64,10 +64,10 @@
     GatewayNode &node = call.node;
     if (call.route->unauthenticated || node.routes->config().workspaces.empty())
         co_return std::nullopt;
-    if (call.facts.callerKey.empty())
+    if (call.metadata.callerKey.empty())
         co_return makeLocalReply(401, "the call has no key, or more than one", Duration::zero());
-    call.key = digestOfKey(call.facts.callerKey);
-    call.facts.callerKey.clear();
+    call.key = digestOfKey(call.metadata.callerKey);
+    call.metadata.callerKey.clear();
     Instant seenAt{};
     if (workspaceOf(node.keys, *call.key) == nullptr) {
         seenAt = firstSeenAt(call);
--- a/libs/gateway/src/CallerStream.cpp
+++ b/libs/gateway/src/CallerStream.cpp
@@ -24,8 +24,8 @@
 CallerStream::CallerStream(ActiveCall &call)
     : call(call)
 {
-    if (call.facts.resumeAfter)
-        this->events.lastId = call.facts.resumeAfter;
+    if (call.metadata.resumeAfter)
+        this->events.lastId = call.metadata.resumeAfter;
 }
 
 bool CallerStream::started() const noexcept
--- a/libs/gateway/src/CapacityWaiting.cpp
+++ b/libs/gateway/src/CapacityWaiting.cpp
@@ -85,7 +85,8 @@
     for (WaitingCall &waitingCall : queue.calls) {
         if (waitingCall.adapterReady)
             continue;
-        const std::string &adapter = serviceWaiters.waiters.at(waitingCall.id).call->facts.adapter;
+        const std::string &adapter =
+            serviceWaiters.waiters.at(waitingCall.id).call->metadata.adapter;
         const auto held = runtime.resident.find(adapter);
         waitingCall.adapterReady = adapter.empty()
             || (held != runtime.resident.end() && held->second >= versionInForce(node, adapter))
@@ -130,12 +131,12 @@
 
 void startCapacityWait(ActiveCall &call)
 {
-    WaitLimitInputs facts;
-    facts.objective = call.route->latencyObjective;
-    facts.timeLeft = timeLeft(call);
-    facts.promptMs = call.facts.promptTokens / call.node.settings.weights.promptTokensPerMs;
-    facts.minObjective = call.routes->minObjective(call.service);
-    const WaitLimits limits = waitLimits(facts);
+    WaitLimitInputs inputs;
+    inputs.objective = call.route->latencyObjective;
+    inputs.timeLeft = timeLeft(call);
+    inputs.promptMs = call.metadata.promptTokens / call.node.settings.weights.promptTokensPerMs;
+    inputs.minObjective = call.routes->minObjective(call.service);
+    const WaitLimits limits = waitLimits(inputs);
     call.capacityWait = CapacityWait();
     call.prefillAsked.clear();
     call.capacityWait.since = BootClock::now();
--- a/libs/gateway/src/ConfigDecoding.cpp
+++ b/libs/gateway/src/ConfigDecoding.cpp
@@ -60,7 +60,8 @@
 
 // Decoding a document of 1 MB takes 0.3 s on a VM with an eighth of a core. On the gateway's thread
 // it would block callers and other VMs for all of that time.
-asio::awaitable<std::optional<DecodedConfig>> decodeAside(GatewayNode &node, ConfigDecode decode)
+asio::awaitable<std::optional<DecodedConfig>> decodeInBackground(GatewayNode &node,
+                                                                 ConfigDecode decode)
 {
     if (!node.decoding)
         co_return decode();
--- a/libs/gateway/src/ConfigDecoding.h
+++ b/libs/gateway/src/ConfigDecoding.h
@@ -30,6 +30,7 @@
 using ConfigDecode = std::function<std::optional<DecodedConfig>()>;
 
 /** Runs `decode` on the decoding thread, if the node has one, and on the calling thread if not. */
-asio::awaitable<std::optional<DecodedConfig>> decodeAside(GatewayNode &node, ConfigDecode decode);
+asio::awaitable<std::optional<DecodedConfig>> decodeInBackground(GatewayNode &node,
+                                                                 ConfigDecode decode);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/ConfigDownload.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -107,22 +107,22 @@
  */
 void abandonSource(GatewayNode &node, PeerState &peer, std::string_view why, Duration waited)
 {
-    ConfigDownload &reading = node.configDownload;
-    reading.redirectFailed = reading.redirectFailed || reading.expected != 0;
-    reading.expected = 0;
+    ConfigDownload &download = node.configDownload;
+    download.redirectFailed = download.redirectFailed || download.expected != 0;
+    download.expected = 0;
     recordReadFailure(node, peer, why, waited);
 }
 
 void applyDownloadedConfig(GatewayNode &node, const Endpoint &source,
                            std::optional<DecodedConfig> decoded, Instant readAt)
 {
-    ConfigDownload &reading = node.configDownload;
-    const PackedDocument read = std::move(reading.partial.packed);
-    const Duration took = readAt - reading.begunAt;
-    reading.partial = PartialDocument();
-    reading.expected = 0;
-    reading.redirectFailed = false;
-    reading.decoding = false;
+    ConfigDownload &download = node.configDownload;
+    const PackedDocument read = std::move(download.partial.packed);
+    const Duration took = readAt - download.begunAt;
+    download.partial = PartialDocument();
+    download.expected = 0;
+    download.redirectFailed = false;
+    download.decoding = false;
     node.configOffered.notifyAll();
     PeerState &peer = node.peers[source];
     const std::string from = "peer " + peer.name;
@@ -145,7 +145,7 @@
 asio::awaitable<void> decodeDownload(GatewayNode &node, Endpoint source, ConfigDecode decode)
 {
     const Instant readAt = BootClock::now();
-    std::optional<DecodedConfig> decoded = co_await decodeAside(node, std::move(decode));
+    std::optional<DecodedConfig> decoded = co_await decodeInBackground(node, std::move(decode));
     applyDownloadedConfig(node, source, std::move(decoded), readAt);
 }
 
@@ -153,10 +153,10 @@
 // read them.
 void startDecoding(GatewayNode &node, const Endpoint &source)
 {
-    ConfigDownload &reading = node.configDownload;
-    reading.decoding = true;
+    ConfigDownload &download = node.configDownload;
+    download.decoding = true;
     ConfigDecode decode = [platform = node.platform, base = node.config.newest,
-                           packed = reading.partial.packed] {
+                           packed = download.partial.packed] {
         return decodeConfig(*platform, base, packed);
     };
     if (node.decoding)
@@ -168,19 +168,19 @@
 /** Follows a redirect: the next part is requested from the VM that `answer` names. */
 void followRedirect(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
 {
-    ConfigDownload &reading = node.configDownload;
+    ConfigDownload &download = node.configDownload;
     const Endpoint other{answer.ask_address(), static_cast<std::uint16_t>(answer.ask_port())};
     addPeer(node, other, SharedVm());
     const auto found = node.peers.find(other);
     if (found == node.peers.end() || BootClock::now() < found->second.configRetryAt) {
-        reading.redirectFailed = true;
+        download.redirectFailed = true;
         return;
     }
     peer.configFailures = 0;
     recordConfigOffer(node, found->second, answer.version());
-    reading.source = other;
-    reading.expected = answer.version();
-    reading.lastProgressAt = BootClock::now();
+    download.source = other;
+    download.expected = answer.version();
+    download.lastProgressAt = BootClock::now();
 }
 
 /**
@@ -196,17 +196,17 @@
 asio::awaitable<void> downloadPart(GatewayNode &node, Endpoint source)
 {
     const Instant requestedAt = BootClock::now();
-    ConfigDownload &reading = node.configDownload;
-    if (reading.source != source) {
-        reading.source = source;
-        reading.expected = 0;
-        reading.lastProgressAt = requestedAt;
+    ConfigDownload &download = node.configDownload;
+    if (download.source != source) {
+        download.source = source;
+        download.expected = 0;
+        download.lastProgressAt = requestedAt;
     }
-    if (!isUsable(node, reading.partial.packed))
-        reading.partial = PartialDocument();
-    if (reading.partial.packed.bytes.empty() && reading.expected == 0) {
-        reading.begunAt = requestedAt;
-        reading.lastProgressAt = requestedAt;
+    if (!isUsable(node, download.partial.packed))
+        download.partial = PartialDocument();
+    if (download.partial.packed.bytes.empty() && download.expected == 0) {
+        download.begunAt = requestedAt;
+        download.lastProgressAt = requestedAt;
     }
     const auto answer =
         co_await node.peerLinks.readConfig(source, nextConfigRequest(node), partTimeout);
@@ -214,11 +214,11 @@
     if (found == node.peers.end())
         co_return;
     if (!answer) {
-        shrinkParts(reading.partSize);
+        shrinkParts(download.partSize);
         abandonSource(node, found->second, "no answer", BootClock::now() - requestedAt);
         co_return;
     }
-    growParts(reading.partSize);
+    growParts(download.partSize);
     applyConfigPart(node, found->second, *answer);
     const bool waits = answer->bytes().empty() && answer->ask_address().empty();
     if (waits)
@@ -318,26 +318,26 @@
 
 v1::ConfigRequest nextConfigRequest(const GatewayNode &node)
 {
-    const ConfigDownload &reading = node.configDownload;
+    const ConfigDownload &download = node.configDownload;
     v1::ConfigRequest request;
-    request.set_version(reading.partial.packed.version);
-    request.set_digest(reading.partial.packed.digest);
-    request.set_offset(reading.partial.packed.bytes.size());
+    request.set_version(download.partial.packed.version);
+    request.set_digest(download.partial.packed.digest);
+    request.set_offset(download.partial.packed.bytes.size());
     encodeSelf(node, *request.mutable_from());
     request.set_base_digest(node.config.newest.digest);
-    request.set_expected(reading.expected);
-    request.set_only_here(reading.redirectFailed);
-    request.set_most_bytes(static_cast<std::uint32_t>(reading.partSize.nextBytes));
+    request.set_expected(download.expected);
+    request.set_only_here(download.redirectFailed);
+    request.set_most_bytes(static_cast<std::uint32_t>(download.partSize.nextBytes));
     return request;
 }
 
 void applyConfigPart(GatewayNode &node, PeerState &peer, const v1::ConfigPart &answer)
 {
-    ConfigDownload &reading = node.configDownload;
+    ConfigDownload &download = node.configDownload;
     // A VM that has restarted may have an older configuration than the one it reported before.
     if (!mayReplace(node.routes->config().version, answer.version())) {
-        reading.redirectFailed = reading.redirectFailed || reading.expected != 0;
-        reading.expected = 0;
+        download.redirectFailed = download.redirectFailed || download.expected != 0;
+        download.expected = 0;
         peer.configVersion = answer.version();
         return;
     }
@@ -346,24 +346,24 @@
         return;
     }
     const Instant now = BootClock::now();
-    const PartOutcome outcome = appendPart(reading.partial, decodePart(answer));
-    if (outcome == PartOutcome::Whole && !isUsable(node, reading.partial.packed)) {
-        reading.partial = PartialDocument();
+    const PartOutcome outcome = appendPart(download.partial, decodePart(answer));
+    if (outcome == PartOutcome::Whole && !isUsable(node, download.partial.packed)) {
+        download.partial = PartialDocument();
         return;
     }
     switch (outcome) {
     case PartOutcome::More:
         peer.configFailures = 0;
-        reading.lastProgressAt = now;
+        download.lastProgressAt = now;
         return;
     case PartOutcome::Whole:
         peer.configFailures = 0;
         startDecoding(node, peer.endpoint);
         return;
     case PartOutcome::Later:
-        if (now - reading.lastProgressAt > maxSourceStall)
+        if (now - download.lastProgressAt > maxSourceStall)
             abandonSource(node, peer, "it has received no further parts itself",
-                          now - reading.lastProgressAt);
+                          now - download.lastProgressAt);
         return;
     case PartOutcome::Useless:
         abandonSource(node, peer, "its part does not continue where the last one ended", {});
--- a/libs/gateway/src/ConfigReaders.cpp
+++ b/libs/gateway/src/ConfigReaders.cpp
@@ -31,13 +31,13 @@
 }
 
 /** Another reader of the asker's zone, active or done; nothing if there is none. */
-std::optional<Endpoint> nextRedirectTarget(ConfigReaders &readers, const ConfigPartRequest &ask,
+std::optional<Endpoint> nextRedirectTarget(ConfigReaders &readers, const ConfigPartRequest &request,
                                            Instant now)
 {
     for (std::size_t tried = 0; tried < readers.served.size(); ++tried) {
         const ConfigReader &next = readers.served[readers.nextRedirect % readers.served.size()];
         ++readers.nextRedirect;
-        const bool isOther = next.vm != ask.reader && next.zone == ask.zone;
+        const bool isOther = next.vm != request.reader && next.zone == request.zone;
         if (isOther && (next.done || isActive(next, now)))
             return next.vm;
     }
@@ -46,32 +46,33 @@
 
 } // namespace
 
-std::optional<Endpoint> redirectFor(ConfigReaders &readers, const ConfigPartRequest &ask,
+std::optional<Endpoint> redirectFor(ConfigReaders &readers, const ConfigPartRequest &request,
                                     Instant now)
 {
-    if (readers.version != ask.version) {
+    if (readers.version != request.version) {
         readers = ConfigReaders();
-        readers.version = ask.version;
+        readers.version = request.version;
     }
-    ConfigReader *const known = find(readers, ask.reader);
+    ConfigReader *const known = find(readers, request.reader);
     const bool isServed = known != nullptr && isActive(*known, now);
-    if (!isServed && !ask.noRedirect && activeReaders(readers, now) >= maxActiveReaders) {
-        std::optional<Endpoint> other = nextRedirectTarget(readers, ask, now);
+    if (!isServed && !request.noRedirect && activeReaders(readers, now) >= maxActiveReaders) {
+        std::optional<Endpoint> other = nextRedirectTarget(readers, request, now);
         if (other)
             return other;
     }
     if (known == nullptr)
-        readers.served.push_back({ask.reader, ask.zone, now, false});
+        readers.served.push_back({request.reader, request.zone, now, false});
     else
-        *known = {ask.reader, ask.zone, now, false};
+        *known = {request.reader, request.zone, now, false};
     return std::nullopt;
 }
 
-void recordPartSent(ConfigReaders &readers, const ConfigPartRequest &ask, bool last, Instant now)
+void recordPartSent(ConfigReaders &readers, const ConfigPartRequest &request, bool last,
+                    Instant now)
 {
-    if (readers.version != ask.version)
+    if (readers.version != request.version)
         return;
-    ConfigReader *const known = find(readers, ask.reader);
+    ConfigReader *const known = find(readers, request.reader);
     if (known == nullptr)
         return;
     known->askedAt = now;
--- a/libs/gateway/src/ConfigReaders.h
+++ b/libs/gateway/src/ConfigReaders.h
@@ -51,10 +51,11 @@
  * The VM of its own zone that a reader is redirected to; nothing: it is served here, and recorded
  * in `readers`.
  */
-std::optional<Endpoint> redirectFor(ConfigReaders &readers, const ConfigPartRequest &ask,
+std::optional<Endpoint> redirectFor(ConfigReaders &readers, const ConfigPartRequest &request,
                                     Instant now);
 
 /** Records that a reader served here was sent a part; `last`: it has the whole document now. */
-void recordPartSent(ConfigReaders &readers, const ConfigPartRequest &ask, bool last, Instant now);
+void recordPartSent(ConfigReaders &readers, const ConfigPartRequest &request, bool last,
+                    Instant now);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/EngineCommands.cpp
+++ b/libs/gateway/src/EngineCommands.cpp
@@ -375,10 +375,10 @@
         }
         switch (choice.step) {
         case SchedulerStep::Ready: {
-            const Duration trial =
+            const Duration probeDelay =
                 probeCallDelay(held.scheduler, key, node.loadEstimator.times, now);
-            if (trial > Duration::zero()) {
-                co_await held.changed.wait(trial);
+            if (probeDelay > Duration::zero()) {
+                co_await held.changed.wait(probeDelay);
                 break;
             }
             recordPendingCall(held.scheduler, key, now);
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -114,7 +114,7 @@
         return decodeDocument(*platform, base, document);
     };
     const Instant readAt = BootClock::now();
-    std::optional<DecodedConfig> decoded = co_await decodeAside(node, std::move(decode));
+    std::optional<DecodedConfig> decoded = co_await decodeInBackground(node, std::move(decode));
     if (!decoded)
         co_return std::nullopt;
     const ServingConfig &config = decoded->routes->config();
--- a/libs/gateway/src/Gateway.cpp
+++ b/libs/gateway/src/Gateway.cpp
@@ -82,8 +82,8 @@
         handlers.leaseConfirmation = [this](const gateway::v1::WordRequest &request) {
             return answerLeaseConfirmation(this->node, request);
         };
-        handlers.reportUsage = [this](const gateway::v1::UseNote &note) {
-            return applyUsageReport(this->node, note);
+        handlers.reportUsage = [this](const gateway::v1::UseNote &report) {
+            return applyUsageReport(this->node, report);
         };
         handlers.load = [this](gateway::v1::LoadRequest request) {
             return performLoad(this->node, std::move(request));
@@ -91,8 +91,8 @@
         handlers.reservePrefill = [this](const gateway::v1::PrefillRequest &request) {
             return handlePrefillRequest(this->node, request);
         };
-        handlers.reportOrigins = [this](const gateway::v1::OriginNote &note) {
-            return handleOriginReport(this->node, note);
+        handlers.reportOrigins = [this](const gateway::v1::OriginNote &report) {
+            return handleOriginReport(this->node, report);
         };
         handlers.origin = [this](const gateway::v1::OriginRequest &request) {
             return handleOriginRequest(this->node, request);
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -116,7 +116,7 @@
     std::uint64_t boot = 0; ///< 0: nothing was received from it yet
     std::uint64_t sequence = 0; ///< of its newest report
     Instant addedAt{};
-    Instant lastHeardAt{}; ///< its latest report, request or answer; zero: none yet
+    Instant lastMessageAt{}; ///< its latest report, request or answer; zero: none yet
     Instant lastReportAt{}; ///< its newest report
     bool starting = false;
     bool stopping = false;
@@ -323,7 +323,7 @@
     int keysAwaited = 0; ///< calls with an unknown key that wait for a newer configuration
     std::unordered_map<std::string, UsageWindow> spending; ///< of this VM's calls, by workspace
     FleetSize fleet;
-    UsageSnapshotState spend;
+    UsageSnapshotState usageSnapshots;
     Signal configOffered; ///< a peer has a newer configuration
     SharedState shared;
     SharedPrefixes prefixes;
--- a/libs/gateway/src/GatewayPeers.cpp
+++ b/libs/gateway/src/GatewayPeers.cpp
@@ -54,10 +54,10 @@
         return this->answerAtOnce(call, request, word, this->handlers.leaseConfirmation);
     }
 
-    grpc::ServerUnaryReactor *NoteUse(grpc::CallbackServerContext *call, const v1::UseNote *note,
-                                      v1::UseNoted *noted) override
+    grpc::ServerUnaryReactor *NoteUse(grpc::CallbackServerContext *call, const v1::UseNote *report,
+                                      v1::UseNoted *reply) override
     {
-        return this->answerAtOnce(call, note, noted, this->handlers.reportUsage);
+        return this->answerAtOnce(call, report, reply, this->handlers.reportUsage);
     }
 
     grpc::ServerUnaryReactor *ReservePrefill(grpc::CallbackServerContext *call,
@@ -68,10 +68,10 @@
     }
 
     grpc::ServerUnaryReactor *NoteOrigins(grpc::CallbackServerContext *call,
-                                          const v1::OriginNote *note,
-                                          v1::OriginsNoted *noted) override
+                                          const v1::OriginNote *report,
+                                          v1::OriginsNoted *reply) override
     {
-        return this->answerAtOnce(call, note, noted, this->handlers.reportOrigins);
+        return this->answerAtOnce(call, report, reply, this->handlers.reportOrigins);
     }
 
     grpc::ServerUnaryReactor *AskOrigin(grpc::CallbackServerContext *call,
@@ -264,9 +264,9 @@
 }
 
 asio::awaitable<std::optional<v1::UseNoted>>
-GatewayPeers::reportUsage(Endpoint peer, v1::UseNote note, Duration timeout)
+GatewayPeers::reportUsage(Endpoint peer, v1::UseNote report, Duration timeout)
 {
-    auto shared = std::make_shared<const v1::UseNote>(std::move(note));
+    auto shared = std::make_shared<const v1::UseNote>(std::move(report));
     return this->impl->unary<v1::UseNote, v1::UseNoted>(
         std::move(peer), std::move(shared), timeout,
         [](v1::Gateway::Stub &stub, grpc::ClientContext &context, const v1::UseNote &request,
@@ -297,9 +297,9 @@
 }
 
 asio::awaitable<std::optional<v1::OriginsNoted>>
-GatewayPeers::reportOrigins(Endpoint peer, v1::OriginNote note, Duration timeout)
+GatewayPeers::reportOrigins(Endpoint peer, v1::OriginNote report, Duration timeout)
 {
-    auto shared = std::make_shared<const v1::OriginNote>(std::move(note));
+    auto shared = std::make_shared<const v1::OriginNote>(std::move(report));
     return this->impl->unary<v1::OriginNote, v1::OriginsNoted>(
         std::move(peer), std::move(shared), timeout,
         [](v1::Gateway::Stub &stub, grpc::ClientContext &context, const v1::OriginNote &request,
--- a/libs/gateway/src/GatewayPeers.h
+++ b/libs/gateway/src/GatewayPeers.h
@@ -55,7 +55,7 @@
     askLeaseConfirmation(Endpoint peer, gateway::v1::WordRequest request, Duration timeout);
 
     asio::awaitable<std::optional<gateway::v1::UseNoted>>
-    reportUsage(Endpoint peer, gateway::v1::UseNote note, Duration timeout);
+    reportUsage(Endpoint peer, gateway::v1::UseNote report, Duration timeout);
 
     asio::awaitable<std::optional<gateway::v1::LoadReply>>
     load(Endpoint peer, gateway::v1::LoadRequest request, Duration timeout);
@@ -64,7 +64,7 @@
     reservePrefill(Endpoint peer, gateway::v1::PrefillRequest request, Duration timeout);
 
     asio::awaitable<std::optional<gateway::v1::OriginsNoted>>
-    reportOrigins(Endpoint peer, gateway::v1::OriginNote note, Duration timeout);
+    reportOrigins(Endpoint peer, gateway::v1::OriginNote report, Duration timeout);
 
     asio::awaitable<std::optional<gateway::v1::OriginReply>>
     askOrigin(Endpoint peer, gateway::v1::OriginRequest request, Duration timeout);
--- a/libs/gateway/src/HarmfulCallTracking.cpp
+++ b/libs/gateway/src/HarmfulCallTracking.cpp
@@ -90,12 +90,12 @@
 }
 
 // Costs a call a single check while no target has crashed under any call.
-void recordCompletedCall(ActiveCall &activeCall)
+void recordCompletedCall(ActiveCall &call)
 {
-    GatewayNode &node = activeCall.node;
+    GatewayNode &node = call.node;
     if (node.harmful.suspectCalls.empty())
         return;
-    const CallIdentity identity = identityOf(activeCall);
+    const CallIdentity identity = identityOf(call);
     if (isSuspect(node.harmful, identity))
         addOwnEvidence(node, {std::string(), 0, {identity}, BootClock::now()});
 }
@@ -142,11 +142,11 @@
     evaluateEvidence(node);
 }
 
-const HarmfulCall *findHarmfulCall(const ActiveCall &activeCall)
+const HarmfulCall *findHarmfulCall(const ActiveCall &call)
 {
-    if (activeCall.node.harmful.calls.empty())
+    if (call.node.harmful.calls.empty())
         return nullptr;
-    return findHarmful(activeCall.node.harmful, identityOf(activeCall));
+    return findHarmful(call.node.harmful, identityOf(call));
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/HarmfulCallTracking.h
+++ b/libs/gateway/src/HarmfulCallTracking.h
@@ -13,7 +13,7 @@
 void recordTargetEnd(GatewayNode &node, const CallEvidence &evidence);
 
 /** Records that a target answered a call completely, as evidence for the call if it is suspect. */
-void recordCompletedCall(ActiveCall &activeCall);
+void recordCompletedCall(ActiveCall &call);
 
 /** Adds evidence of another VM; call evaluateEvidence() after the last of a batch. */
 void addReceivedEvidence(GatewayNode &node, std::uint64_t id, CallEvidence evidence);
@@ -25,6 +25,6 @@
 void pruneEvidence(GatewayNode &node, Instant now);
 
 /** The verdict on this call if it is harmful; null if it may be sent to a target. */
-const HarmfulCall *findHarmfulCall(const ActiveCall &activeCall);
+const HarmfulCall *findHarmfulCall(const ActiveCall &call);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -57,7 +57,7 @@
 
 bool isGone(const PeerState &peer)
 {
-    return BootClock::now() - std::max(peer.lastHeardAt, peer.leaseConfirmation.askedAt)
+    return BootClock::now() - std::max(peer.lastMessageAt, peer.leaseConfirmation.askedAt)
         > goneAfter;
 }
 
@@ -105,7 +105,7 @@
 {
     std::vector<PeerLeaseState> confirmations;
     for (const auto &[endpoint, peer] : node.peers) {
-        const bool zonePeer = peer.zone == node.settings.zone && peer.lastHeardAt != Instant{}
+        const bool zonePeer = peer.zone == node.settings.zone && peer.lastMessageAt != Instant{}
             && !peer.leftLeaseGroup;
         if (zonePeer && !isGone(peer))
             confirmations.push_back(peer.leaseConfirmation.confirmation);
@@ -289,7 +289,7 @@
     if (!confirmation || found == node.peers.end())
         co_return;
     PeerState &peer = found->second;
-    peer.lastHeardAt = BootClock::now();
+    peer.lastMessageAt = BootClock::now();
     peer.leftLeaseGroup = confirmation->left();
     // It is valid from the time of the request, as the answer may have been in transit for long.
     peer.leaseConfirmation.askedAt = requestedAt;
@@ -329,10 +329,10 @@
 
 v1::Word answerLeaseConfirmation(GatewayNode &node, const v1::WordRequest &request)
 {
-    const Endpoint asker = decodeEndpoint(request.from());
-    if (asker != node.settings.peers) {
-        addPeer(node, asker, decodeVm(request.from()));
-        node.peers[asker].lastHeardAt = BootClock::now();
+    const Endpoint requester = decodeEndpoint(request.from());
+    if (requester != node.settings.peers) {
+        addPeer(node, requester, decodeVm(request.from()));
+        node.peers[requester].lastMessageAt = BootClock::now();
     }
     v1::Word confirmation;
     encodeSelf(node, *confirmation.mutable_from());
--- a/libs/gateway/src/LostCalls.cpp
+++ b/libs/gateway/src/LostCalls.cpp
@@ -114,16 +114,16 @@
 
 } // namespace
 
-void recordLostCall(ActiveCall &run, const std::string &target)
+void recordLostCall(ActiveCall &call, const std::string &target)
 {
-    GatewayNode &node = run.node;
+    GatewayNode &node = call.node;
     TargetRuntime &runtime = runtimeOf(node, target);
     // A target that is shutting down ends soon whatever it runs.
     if (runtime.leaving)
         return;
     LostCalls &lost = runtime.lost;
     const Instant now = BootClock::now();
-    lost.calls.push_back({identityOf(run), now});
+    lost.calls.push_back({identityOf(call), now});
     while (lost.calls.size() > maxLostCalls || now - lost.calls.front().at > maxListDelay)
         lost.calls.pop_front();
     if (lost.checking)
--- a/libs/gateway/src/LostCalls.h
+++ b/libs/gateway/src/LostCalls.h
@@ -15,7 +15,7 @@
  */
 
 /** Records that the answer to a call broke off; the target may have ended. */
-void recordLostCall(ActiveCall &run, const std::string &target);
+void recordLostCall(ActiveCall &call, const std::string &target);
 
 /** Records that a target is gone from the list, or restarted at `nextStartTime`; 0: not known. */
 void recordEndByList(GatewayNode &node, const std::string &target, std::int64_t nextStartTime);
--- a/libs/gateway/src/PeerCodec.cpp
+++ b/libs/gateway/src/PeerCodec.cpp
@@ -29,14 +29,14 @@
 } // namespace
 
 void encodeVm(const std::string &name, const Endpoint &endpoint, std::uint64_t boot,
-              const SharedVm &fact, v1::Vm &vm)
+              const SharedVm &sharedVm, v1::Vm &vm)
 {
     vm.set_name(name);
     vm.set_address(endpoint.address);
     vm.set_port(endpoint.port);
     vm.set_boot(boot);
-    vm.set_zone(fact.zone);
-    vm.set_capacity(fact.capacity);
+    vm.set_zone(sharedVm.zone);
+    vm.set_capacity(sharedVm.capacity);
 }
 
 void encodeSelf(const GatewayNode &node, v1::Vm &vm)
@@ -53,11 +53,11 @@
 
 SharedVm decodeVm(const v1::Vm &vm)
 {
-    SharedVm fact;
-    fact.name = vm.name();
-    fact.zone = vm.zone();
-    fact.capacity = vm.capacity();
-    return fact;
+    SharedVm sharedVm;
+    sharedVm.name = vm.name();
+    sharedVm.zone = vm.zone();
+    sharedVm.capacity = vm.capacity();
+    return sharedVm;
 }
 
 void encodeEngine(const std::string &target, const EngineRecord &record, v1::EngineState &state)
@@ -234,13 +234,13 @@
     return use;
 }
 
-void encodeTarget(const std::string &target, const SharedTarget &fact, v1::Target &message)
+void encodeTarget(const std::string &target, const SharedTarget &sharedTarget, v1::Target &message)
 {
     message.set_id(target);
-    message.set_gone(fact.gone);
-    if (fact.gone)
+    message.set_gone(sharedTarget.gone);
+    if (sharedTarget.gone)
         return;
-    const TargetEntry &entry = fact.entry;
+    const TargetEntry &entry = sharedTarget.entry;
     message.set_service(entry.service);
     message.set_address(entry.endpoint.address);
     message.set_port(entry.endpoint.port);
@@ -249,7 +249,7 @@
     message.set_leaving(entry.leaving);
     message.set_born(entry.startTime);
     message.set_software(entry.software);
-    message.set_lapsed(fact.expired);
+    message.set_lapsed(sharedTarget.expired);
     for (const std::string &model : entry.models)
         message.add_models(model);
     for (const HeldAdapter &held : entry.adapters) {
@@ -261,21 +261,22 @@
 
 SharedTarget decodeTarget(const v1::Target &message)
 {
-    SharedTarget fact;
-    fact.gone = message.gone();
-    fact.expired = message.lapsed();
-    fact.entry.id = message.id();
-    fact.entry.service = message.service();
-    fact.entry.endpoint = {message.address(), portOf(message.port())};
-    fact.entry.zone = message.zone();
-    fact.entry.slots = message.slots();
-    fact.entry.leaving = message.leaving();
-    fact.entry.startTime = message.born();
-    fact.entry.software = message.software();
-    fact.entry.models = std::vector<std::string>(message.models().begin(), message.models().end());
+    SharedTarget sharedTarget;
+    sharedTarget.gone = message.gone();
+    sharedTarget.expired = message.lapsed();
+    sharedTarget.entry.id = message.id();
+    sharedTarget.entry.service = message.service();
+    sharedTarget.entry.endpoint = {message.address(), portOf(message.port())};
+    sharedTarget.entry.zone = message.zone();
+    sharedTarget.entry.slots = message.slots();
+    sharedTarget.entry.leaving = message.leaving();
+    sharedTarget.entry.startTime = message.born();
+    sharedTarget.entry.software = message.software();
+    sharedTarget.entry.models =
+        std::vector<std::string>(message.models().begin(), message.models().end());
     for (const v1::Slot &slot : message.adapters())
-        fact.entry.adapters.push_back({slot.adapter(), slot.version()});
-    return fact;
+        sharedTarget.entry.adapters.push_back({slot.adapter(), slot.version()});
+    return sharedTarget;
 }
 
 void encodeRelease(const PartitionRelease &release, Instant now, v1::Released &message)
--- a/libs/gateway/src/PeerCodec.h
+++ b/libs/gateway/src/PeerCodec.h
@@ -11,7 +11,7 @@
 /** Conversion between types of the serving libraries and the messages between VMs. */
 
 void encodeVm(const std::string &name, const Endpoint &endpoint, std::uint64_t boot,
-              const SharedVm &fact, gateway::v1::Vm &vm);
+              const SharedVm &sharedVm, gateway::v1::Vm &vm);
 /** Encodes this VM itself. */
 void encodeSelf(const GatewayNode &node, gateway::v1::Vm &vm);
 Endpoint decodeEndpoint(const gateway::v1::Vm &vm);
@@ -45,7 +45,7 @@
 
 TargetUsage decodeUse(const gateway::v1::EngineUse &message);
 
-void encodeTarget(const std::string &target, const SharedTarget &fact,
+void encodeTarget(const std::string &target, const SharedTarget &sharedTarget,
                   gateway::v1::Target &message);
 SharedTarget decodeTarget(const gateway::v1::Target &message);
 
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -46,28 +46,28 @@
 /** Usage by this VM's calls in flight, and the busy slots of the engines that it holds. */
 TargetUsages ownUsages(GatewayNode &node)
 {
-    TargetUsages uses;
+    TargetUsages usages;
     const Instant now = BootClock::now();
     for (const auto &[target, runtime] : node.targets) {
-        TargetUsage use = runtime->ownUsage;
+        TargetUsage usage = runtime->ownUsage;
         if (!isObservationDoubtful(node, target))
-            addHealth(use, runtime->health, now);
-        use.busySlots = busySlots(node, target);
-        if (!isUnused(use))
-            uses[target] = use;
+            addHealth(usage, runtime->health, now);
+        usage.busySlots = busySlots(node, target);
+        if (!isUnused(usage))
+            usages[target] = usage;
     }
-    return uses;
+    return usages;
 }
 
 /** The total usage of this VM and of the zone peers that report to it. */
 TargetUsages zoneUsages(GatewayNode &node)
 {
-    TargetUsages uses = ownUsages(node);
+    TargetUsages usages = ownUsages(node);
     for (const auto &[reporter, report] : node.reported.reports) {
         if (!reporter.starts_with(zoneReporterPrefix))
-            addUsages(uses, report.targets);
+            addUsages(usages, report.targets);
     }
-    return uses;
+    return usages;
 }
 
 int ownVms(const GatewayNode &node)
@@ -150,11 +150,11 @@
     // with each report.
     const bool wholeZone = !zonePeer && !peer.zone.empty();
     report->set_vms(static_cast<std::uint32_t>(wholeZone ? zoneVms(node) : ownVms(node)));
-    for (const auto &[target, use] : wholeZone ? zoneUsages(node) : ownUsages(node))
-        encodeUse(target, use, *report->add_uses());
-    for (const auto &[workspace, use] :
+    for (const auto &[target, usage] : wholeZone ? zoneUsages(node) : ownUsages(node))
+        encodeUse(target, usage, *report->add_uses());
+    for (const auto &[workspace, usage] :
          wholeZone ? zoneWorkspaceUsage(node, now) : ownWorkspaceUsage(node, now))
-        encodeWorkspaceUse(workspace, use, *report->add_workspaces());
+        encodeWorkspaceUse(workspace, usage, *report->add_workspaces());
     fillUnitsByAge(node, wholeZone, *report);
     for (const auto &[target, entry] : node.shared.engines.all()) {
         const bool held =
@@ -190,13 +190,14 @@
             encodeEvidence(id, known.evidence, now, *report->add_evidence());
     });
     // The relay may have no other way to learn what a target reported only to this VM.
-    node.shared.targets.since(lastSent, [&](const std::string &target, const SharedTarget &fact) {
-        if (fact.gone || !fact.entry.leaving)
-            return;
-        v1::Target *leaving = report->add_leaving();
-        leaving->set_id(target);
-        leaving->set_born(fact.entry.startTime);
-    });
+    node.shared.targets.since(lastSent,
+                              [&](const std::string &target, const SharedTarget &sharedTarget) {
+                                  if (sharedTarget.gone || !sharedTarget.entry.leaving)
+                                      return;
+                                  v1::Target *leaving = report->add_leaving();
+                                  leaving->set_id(target);
+                                  leaving->set_born(sharedTarget.entry.startTime);
+                              });
     addReleases(node, now, *report->mutable_released());
     return report;
 }
@@ -209,19 +210,19 @@
     ++peer.failures;
 }
 
-void fillUsage(GatewayNode &node, const PeerState &asker, v1::Digest &digest)
+void fillUsage(GatewayNode &node, const PeerState &requester, v1::Digest &digest)
 {
     digest.set_carries_use(true);
-    TargetUsages others = usagesExcept(node.reported, asker.endpoint.text());
+    TargetUsages others = usagesExcept(node.reported, requester.endpoint.text());
     addUsages(others, node.relayState.others);
     addUsages(others, ownUsages(node));
-    for (const auto &[target, use] : others)
-        encodeUse(target, use, *digest.add_others());
+    for (const auto &[target, usage] : others)
+        encodeUse(target, usage, *digest.add_others());
     digest.set_vms(static_cast<std::uint32_t>(liveGateways(node)));
-    WorkspaceUses workspaces = workspacesExcept(node.reported, asker.endpoint.text());
+    WorkspaceUses workspaces = workspacesExcept(node.reported, requester.endpoint.text());
     addUsages(workspaces, ownWorkspaceUsage(node, BootClock::now()));
-    for (const auto &[workspace, use] : workspaces)
-        encodeWorkspaceUse(workspace, use, *digest.add_other_workspaces());
+    for (const auto &[workspace, usage] : workspaces)
+        encodeWorkspaceUse(workspace, usage, *digest.add_other_workspaces());
     digest.set_vms_in_touch(static_cast<std::uint32_t>(ownVms(node) + reportedVms(node.reported)));
 }
 
@@ -255,11 +256,11 @@
     peer.boot = boot;
 }
 
-bool mayHoldBeside(GatewayNode &node, const Endpoint &asker)
+bool isChosenHolder(GatewayNode &node, const Endpoint &requester)
 {
     const ZonePeers zone = zonePeersOf(node, node.settings.zone);
     for (const std::size_t index : chooseLeaseHolders(zone.candidates, holdersPerZone - 1)) {
-        if (zone.peers[index]->endpoint == asker)
+        if (zone.peers[index]->endpoint == requester)
             return true;
     }
     return false;
@@ -267,7 +268,7 @@
 
 } // namespace
 
-void addPeer(GatewayNode &node, const Endpoint &endpoint, const SharedVm &fact)
+void addPeer(GatewayNode &node, const Endpoint &endpoint, const SharedVm &vm)
 {
     if (endpoint == node.settings.peers)
         return;
@@ -275,12 +276,12 @@
     PeerState &peer = found->second;
     // Seeds are added before their zone is known. The zone has to be filled in later, as a VM that
     // starts during a network outage waits for confirmations from all VMs of its own zone.
-    if (!fact.zone.empty())
-        peer.zone = fact.zone;
-    if (!fact.name.empty())
-        peer.name = fact.name;
-    if (fact.capacity > 0)
-        peer.capacity = fact.capacity;
+    if (!vm.zone.empty())
+        peer.zone = vm.zone;
+    if (!vm.name.empty())
+        peer.name = vm.name;
+    if (vm.capacity > 0)
+        peer.capacity = vm.capacity;
     if (!peer.name.empty())
         node.shared.vms.set(endpoint, {peer.name, peer.zone, peer.capacity}, node.shared.counter);
     if (!added)
@@ -317,7 +318,7 @@
         logEvent(EventId::MemberAlive, {{"peer", peer.name}, {"at", endpoint.text()}});
     const Instant now = BootClock::now();
     peer.sequence = report.sequence();
-    peer.lastHeardAt = now;
+    peer.lastMessageAt = now;
     peer.failures = 0;
     peer.stopping = report.stopping();
     // These have to be read from reports, too: a relay sends no requests to zone peers that report
@@ -334,17 +335,17 @@
     const bool zonePeer = report.from().zone() == node.settings.zone;
     if (report.carries_use()) {
         peer.lastReportAt = now;
-        ReporterUsage uses;
-        uses.at = now;
-        uses.vms = static_cast<int>(report.vms());
+        ReporterUsage usages;
+        usages.at = now;
+        usages.vms = static_cast<int>(report.vms());
         for (const v1::EngineUse &message : report.uses())
-            uses.targets[message.target()] = decodeUse(message);
-        uses.workspaces = decodeWorkspaceUses(report.workspaces(), report.from());
-        uses.unitsByAge = decodeUnitsByAge(report);
+            usages.targets[message.target()] = decodeUse(message);
+        usages.workspaces = decodeWorkspaceUses(report.workspaces(), report.from());
+        usages.unitsByAge = decodeUnitsByAge(report);
         // A VM that is not a relay gets the usage of other zones from its relay; a second source
         // would count it twice.
         if (zonePeer || node.relaying)
-            applyReport(node.reported, reporterOf(node, report.from()), std::move(uses));
+            applyReport(node.reported, reporterOf(node, report.from()), std::move(usages));
     }
     std::set<std::string> unknown;
     for (const v1::EngineState &state : report.engines()) {
@@ -370,7 +371,7 @@
         addReleases(node, now, *digest.mutable_released());
     if (zonePeer && report.carries_use()) {
         fillUsage(node, peer, digest);
-        digest.set_may_hold(mayHoldBeside(node, endpoint));
+        digest.set_may_hold(isChosenHolder(node, endpoint));
         digest.set_linked_mates(static_cast<std::uint32_t>(linkedVms(node, endpoint)));
     }
     return digest;
@@ -398,7 +399,7 @@
     addPeer(node, endpoint, decodeVm(digest.from()));
     PeerState &peer = node.peers[endpoint];
     updateBoot(peer, digest.from().boot());
-    peer.lastHeardAt = now;
+    peer.lastMessageAt = now;
     peer.failures = 0;
     peer.starting = digest.starting();
     peer.stopping = digest.stopping();
--- a/libs/gateway/src/PeerExchange.h
+++ b/libs/gateway/src/PeerExchange.h
@@ -6,8 +6,8 @@
 
 namespace monsoonbay {
 
-/** Adds a peer, or updates what is known of it; empty fields of `fact` are not known. */
-void addPeer(GatewayNode &node, const Endpoint &endpoint, const SharedVm &fact);
+/** Adds a peer, or updates what is known of it; empty fields of `vm` are not known. */
+void addPeer(GatewayNode &node, const Endpoint &endpoint, const SharedVm &vm);
 
 /**
  * Builds this VM's report to a peer. `withUsage` adds usage of targets and limits: for a zone peer,
--- a/libs/gateway/src/PeerForwarding.cpp
+++ b/libs/gateway/src/PeerForwarding.cpp
@@ -97,7 +97,7 @@
 /** The request in chunks, so that the receiver cannot run it before all of it was sent. */
 std::shared_ptr<HttpRequest> buildOffer(const ActiveCall &call, const CallAnswer &answer)
 {
-    std::shared_ptr<HttpRequest> request = requestFor(call, sendFactsOf(call, answer));
+    std::shared_ptr<HttpRequest> request = requestFor(call, sendMetadataOf(call, answer));
     request->erase(http::field::content_length);
     request->chunked(true);
     request->set(http::field::expect, "100-continue");
@@ -132,7 +132,7 @@
     }
     const bool silent = end == OfferResult::NoReply;
     logEvent(EventId::CallForwarded,
-             {{"call", call.facts.attemptId},
+             {{"call", call.metadata.attemptId},
               {"service", call.service},
               {"why", areLinksLost(node, call.service) ? "links lost" : "targets not reached"},
               {"peer", peer.text()},
@@ -154,7 +154,7 @@
     const ForwardReport report = readForwardReport(exchange.head());
     call.runsStarted = std::max(call.runsStarted, report.runs);
     if (report.outcome == ForwardOutcome::FromTarget) {
-        const bool inauthentic = exchange.status() < 300 && !exchange.facts().authentic;
+        const bool inauthentic = exchange.status() < 300 && !exchange.metadata().authentic;
         if (inauthentic) {
             exchange.abandon();
             co_return AttemptResult::Broken;
@@ -198,7 +198,7 @@
         if (!peer)
             break;
         tried.push_back(*peer);
-        TargetExchange exchange(node, *peer, call.facts.attemptId);
+        TargetExchange exchange(node, *peer, call.metadata.attemptId);
         OfferResult end = OfferResult::NoReply;
         const bool connected = co_await exchange.connect();
         if (connected && !call.cancelled()) {
--- a/libs/gateway/src/PrefillReservation.cpp
+++ b/libs/gateway/src/PrefillReservation.cpp
@@ -30,7 +30,7 @@
 
 double tokensToPrefill(const ActiveCall &call, const EngineView &engine)
 {
-    return std::max(call.facts.promptTokens - engine.cachedTokens, 0.0);
+    return std::max(call.metadata.promptTokens - engine.cachedTokens, 0.0);
 }
 
 /** Tokens that may wait ahead of the call at this engine while there are others to ask. */
@@ -39,15 +39,15 @@
     const EngineWeights &weights = call.node.settings.weights;
     const Duration elapsed = BootClock::now() - call.arrivedAt;
     const double loadMs = step == PrefillStep::Load ? engine.loadMs : 0;
-    PrefillBudget bound;
-    bound.objectiveLeftMs =
+    PrefillBudget budget;
+    budget.objectiveLeftMs =
         1000 * (weights.onTimeShare * toSeconds(call.route->latencyObjective) - toSeconds(elapsed));
-    bound.ownTokens = tokensToPrefill(call, engine);
-    bound.otherMs = weights.runPenaltyMs * engine.runs + loadMs;
-    bound.tokensPerMs = weights.promptTokensPerMs;
+    budget.ownTokens = tokensToPrefill(call, engine);
+    budget.otherMs = weights.runPenaltyMs * engine.runs + loadMs;
+    budget.tokensPerMs = weights.promptTokensPerMs;
     // The engine goes on with its prefill while the adapter is loaded. Where all engines are late,
     // one that is no worse than it was believed to be is the best.
-    return std::max(waitShare * maxTokensAhead(bound) + loadMs * bound.tokensPerMs,
+    return std::max(waitShare * maxTokensAhead(budget) + loadMs * budget.tokensPerMs,
                     engine.waitingTokens);
 }
 
--- a/libs/gateway/src/PrefixSharing.cpp
+++ b/libs/gateway/src/PrefixSharing.cpp
@@ -22,15 +22,15 @@
 
 } // namespace
 
-double cachedInEngine(const ActiveCall &run, const TargetEntry &engine, const TargetUsage &use,
+double cachedInEngine(const ActiveCall &call, const TargetEntry &engine, const TargetUsage &use,
                       double kvTokens)
 {
-    if (run.prefixes.empty())
+    if (call.prefixes.empty())
         return 0;
-    PrefixIndex &index = run.node.prefixes.table;
+    PrefixIndex &index = call.node.prefixes.table;
     const std::uint64_t key = engineKey(engine.id, engine.startTime);
     evictToFit(index, key, prefixCacheCapacity(kvTokens, use.heldTokens));
-    return cachedPrefixTokens(index, key, run.prefixes);
+    return cachedPrefixTokens(index, key, call.prefixes);
 }
 
 void dropPrefixesOf(GatewayNode &node, const std::string &target, const std::string &adapter)
@@ -39,15 +39,15 @@
         forgetAdapter(node.prefixes.table, keyOf(node, target), prefixTagOf(adapter));
 }
 
-PrefillObservation::PrefillObservation(ActiveCall &run, const std::string &target, Instant now)
-    : run(run)
+PrefillObservation::PrefillObservation(ActiveCall &call, const std::string &target, Instant now)
+    : call(call)
 {
-    run.cachedTokens = 0;
-    if (run.prefixes.empty())
+    call.cachedTokens = 0;
+    if (call.prefixes.empty())
         return;
-    this->engine = keyOf(run.node, target);
-    run.cachedTokens = cachedPrefixTokens(run.node.prefixes.table, this->engine, run.prefixes);
-    this->aheadTokens = totalLoad(run.node, target).waitingTokens;
+    this->engine = keyOf(call.node, target);
+    call.cachedTokens = cachedPrefixTokens(call.node.prefixes.table, this->engine, call.prefixes);
+    this->aheadTokens = totalLoad(call.node, target).waitingTokens;
     this->begunAt = now;
     this->waiting = true;
 }
@@ -59,20 +59,20 @@
     if (!this->waiting)
         return;
     this->waiting = false;
-    GatewayNode &node = this->run.node;
-    FirstEventTiming trial;
-    trial.untilFirst = now - this->begunAt;
-    trial.promptTokens = this->run.facts.promptTokens;
-    trial.cachedPrefixTokens = this->run.cachedTokens;
-    trial.aheadTokens = this->aheadTokens;
-    if (indicatesCacheMiss(trial, node.settings.weights.promptTokensPerMs)) {
-        recordMissing(node.prefixes.table, this->engine, this->run.prefixes, now);
+    GatewayNode &node = this->call.node;
+    FirstEventTiming timing;
+    timing.untilFirst = now - this->begunAt;
+    timing.promptTokens = this->call.metadata.promptTokens;
+    timing.cachedPrefixTokens = this->call.cachedTokens;
+    timing.aheadTokens = this->aheadTokens;
+    if (indicatesCacheMiss(timing, node.settings.weights.promptTokensPerMs)) {
+        recordMissing(node.prefixes.table, this->engine, this->call.prefixes, now);
         node.metrics.add(Counter::PrefixesMissing);
         return;
     }
-    node.metrics.add(Counter::CachedTokens, static_cast<std::uint64_t>(trial.cachedPrefixTokens));
+    node.metrics.add(Counter::CachedTokens, static_cast<std::uint64_t>(timing.cachedPrefixTokens));
     for (const PromptPrefix &prefix :
-         recordRead(node.prefixes.table, this->engine, this->run.prefixes, now))
+         recordRead(node.prefixes.table, this->engine, this->call.prefixes, now))
         logPrefix(node.prefixes.log, {this->engine, prefix}, PrefixSource::Own, 0, now);
 }
 
--- a/libs/gateway/src/PrefixSharing.h
+++ b/libs/gateway/src/PrefixSharing.h
@@ -7,7 +7,7 @@
 namespace monsoonbay {
 
 /** Tokens of the call's prompt that an engine with `kvTokens` of KV cache is believed to hold. */
-double cachedInEngine(const ActiveCall &run, const TargetEntry &engine, const TargetUsage &use,
+double cachedInEngine(const ActiveCall &call, const TargetEntry &engine, const TargetUsage &use,
                       double kvTokens);
 
 /** Drops the prefixes of an adapter that an engine has unloaded or replaced. */
@@ -18,13 +18,13 @@
 {
 public:
     /** Sets the call's `cachedTokens`. */
-    PrefillObservation(ActiveCall &run, const std::string &target, Instant now);
+    PrefillObservation(ActiveCall &call, const std::string &target, Instant now);
 
     /** Call when the first event arrives, so prefill is done. Only the first call has an effect. */
     void recordFirstEvent(Instant now);
 
 private:
-    ActiveCall &run;
+    ActiveCall &call;
     std::uint64_t engine = 0;
     double aheadTokens = 0;
     Instant begunAt{};
--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -222,16 +222,16 @@
                 continue;
             const bool zonePeer = isZonePeer(node, peer);
             const bool silentReporter = node.relaying && zonePeer
-                && now - peer.lastReportAt > listWait && now - peer.lastHeardAt > reporterTimeout;
+                && now - peer.lastReportAt > listWait && now - peer.lastMessageAt > reporterTimeout;
             const bool failed =
                 peer.failures > 0 && (zonePeer ? ranksBefore(rankOf(peer), self) : node.relaying);
             // This VM remains a relay until the better-ranked one has started.
             const bool betterStarting = node.relaying && zonePeer && peer.starting
                 && ranksBefore(rankOf(peer), self)
-                && now - peer.lastHeardAt > zonePeerCheckInterval;
+                && now - peer.lastMessageAt > zonePeerCheckInterval;
             const bool maybeBack = zonePeer
                 && (peer.storeUnreachable || peer.stopping || peer.starting)
-                && now - peer.lastHeardAt > listWait;
+                && now - peer.lastMessageAt > listWait;
             if (silentReporter || failed || betterStarting || maybeBack)
                 due.push_back(endpoint);
         }
@@ -243,7 +243,7 @@
             spawn(node, "probe", extraExchange(node, endpoint, false));
         std::erase_if(node.peers, [now](const auto &entry) {
             const PeerState &peer = entry.second;
-            const Instant last = std::max(peer.lastHeardAt, peer.addedAt);
+            const Instant last = std::max(peer.lastMessageAt, peer.addedAt);
             return !peer.exchangeRunning && now - last > forgetAfter;
         });
         co_await pauseFor(node, zonePeerCheckInterval);
--- a/libs/gateway/src/SharedEngines.cpp
+++ b/libs/gateway/src/SharedEngines.cpp
@@ -167,7 +167,7 @@
     if (entry->zone != node.settings.zone)
         return node.reported.reports.count(zoneReporterName(entry->zone)) > 0;
     const auto peer = node.peers.find(record.holder);
-    return peer != node.peers.end() && now - peer->second.lastHeardAt < holderTimeout;
+    return peer != node.peers.end() && now - peer->second.lastMessageAt < holderTimeout;
 }
 
 } // namespace
--- a/libs/gateway/src/StateUpdates.cpp
+++ b/libs/gateway/src/StateUpdates.cpp
@@ -30,16 +30,16 @@
 constexpr Duration maxAnswerTransit = std::chrono::milliseconds(500);
 
 /** The last of the changes after `seen` that fits into one answer. */
-std::uint64_t lastChangeToSend(const SharedState &facts, std::uint64_t seen)
+std::uint64_t lastChangeToSend(const SharedState &state, std::uint64_t seen)
 {
     std::vector<std::uint64_t> numbers;
-    facts.engines.numbersSince(seen, numbers);
-    facts.targets.numbersSince(seen, numbers);
-    facts.adapterVersions.numbersSince(seen, numbers);
-    facts.vms.numbersSince(seen, numbers);
-    facts.evidence.numbersSince(seen, numbers);
+    state.engines.numbersSince(seen, numbers);
+    state.targets.numbersSince(seen, numbers);
+    state.adapterVersions.numbersSince(seen, numbers);
+    state.vms.numbersSince(seen, numbers);
+    state.evidence.numbersSince(seen, numbers);
     if (numbers.size() <= maxChangesPerAnswer)
-        return facts.counter.last;
+        return state.counter.last;
     const auto last = numbers.begin() + (maxChangesPerAnswer - 1);
     std::nth_element(numbers.begin(), last, numbers.end());
     return *last;
@@ -89,21 +89,22 @@
     const bool appliesList = !node.relaying || !node.storeUp;
     std::vector<TargetEntry> listed;
     for (const v1::Target &message : digest.targets()) {
-        SharedTarget fact = decodeTarget(message);
-        if (fact.gone) {
+        SharedTarget sharedTarget = decodeTarget(message);
+        if (sharedTarget.gone) {
             peer.fullSyncTargets.erase(message.id());
             if (appliesList)
                 dropTargetByPeer(node, message.id(), ownRelay);
             continue;
         }
-        if (fact.entry.leaving)
-            markLeavingByPeer(node, fact.entry.id, fact.entry.startTime);
+        if (sharedTarget.entry.leaving)
+            markLeavingByPeer(node, sharedTarget.entry.id, sharedTarget.entry.startTime);
         if (digest.complete())
-            peer.fullSyncTargets.insert(fact.entry.id);
+            peer.fullSyncTargets.insert(sharedTarget.entry.id);
         // This VM has dropped the target already, and the peer only waits whether it comes back.
-        const bool isDropped = fact.expired && wasRemoved(node.targetTable, fact.entry.id);
+        const bool isDropped =
+            sharedTarget.expired && wasRemoved(node.targetTable, sharedTarget.entry.id);
         if (appliesList && !isDropped)
-            listed.push_back(std::move(fact.entry));
+            listed.push_back(std::move(sharedTarget.entry));
     }
     if (!appliesList)
         return;
@@ -147,8 +148,8 @@
     node.shared.engines.between(
         seen, through,
         [&](const std::string &target, const EngineRecord &) { addEngine(target, known); });
-    node.shared.vms.between(seen, through, [&](const Endpoint &known, const SharedVm &fact) {
-        encodeVm(fact.name, known, 0, fact, *digest.add_known());
+    node.shared.vms.between(seen, through, [&](const Endpoint &known, const SharedVm &sharedVm) {
+        encodeVm(sharedVm.name, known, 0, sharedVm, *digest.add_known());
     });
     node.shared.adapterVersions.between(seen, through,
                                         [&](const std::string &adapter, std::int64_t version) {
@@ -157,10 +158,10 @@
                                             message->set_version(version);
                                         });
     node.shared.targets.between(seen, through,
-                                [&](const std::string &target, const SharedTarget &fact) {
-                                    const bool neverSent = isFirstSync && fact.gone;
+                                [&](const std::string &target, const SharedTarget &sharedTarget) {
+                                    const bool neverSent = isFirstSync && sharedTarget.gone;
                                     if (!neverSent)
-                                        encodeTarget(target, fact, *digest.add_targets());
+                                        encodeTarget(target, sharedTarget, *digest.add_targets());
                                 });
     const Instant now = BootClock::now();
     node.shared.evidence.between(seen, through, [&](std::uint64_t id, const KnownEvidence &known) {
--- a/libs/gateway/src/StreamResuming.cpp
+++ b/libs/gateway/src/StreamResuming.cpp
@@ -108,23 +108,23 @@
     std::vector<Endpoint> endpoints;
 };
 
-void addCandidate(ReplicaCandidates &choice, std::string name, Endpoint endpoint)
+void addCandidate(ReplicaCandidates &candidates, std::string name, Endpoint endpoint)
 {
-    choice.names.push_back(std::move(name));
-    choice.endpoints.push_back(std::move(endpoint));
+    candidates.names.push_back(std::move(name));
+    candidates.endpoints.push_back(std::move(endpoint));
 }
 
 /** All known VMs, reachable or not, as every VM has to choose among the same. */
 ReplicaCandidates candidatesOf(const GatewayNode &node, const std::optional<std::string> &zone)
 {
-    ReplicaCandidates choice;
-    addCandidate(choice, node.settings.vm, node.settings.peers);
+    ReplicaCandidates candidates;
+    addCandidate(candidates, node.settings.vm, node.settings.peers);
     for (const auto &[endpoint, peer] : node.peers) {
         const bool counts = !peer.name.empty() && (!zone || peer.zone == *zone);
         if (counts)
-            addCandidate(choice, peer.name, endpoint);
+            addCandidate(candidates, peer.name, endpoint);
     }
-    return choice;
+    return candidates;
 }
 
 /** The VMs that a stream's origin is reported to, or asked from. */
@@ -154,10 +154,10 @@
     ReplicaCandidates all;
 };
 
-asio::awaitable<void> reportToReplica(GatewayNode &node, Endpoint replica, v1::OriginNote note)
+asio::awaitable<void> reportToReplica(GatewayNode &node, Endpoint replica, v1::OriginNote report)
 {
     const auto recorded =
-        co_await node.peerLinks.reportOrigins(replica, std::move(note), reportTimeout);
+        co_await node.peerLinks.reportOrigins(replica, std::move(report), reportTimeout);
     static_cast<void>(recorded); // two other VMs store it
 }
 
@@ -185,19 +185,19 @@
     if (due.empty())
         return;
     const OriginReplicas replicas(node);
-    std::map<Endpoint, v1::OriginNote> notes;
+    std::map<Endpoint, v1::OriginNote> reports;
     for (const StreamId id : due) {
         const StreamOrigin &origin = node.resuming.origins.byId.at(id);
         for (const Endpoint &replica : replicas.of(id)) {
-            v1::StreamOrigin *reportedOrigin = notes[replica].add_origins();
+            v1::StreamOrigin *reportedOrigin = reports[replica].add_origins();
             reportedOrigin->set_stream(id);
             reportedOrigin->set_software(origin.software);
             reportedOrigin->set_left_ms(static_cast<std::uint32_t>(toMillis(origin.until - now)));
         }
     }
     node.metrics.add(Counter::StreamOriginsTold, due.size());
-    for (auto &[replica, note] : notes)
-        spawn(node, "tell keeper", reportToReplica(node, replica, std::move(note)));
+    for (auto &[replica, report] : reports)
+        spawn(node, "report stream origins", reportToReplica(node, replica, std::move(report)));
 }
 
 /** Answers so far of the VMs that were asked. */
@@ -213,37 +213,37 @@
 };
 
 asio::awaitable<void> askReplica(GatewayNode &node, Endpoint replica, v1::OriginRequest request,
-                                 std::shared_ptr<OriginQuery> ask)
+                                 std::shared_ptr<OriginQuery> query)
 {
     const auto reply = co_await node.peerLinks.askOrigin(replica, std::move(request), askTimeout);
-    --ask->open;
+    --query->open;
     if (reply && reply->known())
-        ask->software = reply->software();
-    ask->answered.notifyAll();
+        query->software = reply->software();
+    query->answered.notifyAll();
 }
 
 asio::awaitable<std::optional<std::string>> askReplicas(GatewayNode &node, StreamId id,
                                                         std::string service)
 {
-    const auto ask = std::make_shared<OriginQuery>(node.context);
+    const auto query = std::make_shared<OriginQuery>(node.context);
     for (const Endpoint &replica : OriginReplicas(node).of(id)) {
         v1::OriginRequest request;
         request.set_stream(id);
         request.set_service(service);
-        ++ask->open;
-        spawn(node, "ask keeper", askReplica(node, replica, std::move(request), ask));
+        ++query->open;
+        spawn(node, "ask for stream origin", askReplica(node, replica, std::move(request), query));
     }
     const Instant limit = BootClock::now() + askTimeout;
-    while (!ask->software && ask->open > 0 && BootClock::now() < limit)
-        co_await ask->answered.wait(limit - BootClock::now());
-    co_return ask->software;
+    while (!query->software && query->open > 0 && BootClock::now() < limit)
+        co_await query->answered.wait(limit - BootClock::now());
+    co_return query->software;
 }
 
 asio::awaitable<std::optional<FoundOrigin>> lookUpOrigin(ActiveCall &call)
 {
     GatewayNode &node = call.node;
     const Instant now = BootClock::now();
-    const StreamId id = streamIdOf(call.facts.resumes);
+    const StreamId id = streamIdOf(call.metadata.resumes);
     if (const auto recorded = originOf(node.resuming.origins, id, now))
         co_return FoundOrigin{*recorded, OriginSource::Recorded};
     checkVersions(node, now);
@@ -261,13 +261,13 @@
 void recordStreamStart(ActiveCall &call, const std::string &software)
 {
     call.origin = software;
-    if (!call.route->resumable || call.facts.attemptId.empty())
+    if (!call.route->resumable || call.metadata.attemptId.empty())
         return;
     GatewayNode &node = call.node;
     ResumeState &state = node.resuming;
     const Duration resumeTime =
-        std::max(call.route->timeout, call.facts.timeLeft.value_or(Duration()));
-    const StreamId id = streamIdOf(call.facts.attemptId);
+        std::max(call.route->timeout, call.metadata.timeLeft.value_or(Duration()));
+    const StreamId id = streamIdOf(call.metadata.attemptId);
     recordOrigin(state.origins, id,
                  {software, call.arrivedAt + std::min(resumeTime, maxResumeTime)},
                  BootClock::now());
@@ -281,14 +281,14 @@
 
 asio::awaitable<std::optional<LocalReply>> resolveStreamOrigin(ActiveCall &call)
 {
-    const bool resumesStream = call.facts.resumeAfter && call.route->resumable && !call.origin;
+    const bool resumesStream = call.metadata.resumeAfter && call.route->resumable && !call.origin;
     if (!resumesStream)
         co_return std::nullopt;
     const std::optional<FoundOrigin> found = co_await lookUpOrigin(call);
     logEvent(EventId::StreamTakenUp,
-             {{"call", call.facts.attemptId},
-              {"resumes", call.facts.resumes},
-              {"after", std::to_string(*call.facts.resumeAfter)},
+             {{"call", call.metadata.attemptId},
+              {"resumes", call.metadata.resumes},
+              {"after", std::to_string(*call.metadata.resumeAfter)},
               {"service", call.service},
               {"began", found ? found->software : ""},
               {"knownBy", found ? std::string(sourceName(found->source)) : "not known"}});
@@ -357,10 +357,10 @@
     }
 }
 
-v1::OriginsNoted handleOriginReport(GatewayNode &node, const v1::OriginNote &note)
+v1::OriginsNoted handleOriginReport(GatewayNode &node, const v1::OriginNote &report)
 {
     const Instant now = BootClock::now();
-    for (const v1::StreamOrigin &reportedOrigin : note.origins()) {
+    for (const v1::StreamOrigin &reportedOrigin : report.origins()) {
         const Duration left = std::chrono::milliseconds(reportedOrigin.left_ms());
         recordOrigin(node.resuming.origins, reportedOrigin.stream(),
                      {reportedOrigin.software(), now + std::min(left, maxResumeTime)}, now);
--- a/libs/gateway/src/StreamResuming.h
+++ b/libs/gateway/src/StreamResuming.h
@@ -41,7 +41,7 @@
 asio::awaitable<void> streamOriginLoop(GatewayNode &node);
 
 gateway::v1::OriginsNoted handleOriginReport(GatewayNode &node,
-                                             const gateway::v1::OriginNote &note);
+                                             const gateway::v1::OriginNote &report);
 gateway::v1::OriginReply handleOriginRequest(GatewayNode &node,
                                              const gateway::v1::OriginRequest &request);
 
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -133,9 +133,9 @@
     return this->parser->get();
 }
 
-const AnswerMetadata &TargetExchange::facts() const noexcept
+const AnswerMetadata &TargetExchange::metadata() const noexcept
 {
-    return this->answerFacts;
+    return this->answerMetadata;
 }
 
 asio::awaitable<bool> TargetExchange::connect()
@@ -203,8 +203,8 @@
         const bool read = co_await this->readHead();
         if (!read)
             co_return false;
-        const bool isOwn =
-            this->answerFacts.attemptId.empty() || this->answerFacts.attemptId == this->attemptId;
+        const bool isOwn = this->answerMetadata.attemptId.empty()
+            || this->answerMetadata.attemptId == this->attemptId;
         if (isOwn)
             co_return true;
         // A second answer to an earlier call on this connection: no call waits for it.
@@ -232,7 +232,7 @@
         this->lastError = error;
         co_return false;
     }
-    this->answerFacts =
+    this->answerMetadata =
         this->node.platform->readAnswerMetadata(this->status(), this->parser->get());
     co_return true;
 }
--- a/libs/gateway/src/TargetExchange.h
+++ b/libs/gateway/src/TargetExchange.h
@@ -72,7 +72,7 @@
 
     int status() const;
     const ResponseHead &head() const;
-    const AnswerMetadata &facts() const noexcept;
+    const AnswerMetadata &metadata() const noexcept;
     TargetConnectionPtr connection() const noexcept;
 
     /** The answer will not be read to its end; the connection is not reused. */
@@ -97,7 +97,7 @@
     std::shared_ptr<HttpRequest> offered;
     std::optional<Serializer> rest; ///< of the offered request
     std::optional<Parser> parser;
-    AnswerMetadata answerFacts;
+    AnswerMetadata answerMetadata;
     std::array<char, 8192> readBuffer{};
     bool complete = false;
     bool unusable = false;
--- a/libs/gateway/src/UsageSnapshotState.h
+++ b/libs/gateway/src/UsageSnapshotState.h
@@ -10,7 +10,7 @@
 {
     StartupSnapshots atStart;
     UsagePermits permits; ///< by the snapshots of this zone
-    UsageSnapshotWriter noting; ///< used while this VM writes them
+    UsageSnapshotWriter writer; ///< used while this VM writes them
     bool writes = false; ///< this VM writes the snapshots of its zone
 };
 
--- a/libs/gateway/src/UsageSnapshots.cpp
+++ b/libs/gateway/src/UsageSnapshots.cpp
@@ -58,7 +58,7 @@
         units = unitsByAge(own->second, policy, now);
     const Workspace *limited = node.routes->findWorkspace(workspace);
     if (limited != nullptr && !node.settings.firstStart && knowsFleetSize(node, now))
-        addAssumedUnits(units, workspace, limited->limit, policy, node.spend.atStart,
+        addAssumedUnits(units, workspace, limited->limit, policy, node.usageSnapshots.atStart,
                         knownVms(node, now), node.bootedAt, now);
     if (scope == UnitsOf::ThisVm)
         return units;
@@ -99,11 +99,11 @@
 void logCountedUsage(const GatewayNode &node, const char *source)
 {
     std::size_t named = 0;
-    for (const UsageSnapshot &snapshot : node.spend.atStart.zones)
+    for (const UsageSnapshot &snapshot : node.usageSnapshots.atStart.zones)
         named += snapshot.size();
     logEvent(EventId::UseCountedAtStart,
              {{"source", source},
-              {"zones", std::to_string(node.spend.atStart.zones.size())},
+              {"zones", std::to_string(node.usageSnapshots.atStart.zones.size())},
               {"named", std::to_string(named)},
               {"upMs", std::to_string(toMillis(BootClock::now() - node.bootedAt))}});
 }
@@ -112,22 +112,22 @@
 {
     const Instant began = BootClock::now();
     UsageSnapshot snapshot;
-    for (const auto &[workspace, percent] : beginSnapshot(node.spend.noting, began))
+    for (const auto &[workspace, percent] : beginSnapshot(node.usageSnapshots.writer, began))
         snapshot[workspace] = {percent, unitsKnown(node, workspace, UnitsOf::AllZones, began)};
-    node.spend.permits = permitsOf(node.spend.noting);
+    node.usageSnapshots.permits = permitsOf(node.usageSnapshots.writer);
     const std::string named = std::to_string(snapshot.size());
     const bool done =
         co_await node.platform->writeUsageSnapshot(node.http, node.settings, std::move(snapshot));
-    endSnapshot(node.spend.noting, done);
+    endSnapshot(node.usageSnapshots.writer, done);
     // Another VM may be the relay by now, and its permits may have arrived.
     if (node.relaying)
-        node.spend.permits = permitsOf(node.spend.noting);
+        node.usageSnapshots.permits = permitsOf(node.usageSnapshots.writer);
     const Duration took = BootClock::now() - began;
     if (done)
         node.metrics.record(Timing::NoteAge, toSeconds(took));
     logEvent(done ? EventId::SpendNoted : EventId::SpendNoteFailed,
              {{"named", named},
-              {"permitted", std::to_string(node.spend.permits.percents.size())},
+              {"permitted", std::to_string(node.usageSnapshots.permits.percents.size())},
               {"tookMs", std::to_string(toMillis(took))}});
 }
 
@@ -144,17 +144,17 @@
 {
     if (!keepsUsageSnapshots(node))
         return 1;
-    return shareAllowed(node.spend.permits, workspace, now);
+    return shareAllowed(node.usageSnapshots.permits, workspace, now);
 }
 
 // Snapshots that a peer sent already are kept: they are from before this VM's start.
 void applyStoredSnapshots(GatewayNode &node, std::vector<UsageSnapshot> snapshots)
 {
     const Instant now = BootClock::now();
-    if (node.spend.atStart.wereRead || node.settings.firstStart)
+    if (node.usageSnapshots.atStart.wereRead || node.settings.firstStart)
         return;
-    node.spend.atStart = {true, now, std::move(snapshots)};
-    if (!node.spend.atStart.zones.empty())
+    node.usageSnapshots.atStart = {true, now, std::move(snapshots)};
+    if (!node.usageSnapshots.atStart.zones.empty())
         logCountedUsage(node, "store");
 }
 
@@ -188,8 +188,8 @@
     if (!keepsUsageSnapshots(node))
         return;
     const Instant now = BootClock::now();
-    const UsagePermits &permits = node.spend.permits;
-    if (zonePeer && node.spend.writes && !permits.percents.empty()) {
+    const UsagePermits &permits = node.usageSnapshots.permits;
+    if (zonePeer && node.usageSnapshots.writes && !permits.percents.empty()) {
         for (const auto &[workspace, percent] : permits.percents) {
             v1::NotedSpend *message = digest.mutable_spend()->add_noted_workspaces();
             message->set_workspace(workspace);
@@ -200,12 +200,12 @@
     }
     // Sent only to a VM that has received nothing from this boot yet: it may have started just now.
     const bool startsNow = now - node.bootedAt < node.settings.quota.window;
-    if (!startsNow || !node.spend.atStart.wereRead || report.known_boot() == node.boot)
+    if (!startsNow || !node.usageSnapshots.atStart.wereRead || report.known_boot() == node.boot)
         return;
-    const Duration readAgo = now - node.spend.atStart.readAt;
+    const Duration readAgo = now - node.usageSnapshots.atStart.readAt;
     digest.mutable_spend()->set_notes_read_ago_ms(static_cast<std::uint64_t>(toMillis(readAgo))
                                                   + 1);
-    for (const UsageSnapshot &snapshot : node.spend.atStart.zones) {
+    for (const UsageSnapshot &snapshot : node.usageSnapshots.atStart.zones) {
         v1::ZoneNote *message = digest.mutable_spend()->add_notes_at_start();
         for (const auto &[workspace, usage] : snapshot) {
             v1::NotedSpend *entry = message->add_workspaces();
@@ -220,23 +220,23 @@
 
 // A message that was in transit for long makes snapshots look more recent than they are, so more of
 // their usage counts.
-void applyReceivedSnapshots(GatewayNode &node, const v1::SpendNews &news)
+void applyReceivedSnapshots(GatewayNode &node, const v1::SpendNews &updates)
 {
-    if (news.notes_read_ago_ms() == 0 || node.settings.firstStart)
+    if (updates.notes_read_ago_ms() == 0 || node.settings.firstStart)
         return;
     const Instant now = BootClock::now();
     StartupSnapshots received;
     received.wereRead = true;
-    received.readAt = now - std::chrono::milliseconds(news.notes_read_ago_ms() - 1);
-    for (const v1::ZoneNote &snapshot : news.notes_at_start()) {
+    received.readAt = now - std::chrono::milliseconds(updates.notes_read_ago_ms() - 1);
+    for (const v1::ZoneNote &snapshot : updates.notes_at_start()) {
         UsageSnapshot &zone = received.zones.emplace_back();
         for (const v1::NotedSpend &entry : snapshot.workspaces())
             zone[entry.workspace()] = {decodePercent(entry.percent()),
                                        decodeUnits(entry.units_by_age())};
     }
-    const StartupSnapshots before = node.spend.atStart;
-    adoptSnapshots(node.spend.atStart, received, node.settings.quota, now);
-    if (node.spend.atStart != before)
+    const StartupSnapshots before = node.usageSnapshots.atStart;
+    adoptSnapshots(node.usageSnapshots.atStart, received, node.settings.quota, now);
+    if (node.usageSnapshots.atStart != before)
         logCountedUsage(node, "another VM");
 }
 
@@ -248,14 +248,14 @@
         applyReceivedSnapshots(node, digest.spend());
     if (!ownRelay)
         return;
-    const v1::SpendNews &news = digest.spend();
+    const v1::SpendNews &updates = digest.spend();
     UsagePermits permits;
-    permits.writtenAt = askedAt - std::chrono::milliseconds(news.noted_ago_ms());
-    for (const v1::NotedSpend &message : news.noted_workspaces())
+    permits.writtenAt = askedAt - std::chrono::milliseconds(updates.noted_ago_ms());
+    for (const v1::NotedSpend &message : updates.noted_workspaces())
         permits.percents[message.workspace()] = decodePercent(message.percent());
     if (!permits.percents.empty())
         node.metrics.record(Timing::NoteAge, toSeconds(BootClock::now() - permits.writtenAt));
-    node.spend.permits = std::move(permits);
+    node.usageSnapshots.permits = std::move(permits);
 }
 
 asio::awaitable<void> usageSnapshotLoop(GatewayNode &node)
@@ -264,17 +264,17 @@
         const bool enabled = keepsUsageSnapshots(node);
         const Instant now = BootClock::now();
         if (!enabled || !node.relaying || !knowsFleetSize(node, now)) {
-            node.spend.writes = false;
+            node.usageSnapshots.writes = false;
             co_await pauseFor(node, enabled ? checkInterval : idleCheckInterval);
             continue;
         }
-        if (!node.spend.writes)
-            startSnapshotWriter(node.spend.noting, limitedWorkspaces(node), node.settings.quota,
-                                node.bootedAt, now);
-        node.spend.writes = true;
-        updateWantedPercents(node.spend.noting, percentsWanted(node, now), now);
-        node.spend.permits = permitsOf(node.spend.noting);
-        if (isWriteDue(node.spend.noting, now))
+        if (!node.usageSnapshots.writes)
+            startSnapshotWriter(node.usageSnapshots.writer, limitedWorkspaces(node),
+                                node.settings.quota, node.bootedAt, now);
+        node.usageSnapshots.writes = true;
+        updateWantedPercents(node.usageSnapshots.writer, percentsWanted(node, now), now);
+        node.usageSnapshots.permits = permitsOf(node.usageSnapshots.writer);
+        if (isWriteDue(node.usageSnapshots.writer, now))
             co_await writeZoneSnapshot(node);
         co_await pauseFor(node, checkInterval);
     }
--- a/libs/gateway/src/WorkspaceQuota.cpp
+++ b/libs/gateway/src/WorkspaceQuota.cpp
@@ -37,8 +37,8 @@
     const int known = knownVms(node, now);
     if (keepsUsageSnapshots(node))
         addUsage(workspaceUsage,
-                 assumedUsageAtStart(workspace.name, workspace.limit, policy, node.spend.atStart,
-                                     known, node.bootedAt, now));
+                 assumedUsageAtStart(workspace.name, workspace.limit, policy,
+                                     node.usageSnapshots.atStart, known, node.bootedAt, now));
     else
         addUsage(workspaceUsage, assumedUsageBeforeStart(workspace.limit, policy, known, up));
     return workspaceUsage;
@@ -94,7 +94,7 @@
                   std::int64_t units, CallClass callClass, const QuotaDecision &verdict)
 {
     logEvent(EventId::CallOverLimit,
-             {{"call", call.facts.attemptId},
+             {{"call", call.metadata.attemptId},
               {"workspace", workspace.name},
               {"units", std::to_string(units)},
               {"class", std::string(textOf(callClass))},
@@ -118,13 +118,13 @@
     const Workspace *workspace = node.routes->findWorkspace(call.workspace);
     if (workspace == nullptr || !isLimited(workspace->limit))
         return std::nullopt;
-    if (workspace->limit.unit == QuotaUnit::Tokens && call.facts.tokensMalformed)
+    if (workspace->limit.unit == QuotaUnit::Tokens && call.metadata.tokensMalformed)
         return makeLocalReply(400, "the call's token count is malformed", Duration::zero());
     const Instant now = BootClock::now();
     if (!knowsFleetSize(node, now))
         return makeLocalReply(503, "this VM does not know the other VMs yet", shortRetryAfter);
     const QuotaPolicy &policy = node.settings.quota;
-    const std::int64_t units = costOf(workspace->limit, call.facts.tokens);
+    const std::int64_t units = costOf(workspace->limit, call.metadata.tokens);
     UsageWindow &record = usageWindowOf(node, workspace->name);
     FleetUsage fleet = othersUsageOf(node, *workspace, now);
     WorkspaceUse before = ownUsageOf(node, *workspace, now);
--- a/libs/gateway/tests/HarmfulWatches.cpp
+++ b/libs/gateway/tests/HarmfulWatches.cpp
@@ -47,21 +47,21 @@
     return findHarmful(node.harmful, call) != nullptr;
 }
 
-/** `asker` reports to `asked` and applies the answers, until there are no more updates. */
-void exchange(GatewayNode &asker, GatewayNode &asked, std::uint64_t &sequence)
+/** `requester` reports to `asked` and applies the answers, until there are no more updates. */
+void exchange(GatewayNode &requester, GatewayNode &asked, std::uint64_t &sequence)
 {
-    const PeerState &known = asker.peers[asked.settings.peers];
+    const PeerState &known = requester.peers[asked.settings.peers];
     do {
-        gateway::v1::Report report = reportOf(asker, ++sequence);
+        gateway::v1::Report report = reportOf(requester, ++sequence);
         report.set_known_boot(known.seenBoot);
         report.set_known_change(known.seenChange);
         report.set_in_whole(known.fullSyncRunning);
-        for (const auto &[id, entry] : asker.shared.evidence.all()) {
+        for (const auto &[id, entry] : requester.shared.evidence.all()) {
             if (entry.value.own)
                 encodeEvidence(id, entry.value.evidence, BootClock::now(), *report.add_evidence());
         }
         const gateway::v1::Digest digest = answerReport(asked, report);
-        applyDigest(asker, asked.settings.peers, digest, true);
+        applyDigest(requester, asked.settings.peers, digest, true);
     } while (known.hasMoreUpdates);
 }
 
--- a/libs/gateway/tests/LinkWatches.cpp
+++ b/libs/gateway/tests/LinkWatches.cpp
@@ -103,9 +103,9 @@
     GatewayNode node((GatewaySettings()));
     listTargets(node, 5, goodAnswers);
     boost::beast::tcp_stream caller(node.context);
-    ActiveCall run(node, caller, HttpRequest());
-    recordLostCall(run, "t0");
-    recordLostCall(run, "t1");
+    ActiveCall call(node, caller, HttpRequest());
+    recordLostCall(call, "t0");
+    recordLostCall(call, "t1");
     node.context.run_for(400ms);
     return node.shared.evidence.all().size();
 }
--- a/libs/gateway/tests/Prefixes.cpp
+++ b/libs/gateway/tests/Prefixes.cpp
@@ -47,19 +47,20 @@
     /** A call with a shared prefix; returns the tokens believed to be cached when it is sent. */
     double call(std::optional<Duration> untilFirst)
     {
-        ActiveCall run(this->node, this->caller, HttpRequest());
-        run.facts.promptTokens = 9190;
-        run.facts.prompt = {{"shared", 6300}, {"own", 2890}};
-        run.prefixes = promptPrefixes("m/a", run.facts.prompt, run.facts.promptTokens);
+        ActiveCall activeCall(this->node, this->caller, HttpRequest());
+        activeCall.metadata.promptTokens = 9190;
+        activeCall.metadata.prompt = {{"shared", 6300}, {"own", 2890}};
+        activeCall.prefixes =
+            promptPrefixes("m/a", activeCall.metadata.prompt, activeCall.metadata.promptTokens);
         const TargetEntry &engine = *entryOf(this->node, "engine-1");
-        const double atPlacement = cachedInEngine(run, engine, TargetUsage(), 232'000);
+        const double atPlacement = cachedInEngine(activeCall, engine, TargetUsage(), 232'000);
         const Instant now = BootClock::now();
-        PrefillObservation reading(run, "engine-1", now);
+        PrefillObservation observation(activeCall, "engine-1", now);
         if (untilFirst)
-            reading.recordFirstEvent(now + *untilFirst);
-        cr_assert_eq(run.cachedTokens, atPlacement,
+            observation.recordFirstEvent(now + *untilFirst);
+        cr_assert_eq(activeCall.cachedTokens, atPlacement,
                      "the same for placement and for waiting tokens");
-        return run.cachedTokens;
+        return activeCall.cachedTokens;
     }
 
     double believed()
@@ -272,10 +273,10 @@
 {
     Vm first("zone-a", 1);
     Vm relay("zone-a", 2);
-    ActiveCall run(first.node, first.caller, HttpRequest());
-    run.facts.promptTokens = 9190;
-    PrefillObservation reading(run, "engine-1", BootClock::now());
-    reading.recordFirstEvent(BootClock::now());
+    ActiveCall call(first.node, first.caller, HttpRequest());
+    call.metadata.promptTokens = 9190;
+    PrefillObservation observation(call, "engine-1", BootClock::now());
+    observation.recordFirstEvent(BootClock::now());
     const v1::Report report = reportOf(first, relay);
     const v1::Digest digest = answerReport(relay.node, report);
     cr_assert_not(report.has_prefixes());
--- a/libs/gateway/tests/UsageUpdates.cpp
+++ b/libs/gateway/tests/UsageUpdates.cpp
@@ -63,9 +63,9 @@
 {
     GatewayNode relay(relaySettings);
     configure(relay, 1000);
-    relay.spend.writes = true;
+    relay.usageSnapshots.writes = true;
     const Instant now = BootClock::now();
-    relay.spend.permits = {{{"ferry", 80}}, now - 1s};
+    relay.usageSnapshots.permits = {{{"ferry", 80}}, now - 1s};
     const v1::Digest digest = answerReport(relay, zonePeerReport(1));
     GatewayNode zonePeer(zonePeerSettings);
     configure(zonePeer, 1000);
@@ -89,9 +89,9 @@
     GatewayNode second(zonePeerSettings);
     configure(second, 1000);
     applyStoredSnapshots(second, {snapshotOf(100)});
-    second.spend.atStart.readAt += 500ms;
+    second.usageSnapshots.atStart.readAt += 500ms;
     applyUsageUpdates(second, digest, false, BootClock::now());
-    cr_assert_eq(second.spend.atStart.zones, std::vector<UsageSnapshot>{snapshotOf(60)});
+    cr_assert_eq(second.usageSnapshots.atStart.zones, std::vector<UsageSnapshot>{snapshotOf(60)});
     v1::Report later = zonePeerReport(2);
     later.set_known_boot(first.boot);
     cr_assert_not(answerReport(first, later).has_spend(), "sent once");
@@ -103,8 +103,8 @@
     GatewayNode node(relaySettings);
     configure(node, 0);
     applyStoredSnapshots(node, {snapshotOf(60)});
-    node.spend.writes = true;
-    node.spend.permits = {{{"ferry", 80}}, BootClock::now()};
+    node.usageSnapshots.writes = true;
+    node.usageSnapshots.permits = {{{"ferry", 80}}, BootClock::now()};
     cr_assert_not(answerReport(node, zonePeerReport(1)).has_spend());
     cr_assert_eq(allowedShare(node, "ferry", BootClock::now()), 1.0);
 }
--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -62,7 +62,7 @@
         call.routes = this->node.routes;
         call.route = &this->routes.back();
         call.service = "engines";
-        call.facts.adapter = "m/" + std::to_string(this->calls.size());
+        call.metadata.adapter = "m/" + std::to_string(this->calls.size());
         call.deadline = BootClock::now() + 60s;
         startCapacityWait(call);
         // Long enough for a busy machine.
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -51,7 +51,7 @@
         this->node.vmListRead = true;
         this->call.workspace = "ferry";
         this->call.key = digestOfKey("key-1");
-        this->call.facts.tokens = tokens;
+        this->call.metadata.tokens = tokens;
         updateKeys(this->node.keys, {}, this->node.routes->config().workspaces);
     }
 
@@ -149,13 +149,14 @@
 {
     ServedCall served(600);
     served.node.settings.firstStart = false;
-    GatewayNode asker(settingsOf("vm-2", "10.0.0.2"));
+    GatewayNode requester(settingsOf("vm-2", "10.0.0.2"));
     served.node.vmListRead = false;
-    cr_assert_eq(answerReport(served.node, reportOf(asker, 1)).vms_in_touch(), 1, "the asker");
+    cr_assert_eq(answerReport(served.node, reportOf(requester, 1)).vms_in_touch(), 1,
+                 "the requester");
     served.node.vmListRead = true;
-    cr_assert_eq(answerReport(served.node, reportOf(asker, 2)).vms_in_touch(), 2);
+    cr_assert_eq(answerReport(served.node, reportOf(requester, 2)).vms_in_touch(), 2);
     served.node.routes = std::make_shared<RouteTable>(ServingConfig());
-    cr_assert_eq(answerReport(served.node, reportOf(asker, 3)).vms_in_touch(), 1);
+    cr_assert_eq(answerReport(served.node, reportOf(requester, 3)).vms_in_touch(), 1);
 }
 
 // Guards against workspaces that are refused for a minute after a common restart: VMs that took
@@ -292,9 +293,9 @@
     answerReport(served.node, report);
     int refusedLong = 0;
     for (int round = 0; round < 6; ++round) {
-        served.call.facts.tokens = 400;
+        served.call.metadata.tokens = 400;
         refusedLong += chargeQuota(served.call) ? 1 : 0;
-        served.call.facts.tokens = 5;
+        served.call.metadata.tokens = 5;
         cr_assert(!chargeQuota(served.call));
     }
     cr_assert_geq(refusedLong, 4);
