--- a/libs/gateway/include/gateway/GatewaySettings.h
+++ b/libs/gateway/include/gateway/GatewaySettings.h
@@ -21,7 +21,7 @@
 {
     std::string vm;
     std::string zone;
-    double capacity = 1; ///< cores of this VM; the VM with the most cores is its zone's relay
+    double capacity = 1; ///< cores of this VM; a VM with more cores is preferred as relay
     std::string platform; ///< name of the plug-in that implements the platform's protocols
     Endpoint callers;
     Endpoint readiness;
--- a/libs/gateway/include/gateway/PlacementSettings.h
+++ b/libs/gateway/include/gateway/PlacementSettings.h
@@ -9,7 +9,7 @@
 {
     /** Prefers engines that are forecast to meet the call's objective; see ForecastChoice.h. */
     bool forecast = false;
-    /** Calls ask an engine's lease holder how much waits there; see PrefillReserving.h. */
+    /** Calls ask an engine's lease holder how much waits there; see PrefillReservation.h. */
     bool reservePrefill = false;
     /** Engines that declined a load are not asked again before the time that they named. */
     bool keepDeclines = false;
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -136,7 +136,7 @@
 {
     std::vector<int> partitions;
     std::int64_t generation = 0;
-    std::uint64_t end = 0; ///< position of the read that they are based on
+    std::uint64_t end = 0; ///< end of the log of such records when it was read for these
 
     auto operator<=>(const HolderClaims &) const = default;
 };
--- a/libs/gateway/src/ActiveCall.cpp
+++ b/libs/gateway/src/ActiveCall.cpp
@@ -118,7 +118,7 @@
     setResetOnClose(call, true);
 }
 
-void closeOrderly(ActiveCall &call)
+void stopResetOnClose(ActiveCall &call)
 {
     setResetOnClose(call, false);
 }
@@ -131,7 +131,7 @@
 }
 
 asio::awaitable<bool> writeAnswer(ActiveCall &call, HttpReply reply, ForwardOutcome outcome,
-                                  BodyDelimiter end)
+                                  BodyDelimiter delimiter)
 {
     call.answerStarted = true;
     http::response<http::string_body> response(static_cast<http::status>(reply.status),
@@ -142,8 +142,8 @@
         response.set(http::field::content_type, reply.contentType);
     call.closeConnection = call.closeConnection || call.node.shuttingDown;
     if (call.forwarded)
-        writeForwardReport(response, {outcome, call.runsStarted, end, std::string()});
-    const bool framed = call.forwarded || end == BodyDelimiter::SelfDelimited;
+        writeForwardReport(response, {outcome, call.runsStarted, delimiter, std::string()});
+    const bool framed = call.forwarded || delimiter == BodyDelimiter::SelfDelimited;
     if (!framed)
         resetOnClose(call);
     response.keep_alive(call.request->keep_alive() && !call.closeConnection);
@@ -155,7 +155,7 @@
     if (error)
         call.closeConnection = true;
     else if (!framed)
-        closeOrderly(call);
+        stopResetOnClose(call);
     co_return !error;
 }
 
--- a/libs/gateway/src/ActiveCall.h
+++ b/libs/gateway/src/ActiveCall.h
@@ -130,12 +130,12 @@
 
 /**
  * Writes a complete answer to the caller; false if the write failed. A VM that forwarded the call
- * is told `outcome` and `end`; to a caller, an answer that only its connection delimited is
+ * is told `outcome` and `delimiter`; to a caller, an answer that only its connection delimited is
  * delimited in the same way.
  */
 asio::awaitable<bool> writeAnswer(ActiveCall &call, HttpReply reply,
                                   ForwardOutcome outcome = ForwardOutcome::FromTarget,
-                                  BodyDelimiter end = BodyDelimiter::SelfDelimited);
+                                  BodyDelimiter delimiter = BodyDelimiter::SelfDelimited);
 
 /**
  * From now on any close of the caller's connection resets it. To be called before an answer that
@@ -144,7 +144,7 @@
 void resetOnClose(ActiveCall &call);
 
 /** All of that answer was written: from now on the connection is closed gracefully again. */
-void closeOrderly(ActiveCall &call);
+void stopResetOnClose(ActiveCall &call);
 
 /** Resets the caller's connection, which shows the caller that its answer is truncated. */
 void abortAnswer(ActiveCall &call);
--- a/libs/gateway/src/BodyDelimiter.h
+++ b/libs/gateway/src/BodyDelimiter.h
@@ -11,9 +11,9 @@
     CloseDelimited, ///< the end of its connection, which looks the same when the sender exits
 };
 
-constexpr std::string_view delimiterName(BodyDelimiter end) noexcept
+constexpr std::string_view delimiterName(BodyDelimiter delimiter) noexcept
 {
-    return end == BodyDelimiter::SelfDelimited ? "framing" : "connection";
+    return delimiter == BodyDelimiter::SelfDelimited ? "framing" : "connection";
 }
 
 } // namespace monsoonbay
--- a/libs/gateway/src/CallAnswer.cpp
+++ b/libs/gateway/src/CallAnswer.cpp
@@ -31,19 +31,19 @@
     if (!complete)
         co_return AttemptResult::Broken;
     call.bodyDelimiter = exchange.bodyDelimiter();
-    const BodyDelimiter shownBy = call.bodyDelimiter;
+    const BodyDelimiter delimiter = call.bodyDelimiter;
     if (reply.status >= 500 && !answer.callerStream.started()) {
-        answer.fallback = {true, std::move(reply), shownBy};
+        answer.fallback = {true, std::move(reply), delimiter};
         co_return AttemptResult::Failed;
     }
     if (answer.callerStream.started())
         co_return AttemptResult::Broken;
     const bool written =
-        co_await writeAnswer(call, std::move(reply), ForwardOutcome::FromTarget, shownBy);
+        co_await writeAnswer(call, std::move(reply), ForwardOutcome::FromTarget, delimiter);
     if (!written)
         co_return AttemptResult::CallerDisconnected;
-    co_return shownBy == BodyDelimiter::SelfDelimited ? AttemptResult::Done
-                                                      : AttemptResult::Unverified;
+    co_return delimiter == BodyDelimiter::SelfDelimited ? AttemptResult::Done
+                                                        : AttemptResult::Unverified;
 }
 
 asio::awaitable<AttemptResult> passStream(ActiveCall &call, CallerStream &callerStream,
@@ -138,7 +138,7 @@
 asio::awaitable<void> answerFailure(ActiveCall &call, CallAnswer &answer, LocalReply last)
 {
     if (answer.callerStream.started()) {
-        answer.callerStream.cut();
+        answer.callerStream.abort();
         logEvent(EventId::StreamCut,
                  {{"call", call.metadata.attemptId},
                   {"timedOut", call.timedOut ? "yes" : "no"},
@@ -149,7 +149,7 @@
         HttpReply reply = std::move(answer.fallback.reply);
         call.node.metrics.add(Counter::RequestsFailed);
         co_await writeAnswer(call, std::move(reply), ForwardOutcome::FromTarget,
-                             answer.fallback.end);
+                             answer.fallback.delimiter);
         co_return;
     }
     if (call.mayHaveRun) {
--- a/libs/gateway/src/CallAnswer.h
+++ b/libs/gateway/src/CallAnswer.h
@@ -13,7 +13,7 @@
 {
     bool present = false;
     HttpReply reply;
-    BodyDelimiter end = BodyDelimiter::SelfDelimited;
+    BodyDelimiter delimiter = BodyDelimiter::SelfDelimited;
 };
 
 /** The answer to one call, over all its attempts. */
--- a/libs/gateway/src/CallServing.cpp
+++ b/libs/gateway/src/CallServing.cpp
@@ -162,7 +162,7 @@
     }
 
 private:
-    // Such a call would crash the next target together with all calls there; true if refused.
+    // True if refused: a harmful call would crash the next target together with all calls there.
     asio::awaitable<bool> refuseHarmful()
     {
         const HarmfulCall *harmful = findHarmfulCall(this->call);
@@ -354,11 +354,11 @@
 {
     timer.expires_after(timeLeft(*call));
     timer.async_wait([weak = std::weak_ptr<ActiveCall>(call)](boost::system::error_code cancelled) {
-        const ActiveCallPtr late = weak.lock();
-        if (cancelled || !late || late->ended)
+        const ActiveCallPtr timedOutCall = weak.lock();
+        if (cancelled || !timedOutCall || timedOutCall->ended)
             return;
-        late->timedOut = true;
-        cancelActiveCall(*late);
+        timedOutCall->timedOut = true;
+        cancelActiveCall(*timedOutCall);
     });
 }
 
--- a/libs/gateway/src/CallerStream.cpp
+++ b/libs/gateway/src/CallerStream.cpp
@@ -66,19 +66,19 @@
 
 asio::awaitable<AttemptResult> CallerStream::finish(const TargetExchange &exchange)
 {
-    const BodyDelimiter shownBy = exchange.bodyDelimiter();
-    if (this->isUnproved(shownBy))
+    const BodyDelimiter delimiter = exchange.bodyDelimiter();
+    if (this->isUnproved(delimiter))
         co_return AttemptResult::Broken;
     const bool headWritten = co_await this->writeHead(exchange);
     AttemptResult end = AttemptResult::CallerDisconnected;
     if (headWritten)
-        end = co_await this->writeEnd(shownBy);
+        end = co_await this->writeEnd(delimiter);
     if (end == AttemptResult::CallerDisconnected)
         this->call.closeConnection = true;
     co_return end;
 }
 
-void CallerStream::cut()
+void CallerStream::abort()
 {
     this->call.closeConnection = true;
     if (!this->chunked)
@@ -88,17 +88,17 @@
 // A connection that is closed gracefully proves nothing: it also is when the engine exits.
 // Inside an event, or before the first one, the run was certainly cut off; and a chunked answer
 // cannot be completed by a run whose end only its connection shows.
-bool CallerStream::isUnproved(BodyDelimiter shownBy) const noexcept
+bool CallerStream::isUnproved(BodyDelimiter delimiter) const noexcept
 {
     if (isInsideEvent(this->events))
         return true;
-    if (shownBy == BodyDelimiter::SelfDelimited)
+    if (delimiter == BodyDelimiter::SelfDelimited)
         return false;
     const bool announcedMore = this->headSent && this->announced == BodyDelimiter::SelfDelimited;
     return announcedMore || !this->eventReceived;
 }
 
-asio::awaitable<AttemptResult> CallerStream::writeEnd(BodyDelimiter shownBy)
+asio::awaitable<AttemptResult> CallerStream::writeEnd(BodyDelimiter delimiter)
 {
     if (this->chunked) {
         const auto last = http::make_chunk_last();
@@ -106,10 +106,10 @@
         if (error)
             co_return AttemptResult::CallerDisconnected;
     } else {
-        closeOrderly(this->call);
+        stopResetOnClose(this->call);
     }
-    co_return shownBy == BodyDelimiter::SelfDelimited ? AttemptResult::Done
-                                                      : AttemptResult::Unverified;
+    co_return delimiter == BodyDelimiter::SelfDelimited ? AttemptResult::Done
+                                                        : AttemptResult::Unverified;
 }
 
 // The head is held back until the first event arrives: until then a run that breaks off can be
--- a/libs/gateway/src/CallerStream.h
+++ b/libs/gateway/src/CallerStream.h
@@ -39,13 +39,13 @@
     asio::awaitable<AttemptResult> finish(const TargetExchange &exchange);
 
     /** Aborts the answer, so that its caller notices. */
-    void cut();
+    void abort();
 
 private:
     asio::awaitable<bool> writeHead(const TargetExchange &exchange);
     asio::awaitable<bool> writeEvents(std::string text);
-    asio::awaitable<AttemptResult> writeEnd(BodyDelimiter shownBy);
-    bool isUnproved(BodyDelimiter shownBy) const noexcept;
+    asio::awaitable<AttemptResult> writeEnd(BodyDelimiter delimiter);
+    bool isUnproved(BodyDelimiter delimiter) const noexcept;
 
     ActiveCall &call;
     EventStream events;
--- a/libs/gateway/src/EngineCommands.cpp
+++ b/libs/gateway/src/EngineCommands.cpp
@@ -271,8 +271,8 @@
 
 /**
  * When a load is expected to begin. A call for which that is too late can try another engine at
- * once, or is refused while its caller can still retry. The load_queue tests show the failure that
- * this avoids.
+ * once, or is refused while its caller can still retry. The load_queue tests of libs/serving
+ * show the failure that this avoids.
  */
 Instant expectedLoadBegin(const GatewayNode &node, const HeldEngine &held, const std::string &key,
                           Instant now)
--- a/libs/gateway/src/ForwardedCall.cpp
+++ b/libs/gateway/src/ForwardedCall.cpp
@@ -119,7 +119,7 @@
         head.set(outcomeHeader, report.outcome == ForwardOutcome::NotRun ? notRun : mayHaveRun);
     head.set(runsHeader, std::to_string(report.runs));
     head.erase(endHeader);
-    if (report.end == BodyDelimiter::CloseDelimited)
+    if (report.delimiter == BodyDelimiter::CloseDelimited)
         head.set(endHeader, closeDelimited);
     head.erase(softwareHeader);
     if (!report.software.empty())
@@ -135,7 +135,7 @@
     const auto runs = head[runsHeader];
     std::from_chars(runs.data(), runs.data() + runs.size(), report.runs);
     if (head[endHeader] == closeDelimited)
-        report.end = BodyDelimiter::CloseDelimited;
+        report.delimiter = BodyDelimiter::CloseDelimited;
     report.software = std::string(head[softwareHeader]);
     return report;
 }
--- a/libs/gateway/src/ForwardedCall.h
+++ b/libs/gateway/src/ForwardedCall.h
@@ -63,7 +63,7 @@
 {
     ForwardOutcome outcome = ForwardOutcome::FromTarget;
     int runs = 0; ///< that may have begun, including those before it was forwarded
-    BodyDelimiter end = BodyDelimiter::SelfDelimited; ///< what delimited the target's answer
+    BodyDelimiter delimiter = BodyDelimiter::SelfDelimited; ///< what delimited the target's answer
     std::string software; ///< version of the target's software
 
     auto operator<=>(const ForwardReport &) const = default;
--- a/libs/gateway/src/Gateway.cpp
+++ b/libs/gateway/src/Gateway.cpp
@@ -60,7 +60,7 @@
 {
     explicit Impl(const GatewaySettings &settings)
         : node(settings)
-        , front(node, settings.callers, ListenerKind::Callers)
+        , callers(node, settings.callers, ListenerKind::Callers)
         , readiness(
               node.context, settings.readiness,
               [this](HttpExchange &exchange) { return answerReadiness(this->node, exchange); })
@@ -131,8 +131,8 @@
         const Instant limit = begun + this->node.settings.shutdownLimit;
         while (BootClock::now() < begun + readinessDelay)
             co_await pauseFor(this->node, shutdownPollInterval);
-        this->front.stopAccepting();
-        this->front.closeIdle();
+        this->callers.stopAccepting();
+        this->callers.closeIdle();
         if (this->forwards) {
             this->forwards->stopAccepting();
             this->forwards->closeIdle();
@@ -150,7 +150,7 @@
     }
 
     GatewayNode node;
-    CallListener front;
+    CallListener callers;
     std::optional<CallListener> forwards; ///< for calls that other VMs forward
     HttpServer readiness;
     HttpServer operators;
@@ -179,7 +179,7 @@
 GatewayPorts Gateway::ports() const
 {
     GatewayPorts ports;
-    ports.callers = this->impl->front.port();
+    ports.callers = this->impl->callers.port();
     ports.readiness = this->impl->readiness.port();
     ports.operators = this->impl->operators.port();
     ports.peers = this->impl->peersPort;
--- a/libs/gateway/src/GatewayNode.h
+++ b/libs/gateway/src/GatewayNode.h
@@ -117,7 +117,7 @@
     std::uint64_t sequence = 0; ///< of its newest report
     Instant addedAt{};
     Instant lastMessageAt{}; ///< its latest report, request or answer; zero: none yet
-    Instant lastReportAt{}; ///< its newest report
+    Instant lastReportAt{}; ///< its newest report with usage
     bool starting = false;
     bool stopping = false;
     bool leftLeaseGroup = false; ///< for this boot, by its last lease confirmation
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -114,7 +114,7 @@
 {
     if (this->parser->need_eof())
         return BodyDelimiter::CloseDelimited;
-    return this->targetId.empty() ? readForwardReport(this->head()).end
+    return this->targetId.empty() ? readForwardReport(this->head()).delimiter
                                   : BodyDelimiter::SelfDelimited;
 }
 
@@ -169,9 +169,9 @@
     asio::steady_timer limit(this->node.context, replyTimeout);
     limit.async_wait(
         [weak = std::weak_ptr<TargetConnection>(this->link)](boost::system::error_code cancelled) {
-            const TargetConnectionPtr late = weak.lock();
-            if (!cancelled && late)
-                closeConnection(*late);
+            const TargetConnectionPtr connection = weak.lock();
+            if (!cancelled && connection)
+                closeConnection(*connection);
         });
     auto [error, bytes] =
         co_await http::async_write_header(this->link->socket, *this->rest, nothrowAwaitable);
--- a/libs/gateway/src/ZonePeers.h
+++ b/libs/gateway/src/ZonePeers.h
@@ -26,7 +26,7 @@
 /** Number of other VMs of the own zone that are known. */
 int countZonePeers(const GatewayNode &node);
 
-/** True if it has not failed to answer recently and is not stopping. */
+/** True if the peer is not stopping, and has answered the last exchange or reported recently. */
 bool isReachable(const PeerState &peer, Instant now);
 
 RelayRank rankOf(const PeerState &peer);
--- a/libs/gateway/tests/ConfigDownloads.cpp
+++ b/libs/gateway/tests/ConfigDownloads.cpp
@@ -210,7 +210,7 @@
 }
 
 // Guards against a reader that is redirected endlessly, or stuck at a zone peer that sends nothing.
-Test(config_reading, a_reader_that_is_sent_on_comes_back_if_it_gets_nothing)
+Test(config_reading, a_redirected_reader_that_receives_nothing_returns)
 {
     GatewayNode relay(settingsOf("relay"));
     putInForce(relay, longDocument(1, 100000));
--- a/libs/gateway/tests/Exchanges.cpp
+++ b/libs/gateway/tests/Exchanges.cpp
@@ -42,7 +42,7 @@
 // Guards against a restarted VM that refuses nearly all callers and keeps an old configuration for
 // a quarter of a minute. The relay asked it before its first report, took the new boot from the
 // answer but kept the former boot's sequence, and so dropped the reports, numbered anew, as old.
-Test(exchanges, reports_of_a_new_boot_count_from_its_first_word)
+Test(exchanges, reports_of_a_new_boot_count_from_its_first_message)
 {
     GatewayNode node(ownSettings());
     cr_assert(answerReport(node, reportOf(1, 500)).complete());
--- a/libs/gateway/tests/ForwardedCalls.cpp
+++ b/libs/gateway/tests/ForwardedCalls.cpp
@@ -43,7 +43,7 @@
 }
 
 // Guards against a malformed header that ends the VM or is served as a call.
-Test(forwarded_calls, a_header_that_cannot_be_read_is_no_call)
+Test(forwarded_calls, a_malformed_header_is_no_call)
 {
     for (const char *value : {"", "{}", "[1]", "{\"service\":3}", "\xff", "{\"configVersion\":"}) {
         RequestHead head;
@@ -70,8 +70,9 @@
     }
 }
 
-// Guards against a VM that accepts a call without links to its targets, with another configuration
-// than the call's, with too many forwarded calls, or while it shuts down.
+// Guards against calls that go in a circle among VMs that have lost their links, or are served by
+// another configuration than the first VM's. A VM with too many forwarded calls, or one that shuts
+// down, refuses more of them, too.
 Test(forwarded_calls, a_vm_that_cannot_serve_a_call_refuses_it)
 {
     GatewayNode node((GatewaySettings()));
--- a/libs/gateway/tests/HarmfulWatches.cpp
+++ b/libs/gateway/tests/HarmfulWatches.cpp
@@ -47,10 +47,10 @@
     return findHarmful(node.harmful, call) != nullptr;
 }
 
-/** `requester` reports to `asked` and applies the answers, until there are no more updates. */
-void exchange(GatewayNode &requester, GatewayNode &asked, std::uint64_t &sequence)
+/** `requester` reports to `receiver` and applies the answers, until there are no more updates. */
+void exchange(GatewayNode &requester, GatewayNode &receiver, std::uint64_t &sequence)
 {
-    const PeerState &known = requester.peers[asked.settings.peers];
+    const PeerState &known = requester.peers[receiver.settings.peers];
     do {
         gateway::v1::Report report = reportOf(requester, ++sequence);
         report.set_known_boot(known.seenBoot);
@@ -60,8 +60,8 @@
             if (entry.value.own)
                 encodeEvidence(id, entry.value.evidence, BootClock::now(), *report.add_evidence());
         }
-        const gateway::v1::Digest digest = answerReport(asked, report);
-        applyDigest(requester, asked.settings.peers, digest, true);
+        const gateway::v1::Digest digest = answerReport(receiver, report);
+        applyDigest(requester, receiver.settings.peers, digest, true);
     } while (known.hasMoreUpdates);
 }
 
@@ -70,7 +70,7 @@
 // Guards against VMs that each let a call crash targets until they have seen three crashes
 // themselves, as its caller comes to another VM each time. Evidence goes to the relay of the zone,
 // and from there to the relays of other zones and to all VMs.
-Test(harmful_watch, crashes_seen_by_different_vms_are_combined_at_all)
+Test(harmful_watch, crashes_seen_by_different_vms_are_combined_at_all_vms)
 {
     std::uint64_t sequence = 0;
     GatewayNode first(settingsOf("vm-1", "zone-a"));
--- a/libs/gateway/tests/LinkWatches.cpp
+++ b/libs/gateway/tests/LinkWatches.cpp
@@ -113,7 +113,7 @@
 } // namespace
 
 // Guards against calls that all VMs refuse as harmful because one VM lost them with its own links.
-Test(link_watch, calls_lost_at_cut_links_are_no_evidence_against_them)
+Test(link_watch, calls_lost_with_own_links_are_no_evidence)
 {
     cr_assert_eq(reportedEnds(30), 0);
     cr_assert_eq(reportedEnds(0), 2, "targets that fail for all VMs have ended");
@@ -122,9 +122,9 @@
 namespace {
 
 /** A VM of zone-a that lost its links to engines some time ago. */
-struct CutHolder
+struct HolderWithoutLinks
 {
-    CutHolder()
+    HolderWithoutLinks()
         : node(settings())
     {
         ServingConfig config;
@@ -172,7 +172,7 @@
 // Guards against a lease holder that reaches no engine and delays the loads of all VMs.
 Test(link_watch, a_lease_holder_without_links_yields_to_a_linked_zone_peer)
 {
-    CutHolder holder;
+    HolderWithoutLinks holder;
     cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "no other VM reports");
     holder.receiveReport(true);
     cr_assert(!shouldYieldLease(holder.node, BootClock::now()), "the peer lost its links, too");
--- a/libs/gateway/tests/LoadReplies.cpp
+++ b/libs/gateway/tests/LoadReplies.cpp
@@ -30,7 +30,7 @@
 
 // Guards against a retry time or reason that is lost between two VMs, and against reading the
 // answer of a VM of the previous version, which has neither, as "retry at once".
-Test(load_news, a_decline_carries_reason_and_retry_time)
+Test(load_replies, a_decline_carries_reason_and_retry_time)
 {
     const LoadDecline decline{DeclineReason::QueueTooLong, 142'300us};
     gateway::v1::LoadReply reply;
@@ -47,7 +47,7 @@
 }
 
 // Guards against a rank that is lost on its way to the lease holder, which sorts loads by it.
-Test(load_news, a_load_request_carries_the_rank_of_its_call)
+Test(load_replies, a_load_request_carries_the_rank_of_its_call)
 {
     gateway::v1::LoadRequest request;
     encodeRank(2, request);
@@ -56,7 +56,7 @@
 }
 
 // Guards against a backoff set by the previous lease holder that keeps calls from the new one.
-Test(load_news, a_new_holder_is_asked_at_once)
+Test(load_replies, a_new_holder_is_asked_at_once)
 {
     GatewayNode node(settingsOfVm());
     EngineRecord record;
@@ -64,21 +64,21 @@
     record.holderLive = true;
     record.revision = {1, 1, 1};
     applyEngineRecord(node, "e", record);
-    LoadBackoff &mark = runtimeOf(node, "e").loadBackoff;
-    mark = backoffAfter({DeclineReason::NoSlot, 800ms}, BootClock::now());
+    LoadBackoff &backoff = runtimeOf(node, "e").loadBackoff;
+    backoff = backoffAfter({DeclineReason::NoSlot, 800ms}, BootClock::now());
     ++record.revision.count;
     applyEngineRecord(node, "e", record);
-    cr_assert(mark != LoadBackoff(), "another update of the same holder");
+    cr_assert(backoff != LoadBackoff(), "another update of the same holder");
     cr_assert(!mayRequestLoad(node, "e", 300ms));
     record.holder = {"10.0.0.3", 7380};
     ++record.revision.generation;
     applyEngineRecord(node, "e", record);
-    cr_assert(mark == LoadBackoff());
+    cr_assert(backoff == LoadBackoff());
 }
 
 // Guards against a second load of an adapter that another engine has just begun to load, because
 // its name does not reach other VMs, or reaches them without a time.
-Test(load_news, loads_in_progress_are_reported_with_the_engine)
+Test(load_replies, loads_in_progress_are_reported_with_the_engine)
 {
     GatewayNode node(settingsOfVm());
     EngineRecord record;
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -138,7 +138,7 @@
 // Guards against a zone peer that counts as starting permanently and never becomes a lease holder.
 // The relay asked it while it was starting, and did not ask it again once it sent reports, which
 // did not say that it had started. So two of 21 VMs held all engines of the zone; when three more
-// joined in the third second of a run, no engine got commands for 3 to 6 s.
+// joined in the third second of a test run, no engine got commands for 3 to 6 s.
 Test(peers, a_zone_peer_that_has_started_may_hold_leases)
 {
     GatewayNode node(settingsOfVm1());
--- a/libs/gateway/tests/Prefixes.cpp
+++ b/libs/gateway/tests/Prefixes.cpp
@@ -196,7 +196,7 @@
 }
 
 // Guards against invalid values on the wire that are accepted, or that crash the VM.
-Test(prefixes, bad_values_are_left_out)
+Test(prefixes, invalid_values_are_rejected)
 {
     PrefixUpdates update;
     update.reads = {{1, {10, 999}}, {1, {11, 1000}}, {1, {12, 2'000'000'000}}, {2, {13, 5000}}};
--- a/libs/gateway/tests/UsageUpdates.cpp
+++ b/libs/gateway/tests/UsageUpdates.cpp
@@ -59,7 +59,7 @@
 } // namespace
 
 // Guards against a permit that is valid for longer at a VM than at the relay that sent it.
-Test(spend_news, a_permit_ages_in_transit)
+Test(usage_updates, a_permit_ages_in_transit)
 {
     GatewayNode relay(relaySettings);
     configure(relay, 1000);
@@ -80,7 +80,7 @@
 
 // Guards against a VM that starts late in a restart of all VMs, and counts as used what the new
 // snapshots of the others permit.
-Test(spend_news, snapshots_read_at_the_start_are_sent_to_later_starters)
+Test(usage_updates, snapshots_read_at_the_start_are_sent_to_later_starters)
 {
     GatewayNode first(relaySettings);
     configure(first, 1000);
@@ -98,7 +98,7 @@
 }
 
 // Guards against traffic for a feature that a deployment does not use.
-Test(spend_news, without_limits_nothing_is_sent)
+Test(usage_updates, without_limits_nothing_is_sent)
 {
     GatewayNode node(relaySettings);
     configure(node, 0);
--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -128,7 +128,7 @@
 }
 
 // Guards against a call that waits for a slot although another call's load brought its adapter.
-Test(waiting, a_call_whose_adapter_is_there_is_woken_without_a_slot)
+Test(waiting, a_call_whose_adapter_is_resident_is_woken_without_a_slot)
 {
     WaitingCalls waitingCalls;
     waitingCalls.useSlots(2);
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -145,7 +145,7 @@
 
 // Guards against a limit that is exceeded after a common restart: VMs that could not report their
 // usage yet were counted as having used nothing, and the others admitted their parts as well.
-Test(workspaces, a_vm_that_cannot_tell_its_use_yet_is_not_counted)
+Test(workspaces, a_vm_that_cannot_report_its_usage_yet_is_not_counted)
 {
     ServedCall served(600);
     served.node.settings.firstStart = false;
