--- a/libs/gateway/src/ClassDemandCodec.cpp
+++ b/libs/gateway/src/ClassDemandCodec.cpp
@@ -38,17 +38,17 @@
 
 } // namespace
 
-void encodeClassDemand(const WorkspaceUse &use, v1::WorkspaceUse &message)
+void encodeClassDemand(const WorkspaceUse &usage, v1::WorkspaceUse &message)
 {
-    if (use.requestedByClass == CountsByClass() && use.callsInWindowByClass == CountsByClass())
+    if (usage.requestedByClass == CountsByClass() && usage.callsInWindowByClass == CountsByClass())
         return;
-    addNumbers(use.requestedByClass, *message.mutable_asked_by_class());
-    addNumbers(use.callsInWindowByClass, *message.mutable_calls_by_class());
+    addNumbers(usage.requestedByClass, *message.mutable_asked_by_class());
+    addNumbers(usage.callsInWindowByClass, *message.mutable_calls_by_class());
     message.set_asked_in_window(
-        static_cast<std::uint64_t>(std::max<std::int64_t>(use.requestedInWindow, 0)));
+        static_cast<std::uint64_t>(std::max<std::int64_t>(usage.requestedInWindow, 0)));
 }
 
-bool decodeClassDemand(const v1::WorkspaceUse &message, WorkspaceUse &use)
+bool decodeClassDemand(const v1::WorkspaceUse &message, WorkspaceUse &usage)
 {
     const bool none = message.asked_by_class().empty() && message.calls_by_class().empty()
         && message.asked_in_window() == 0;
@@ -62,12 +62,12 @@
     const auto inWindow = static_cast<std::int64_t>(message.asked_in_window());
     // Each call requests at least one unit.
     const bool valid =
-        inRange && sumOf(asked) <= use.requestedPerSecond && inWindow >= sumOf(calls);
+        inRange && sumOf(asked) <= usage.requestedPerSecond && inWindow >= sumOf(calls);
     if (!valid)
         return false;
-    use.requestedByClass = asked;
-    use.callsInWindowByClass = calls;
-    use.requestedInWindow = inWindow;
+    usage.requestedByClass = asked;
+    usage.callsInWindowByClass = calls;
+    usage.requestedInWindow = inWindow;
     return true;
 }
 
--- a/libs/gateway/src/ClassDemandCodec.h
+++ b/libs/gateway/src/ClassDemandCodec.h
@@ -10,13 +10,13 @@
 /** Larger numbers are rejected as corrupt; sums of many numbers up to this stay exact. */
 constexpr std::uint64_t maxReportedNumber = 1'000'000'000'000'000;
 
-void encodeClassDemand(const WorkspaceUse &use, gateway::v1::WorkspaceUse &message);
+void encodeClassDemand(const WorkspaceUse &usage, gateway::v1::WorkspaceUse &message);
 
 /**
- * Sets the demand by class of `use`. Invalid demand leaves it empty and returns false: all that
+ * Sets the demand by class of `usage`. Invalid demand leaves it empty and returns false: all that
  * `message` requests then counts towards the last class. An older version sends none, which is
  * valid.
  */
-bool decodeClassDemand(const gateway::v1::WorkspaceUse &message, WorkspaceUse &use);
+bool decodeClassDemand(const gateway::v1::WorkspaceUse &message, WorkspaceUse &usage);
 
 } // namespace monsoonbay
--- a/libs/gateway/src/GatewayPeers.cpp
+++ b/libs/gateway/src/GatewayPeers.cpp
@@ -49,9 +49,9 @@
     }
 
     grpc::ServerUnaryReactor *AskWord(grpc::CallbackServerContext *call,
-                                      const v1::WordRequest *request, v1::Word *word) override
+                                      const v1::WordRequest *request, v1::Word *reply) override
     {
-        return this->answerAtOnce(call, request, word, this->handlers.leaseConfirmation);
+        return this->answerAtOnce(call, request, reply, this->handlers.leaseConfirmation);
     }
 
     grpc::ServerUnaryReactor *NoteUse(grpc::CallbackServerContext *call, const v1::UseNote *report,
--- a/libs/gateway/src/PeerCodec.cpp
+++ b/libs/gateway/src/PeerCodec.cpp
@@ -162,76 +162,76 @@
     return decline;
 }
 
-void encodeUse(const std::string &target, const TargetUsage &use, v1::EngineUse &message)
+void encodeTargetUsage(const std::string &target, const TargetUsage &usage, v1::EngineUse &message)
 {
     message.set_target(target);
-    message.set_waiting_tokens(wholeTokens(use.waitingTokens));
-    message.set_held_tokens(wholeTokens(use.heldTokens));
-    message.set_runs(use.runs);
-    message.set_busy_slots(use.busySlots);
-    message.set_faults(static_cast<std::uint32_t>(std::max(use.failures, 0)));
-    message.set_goods(static_cast<std::uint32_t>(std::max(use.successes, 0)));
-    message.set_quick_runs(use.shortObjectiveRuns);
+    message.set_waiting_tokens(wholeTokens(usage.waitingTokens));
+    message.set_held_tokens(wholeTokens(usage.heldTokens));
+    message.set_runs(usage.runs);
+    message.set_busy_slots(usage.busySlots);
+    message.set_faults(static_cast<std::uint32_t>(std::max(usage.failures, 0)));
+    message.set_goods(static_cast<std::uint32_t>(std::max(usage.successes, 0)));
+    message.set_quick_runs(usage.shortObjectiveRuns);
 }
 
-void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &use,
+void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &usage,
                         v1::WorkspaceUse &message)
 {
     message.set_workspace(workspace);
-    message.set_units(static_cast<std::uint64_t>(std::max<std::int64_t>(use.unitsInWindow, 0)));
+    message.set_units(static_cast<std::uint64_t>(std::max<std::int64_t>(usage.unitsInWindow, 0)));
     message.set_asked_per_second(
-        static_cast<std::uint64_t>(std::max<std::int64_t>(use.requestedPerSecond, 0)));
-    encodeClassDemand(use, message);
+        static_cast<std::uint64_t>(std::max<std::int64_t>(usage.requestedPerSecond, 0)));
+    encodeClassDemand(usage, message);
 }
 
 namespace {
 
 /** False if the classes in `message` are invalid. */
-bool decodeInto(const v1::WorkspaceUse &message, WorkspaceUse &use)
+bool decodeInto(const v1::WorkspaceUse &message, WorkspaceUse &usage)
 {
-    use.unitsInWindow =
+    usage.unitsInWindow =
         static_cast<std::int64_t>(std::min<std::uint64_t>(message.units(), maxReportedNumber));
-    use.requestedPerSecond = static_cast<std::int64_t>(
+    usage.requestedPerSecond = static_cast<std::int64_t>(
         std::min<std::uint64_t>(message.asked_per_second(), maxReportedNumber));
-    return decodeClassDemand(message, use);
+    return decodeClassDemand(message, usage);
 }
 
 } // namespace
 
 WorkspaceUse decodeWorkspaceUse(const v1::WorkspaceUse &message)
 {
-    WorkspaceUse use;
-    decodeInto(message, use);
-    return use;
+    WorkspaceUse usage;
+    decodeInto(message, usage);
+    return usage;
 }
 
 WorkspaceUses decodeWorkspaceUses(const google::protobuf::RepeatedPtrField<v1::WorkspaceUse> &all,
                                   const v1::Vm &from)
 {
-    WorkspaceUses uses;
+    WorkspaceUses usages;
     std::string invalid;
     for (const v1::WorkspaceUse &message : all) {
-        WorkspaceUse use;
-        if (!decodeInto(message, use))
+        WorkspaceUse usage;
+        if (!decodeInto(message, usage))
             invalid = message.workspace();
-        uses[message.workspace()] = use;
+        usages[message.workspace()] = usage;
     }
     if (!invalid.empty())
         logEvent(EventId::UseMalformed, {{"peer", from.name()}, {"workspace", invalid}});
-    return uses;
+    return usages;
 }
 
-TargetUsage decodeUse(const v1::EngineUse &message)
+TargetUsage decodeTargetUsage(const v1::EngineUse &message)
 {
-    TargetUsage use;
-    use.waitingTokens = static_cast<double>(message.waiting_tokens());
-    use.heldTokens = static_cast<double>(message.held_tokens());
-    use.runs = message.runs();
-    use.busySlots = message.busy_slots();
-    use.failures = static_cast<int>(message.faults());
-    use.successes = static_cast<int>(message.goods());
-    use.shortObjectiveRuns = message.quick_runs();
-    return use;
+    TargetUsage usage;
+    usage.waitingTokens = static_cast<double>(message.waiting_tokens());
+    usage.heldTokens = static_cast<double>(message.held_tokens());
+    usage.runs = message.runs();
+    usage.busySlots = message.busy_slots();
+    usage.failures = static_cast<int>(message.faults());
+    usage.successes = static_cast<int>(message.goods());
+    usage.shortObjectiveRuns = message.quick_runs();
+    return usage;
 }
 
 void encodeTarget(const std::string &target, const SharedTarget &sharedTarget, v1::Target &message)
--- a/libs/gateway/src/PeerCodec.h
+++ b/libs/gateway/src/PeerCodec.h
@@ -34,8 +34,9 @@
 LoadDecline decodeDecline(const gateway::v1::LoadReply &reply);
 
 /** Without the adapters in use: only the engine's lease holder gets them, see UsageReports.h. */
-void encodeUse(const std::string &target, const TargetUsage &use, gateway::v1::EngineUse &message);
-void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &use,
+void encodeTargetUsage(const std::string &target, const TargetUsage &usage,
+                       gateway::v1::EngineUse &message);
+void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &usage,
                         gateway::v1::WorkspaceUse &message);
 WorkspaceUse decodeWorkspaceUse(const gateway::v1::WorkspaceUse &message);
 /** All entries of one message; logs one event if some of them are invalid. */
@@ -43,7 +44,7 @@
 decodeWorkspaceUses(const google::protobuf::RepeatedPtrField<gateway::v1::WorkspaceUse> &all,
                     const gateway::v1::Vm &from);
 
-TargetUsage decodeUse(const gateway::v1::EngineUse &message);
+TargetUsage decodeTargetUsage(const gateway::v1::EngineUse &message);
 
 void encodeTarget(const std::string &target, const SharedTarget &sharedTarget,
                   gateway::v1::Target &message);
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -151,7 +151,7 @@
     const bool wholeZone = !zonePeer && !peer.zone.empty();
     report->set_vms(static_cast<std::uint32_t>(wholeZone ? zoneVms(node) : ownVms(node)));
     for (const auto &[target, usage] : wholeZone ? zoneUsages(node) : ownUsages(node))
-        encodeUse(target, usage, *report->add_uses());
+        encodeTargetUsage(target, usage, *report->add_uses());
     for (const auto &[workspace, usage] :
          wholeZone ? zoneWorkspaceUsage(node, now) : ownWorkspaceUsage(node, now))
         encodeWorkspaceUse(workspace, usage, *report->add_workspaces());
@@ -217,7 +217,7 @@
     addUsages(others, node.relayState.others);
     addUsages(others, ownUsages(node));
     for (const auto &[target, usage] : others)
-        encodeUse(target, usage, *digest.add_others());
+        encodeTargetUsage(target, usage, *digest.add_others());
     digest.set_vms(static_cast<std::uint32_t>(liveGateways(node)));
     WorkspaceUses workspaces = workspacesExcept(node.reported, requester.endpoint.text());
     addUsages(workspaces, ownWorkspaceUsage(node, BootClock::now()));
@@ -339,7 +339,7 @@
         usages.at = now;
         usages.vms = static_cast<int>(report.vms());
         for (const v1::EngineUse &message : report.uses())
-            usages.targets[message.target()] = decodeUse(message);
+            usages.targets[message.target()] = decodeTargetUsage(message);
         usages.workspaces = decodeWorkspaceUses(report.workspaces(), report.from());
         usages.unitsByAge = decodeUnitsByAge(report);
         // A VM that is not a relay gets the usage of other zones from its relay; a second source
@@ -422,7 +422,7 @@
     node.relayState.linkedZonePeers = static_cast<int>(digest.linked_mates());
     node.relayState.others.clear();
     for (const v1::EngineUse &message : digest.others())
-        node.relayState.others[message.target()] = decodeUse(message);
+        node.relayState.others[message.target()] = decodeTargetUsage(message);
     node.relayState.reachableVms = static_cast<int>(digest.vms_in_touch());
     node.relayState.otherWorkspaces = decodeWorkspaceUses(digest.other_workspaces(), digest.from());
 }
--- a/libs/gateway/src/PrefillReservation.cpp
+++ b/libs/gateway/src/PrefillReservation.cpp
@@ -64,7 +64,7 @@
     return wanted;
 }
 
-/** The engine's lease holder; null if there is none, or it did not answer lately. */
+/** The engine's lease holder; null if there is none, or it did not answer recently. */
 const PeerState *askableHolder(const GatewayNode &node, const std::string &target, Instant now)
 {
     const PeerState *holder = holderOf(node, target);
--- a/libs/gateway/src/PrefixSharing.cpp
+++ b/libs/gateway/src/PrefixSharing.cpp
@@ -22,14 +22,14 @@
 
 } // namespace
 
-double cachedInEngine(const ActiveCall &call, const TargetEntry &engine, const TargetUsage &use,
+double cachedInEngine(const ActiveCall &call, const TargetEntry &engine, const TargetUsage &usage,
                       double kvTokens)
 {
     if (call.prefixes.empty())
         return 0;
     PrefixIndex &index = call.node.prefixes.table;
     const std::uint64_t key = engineKey(engine.id, engine.startTime);
-    evictToFit(index, key, prefixCacheCapacity(kvTokens, use.heldTokens));
+    evictToFit(index, key, prefixCacheCapacity(kvTokens, usage.heldTokens));
     return cachedPrefixTokens(index, key, call.prefixes);
 }
 
--- a/libs/gateway/src/PrefixSharing.h
+++ b/libs/gateway/src/PrefixSharing.h
@@ -7,7 +7,7 @@
 namespace monsoonbay {
 
 /** Tokens of the call's prompt that an engine with `kvTokens` of KV cache is believed to hold. */
-double cachedInEngine(const ActiveCall &call, const TargetEntry &engine, const TargetUsage &use,
+double cachedInEngine(const ActiveCall &call, const TargetEntry &engine, const TargetUsage &usage,
                       double kvTokens);
 
 /** Drops the prefixes of an adapter that an engine has unloaded or replaced. */
--- a/libs/gateway/src/TargetPool.cpp
+++ b/libs/gateway/src/TargetPool.cpp
@@ -83,9 +83,9 @@
     asio::steady_timer limit(context, timeout);
     limit.async_wait(
         [weak = std::weak_ptr<TargetConnection>(connection)](boost::system::error_code cancelled) {
-            const TargetConnectionPtr late = weak.lock();
-            if (!cancelled && late)
-                closeConnection(*late);
+            const TargetConnectionPtr timedOut = weak.lock();
+            if (!cancelled && timedOut)
+                closeConnection(*timedOut);
         });
     const tcp::endpoint address(asio::ip::make_address(endpoint.address), endpoint.port);
     auto [error] = co_await connection->socket.async_connect(address, nothrowAwaitable);
--- a/libs/gateway/tests/ConfigDownloads.cpp
+++ b/libs/gateway/tests/ConfigDownloads.cpp
@@ -101,13 +101,13 @@
 Test(config_reading, received_parts_are_kept_when_the_source_changes)
 {
     GatewayNode relay(settingsOf("relay"));
-    GatewayNode zonePeer(settingsOf("mate"));
+    GatewayNode zonePeer(settingsOf("zone-peer"));
     GatewayNode reader(settingsOf("reader"));
     const std::string document = longDocument(4, 200000);
     putInForce(relay, document);
     putInForce(zonePeer, document);
     PeerState &first = addZonePeer(reader, "relay", 2, 4);
-    PeerState &second = addZonePeer(reader, "mate", 1, 4);
+    PeerState &second = addZonePeer(reader, "zone-peer", 1, 4);
     int parts = 0;
     for (; parts < 5; ++parts)
         applyConfigPart(reader, first, answerConfigRequest(relay, nextConfigRequest(reader)));
@@ -122,9 +122,9 @@
 // yet.
 Test(config_reading, a_zone_peer_with_an_older_version_than_reported_is_not_asked_again)
 {
-    GatewayNode restarted(settingsOf("reborn"));
+    GatewayNode restarted(settingsOf("restarted"));
     GatewayNode reader(settingsOf("reader"));
-    PeerState &peer = addZonePeer(reader, "reborn", 1, 9);
+    PeerState &peer = addZonePeer(reader, "restarted", 1, 9);
     cr_assert_not_null(chooseConfigSource(reader, BootClock::now()));
     applyConfigPart(reader, peer, answerConfigRequest(restarted, nextConfigRequest(reader)));
     cr_assert_null(chooseConfigSource(reader, BootClock::now()));
@@ -178,7 +178,7 @@
 Test(config_reading, a_route_is_not_called_unknown_while_another_vm_has_a_newer_configuration)
 {
     GatewayNode relay(settingsOf("relay"));
-    GatewayNode zonePeer(settingsOf("mate"));
+    GatewayNode zonePeer(settingsOf("zone-peer"));
     putInForce(relay, longDocument(2, 100));
     putInForce(zonePeer, longDocument(1, 100));
     cr_assert_eq(refusalWithoutRoute(zonePeer).status, 404);
