--- a/libs/gateway/src/RelayLoops.cpp
+++ b/libs/gateway/src/RelayLoops.cpp
@@ -67,7 +67,10 @@
     return std::max(minZoneInterval, zoneIntervalPerVm * liveGateways(node));
 }
 
-/** Peers of which only the address is known, and that may be asked now. */
+/**
+ * Peers of which only the address is known, and that may be asked now. They are needed while this
+ * VM starts, or has not read the store's list of VMs.
+ */
 std::vector<Endpoint> unidentifiedPeers(const GatewayNode &node, Instant now)
 {
     std::vector<Endpoint> found;
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -196,8 +196,7 @@
 
 namespace {
 
-/** One exchange, in which `requester` applies the answer of `relay`; true if there are more
- * changes. */
+/** One exchange: `requester` applies the answer of `relay`; true if there are more changes. */
 bool exchangeOnce(GatewayNode &requester, GatewayNode &relay, std::uint64_t sequence,
                   bool upstream = true)
 {
