--- a/libs/gateway/src/PeerCodec.cpp
+++ b/libs/gateway/src/PeerCodec.cpp
@@ -29,14 +29,14 @@
 } // namespace
 
 void encodeVm(const std::string &name, const Endpoint &endpoint, std::uint64_t boot,
-              const SharedVm &fact, v1::Vm &vm)
+              const SharedVm &sharedVm, v1::Vm &vm)
 {
     vm.set_name(name);
     vm.set_address(endpoint.address);
     vm.set_port(endpoint.port);
     vm.set_boot(boot);
-    vm.set_zone(fact.zone);
-    vm.set_capacity(fact.capacity);
+    vm.set_zone(sharedVm.zone);
+    vm.set_capacity(sharedVm.capacity);
 }
 
 void encodeSelf(const GatewayNode &node, v1::Vm &vm)
@@ -53,11 +53,11 @@
 
 SharedVm decodeVm(const v1::Vm &vm)
 {
-    SharedVm fact;
-    fact.name = vm.name();
-    fact.zone = vm.zone();
-    fact.capacity = vm.capacity();
-    return fact;
+    SharedVm sharedVm;
+    sharedVm.name = vm.name();
+    sharedVm.zone = vm.zone();
+    sharedVm.capacity = vm.capacity();
+    return sharedVm;
 }
 
 void encodeEngine(const std::string &target, const EngineRecord &record, v1::EngineState &state)
@@ -162,85 +162,85 @@
     return decline;
 }
 
-void encodeUse(const std::string &target, const TargetUsage &use, v1::EngineUse &message)
+void encodeTargetUsage(const std::string &target, const TargetUsage &usage, v1::EngineUse &message)
 {
     message.set_target(target);
-    message.set_waiting_tokens(wholeTokens(use.waitingTokens));
-    message.set_held_tokens(wholeTokens(use.heldTokens));
-    message.set_runs(use.runs);
-    message.set_busy_slots(use.busySlots);
-    message.set_faults(static_cast<std::uint32_t>(std::max(use.failures, 0)));
-    message.set_goods(static_cast<std::uint32_t>(std::max(use.successes, 0)));
-    message.set_quick_runs(use.shortObjectiveRuns);
+    message.set_waiting_tokens(wholeTokens(usage.waitingTokens));
+    message.set_held_tokens(wholeTokens(usage.heldTokens));
+    message.set_runs(usage.runs);
+    message.set_busy_slots(usage.busySlots);
+    message.set_faults(static_cast<std::uint32_t>(std::max(usage.failures, 0)));
+    message.set_goods(static_cast<std::uint32_t>(std::max(usage.successes, 0)));
+    message.set_quick_runs(usage.shortObjectiveRuns);
 }
 
-void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &use,
+void encodeWorkspaceUse(const std::string &workspace, const WorkspaceUse &usage,
                         v1::WorkspaceUse &message)
 {
     message.set_workspace(workspace);
-    message.set_units(static_cast<std::uint64_t>(std::max<std::int64_t>(use.unitsInWindow, 0)));
+    message.set_units(static_cast<std::uint64_t>(std::max<std::int64_t>(usage.unitsInWindow, 0)));
     message.set_asked_per_second(
-        static_cast<std::uint64_t>(std::max<std::int64_t>(use.requestedPerSecond, 0)));
-    encodeClassDemand(use, message);
+        static_cast<std::uint64_t>(std::max<std::int64_t>(usage.requestedPerSecond, 0)));
+    encodeClassDemand(usage, message);
 }
 
 namespace {
 
 /** False if the classes in `message` are invalid. */
-bool decodeInto(const v1::WorkspaceUse &message, WorkspaceUse &use)
+bool decodeInto(const v1::WorkspaceUse &message, WorkspaceUse &usage)
 {
-    use.unitsInWindow =
+    usage.unitsInWindow =
         static_cast<std::int64_t>(std::min<std::uint64_t>(message.units(), maxReportedNumber));
-    use.requestedPerSecond = static_cast<std::int64_t>(
+    usage.requestedPerSecond = static_cast<std::int64_t>(
         std::min<std::uint64_t>(message.asked_per_second(), maxReportedNumber));
-    return decodeClassDemand(message, use);
+    return decodeClassDemand(message, usage);
 }
 
 } // namespace
 
 WorkspaceUse decodeWorkspaceUse(const v1::WorkspaceUse &message)
 {
-    WorkspaceUse use;
-    decodeInto(message, use);
-    return use;
+    WorkspaceUse usage;
+    decodeInto(message, usage);
+    return usage;
 }
 
 WorkspaceUses decodeWorkspaceUses(const google::protobuf::RepeatedPtrField<v1::WorkspaceUse> &all,
                                   const v1::Vm &from)
 {
-    WorkspaceUses uses;
+    WorkspaceUses usages;
     std::string invalid;
     for (const v1::WorkspaceUse &message : all) {
-        WorkspaceUse use;
-        if (!decodeInto(message, use))
+        WorkspaceUse usage;
+        if (!decodeInto(message, usage))
             invalid = message.workspace();
-        uses[message.workspace()] = use;
+        usages[message.workspace()] = usage;
     }
     if (!invalid.empty())
         logEvent(EventId::UseMalformed, {{"peer", from.name()}, {"workspace", invalid}});
-    return uses;
+    return usages;
 }
 
-TargetUsage decodeUse(const v1::EngineUse &message)
+TargetUsage decodeTargetUsage(const v1::EngineUse &message)
 {
-    TargetUsage use;
-    use.waitingTokens = static_cast<double>(message.waiting_tokens());
-    use.heldTokens = static_cast<double>(message.held_tokens());
-    use.runs = message.runs();
-    use.busySlots = message.busy_slots();
-    use.failures = static_cast<int>(message.faults());
-    use.successes = static_cast<int>(message.goods());
-    use.shortObjectiveRuns = message.quick_runs();
-    return use;
+    TargetUsage usage;
+    usage.waitingTokens = static_cast<double>(message.waiting_tokens());
+    usage.heldTokens = static_cast<double>(message.held_tokens());
+    usage.runs = message.runs();
+    usage.busySlots = message.busy_slots();
+    usage.failures = static_cast<int>(message.faults());
+    usage.successes = static_cast<int>(message.goods());
+    usage.shortObjectiveRuns = message.quick_runs();
+    return usage;
 }
 
-void encodeTarget(const std::string &target, const SharedTarget &fact, v1::Target &message)
+void encodeTarget(const std::string &target, const SharedTarget &sharedTarget, v1::Target &message)
 {
     message.set_id(target);
-    message.set_gone(fact.gone);
-    if (fact.gone)
+    message.set_gone(sharedTarget.gone);
+    if (sharedTarget.gone)
         return;
-    const TargetEntry &entry = fact.entry;
+    const TargetEntry &entry = sharedTarget.entry;
     message.set_service(entry.service);
     message.set_address(entry.endpoint.address);
     message.set_port(entry.endpoint.port);
@@ -249,7 +249,7 @@
     message.set_leaving(entry.leaving);
     message.set_born(entry.startTime);
     message.set_software(entry.software);
-    message.set_lapsed(fact.expired);
+    message.set_lapsed(sharedTarget.expired);
     for (const std::string &model : entry.models)
         message.add_models(model);
     for (const HeldAdapter &held : entry.adapters) {
@@ -261,21 +261,22 @@
 
 SharedTarget decodeTarget(const v1::Target &message)
 {
-    SharedTarget fact;
-    fact.gone = message.gone();
-    fact.expired = message.lapsed();
-    fact.entry.id = message.id();
-    fact.entry.service = message.service();
-    fact.entry.endpoint = {message.address(), portOf(message.port())};
-    fact.entry.zone = message.zone();
-    fact.entry.slots = message.slots();
-    fact.entry.leaving = message.leaving();
-    fact.entry.startTime = message.born();
-    fact.entry.software = message.software();
-    fact.entry.models = std::vector<std::string>(message.models().begin(), message.models().end());
+    SharedTarget sharedTarget;
+    sharedTarget.gone = message.gone();
+    sharedTarget.expired = message.lapsed();
+    sharedTarget.entry.id = message.id();
+    sharedTarget.entry.service = message.service();
+    sharedTarget.entry.endpoint = {message.address(), portOf(message.port())};
+    sharedTarget.entry.zone = message.zone();
+    sharedTarget.entry.slots = message.slots();
+    sharedTarget.entry.leaving = message.leaving();
+    sharedTarget.entry.startTime = message.born();
+    sharedTarget.entry.software = message.software();
+    sharedTarget.entry.models =
+        std::vector<std::string>(message.models().begin(), message.models().end());
     for (const v1::Slot &slot : message.adapters())
-        fact.entry.adapters.push_back({slot.adapter(), slot.version()});
-    return fact;
+        sharedTarget.entry.adapters.push_back({slot.adapter(), slot.version()});
+    return sharedTarget;
 }
 
 void encodeRelease(const PartitionRelease &release, Instant now, v1::Released &message)
--- a/libs/gateway/src/TargetExchange.cpp
+++ b/libs/gateway/src/TargetExchange.cpp
@@ -114,7 +114,7 @@
 {
     if (this->parser->need_eof())
         return BodyDelimiter::CloseDelimited;
-    return this->targetId.empty() ? readForwardReport(this->head()).end
+    return this->targetId.empty() ? readForwardReport(this->head()).delimiter
                                   : BodyDelimiter::SelfDelimited;
 }
 
@@ -133,9 +133,9 @@
     return this->parser->get();
 }
 
-const AnswerMetadata &TargetExchange::facts() const noexcept
+const AnswerMetadata &TargetExchange::metadata() const noexcept
 {
-    return this->answerFacts;
+    return this->answerMetadata;
 }
 
 asio::awaitable<bool> TargetExchange::connect()
@@ -169,9 +169,9 @@
     asio::steady_timer limit(this->node.context, replyTimeout);
     limit.async_wait(
         [weak = std::weak_ptr<TargetConnection>(this->link)](boost::system::error_code cancelled) {
-            const TargetConnectionPtr late = weak.lock();
-            if (!cancelled && late)
-                closeConnection(*late);
+            const TargetConnectionPtr connection = weak.lock();
+            if (!cancelled && connection)
+                closeConnection(*connection);
         });
     auto [error, bytes] =
         co_await http::async_write_header(this->link->socket, *this->rest, nothrowAwaitable);
@@ -203,8 +203,8 @@
         const bool read = co_await this->readHead();
         if (!read)
             co_return false;
-        const bool isOwn =
-            this->answerFacts.attemptId.empty() || this->answerFacts.attemptId == this->attemptId;
+        const bool isOwn = this->answerMetadata.attemptId.empty()
+            || this->answerMetadata.attemptId == this->attemptId;
         if (isOwn)
             co_return true;
         // A second answer to an earlier call on this connection: no call waits for it.
@@ -232,7 +232,7 @@
         this->lastError = error;
         co_return false;
     }
-    this->answerFacts =
+    this->answerMetadata =
         this->node.platform->readAnswerMetadata(this->status(), this->parser->get());
     co_return true;
 }
--- a/libs/gateway/tests/Waiting.cpp
+++ b/libs/gateway/tests/Waiting.cpp
@@ -62,7 +62,7 @@
         call.routes = this->node.routes;
         call.route = &this->routes.back();
         call.service = "engines";
-        call.facts.adapter = "m/" + std::to_string(this->calls.size());
+        call.metadata.adapter = "m/" + std::to_string(this->calls.size());
         call.deadline = BootClock::now() + 60s;
         startCapacityWait(call);
         // Long enough for a busy machine.
@@ -128,7 +128,7 @@
 }
 
 // Guards against a call that waits for a slot although another call's load brought its adapter.
-Test(waiting, a_call_whose_adapter_is_there_is_woken_without_a_slot)
+Test(waiting, a_call_whose_adapter_is_resident_is_woken_without_a_slot)
 {
     WaitingCalls waitingCalls;
     waitingCalls.useSlots(2);
