--- a/tests/src/TestCluster.h
+++ b/tests/src/TestCluster.h
@@ -73,7 +73,8 @@
     /** Disconnects after the first piece of a streamed answer; false if none arrived. */
     bool disconnectMidStream(const TestRequest &request, std::size_t vm);
 
-    /** Sends bytes to the callers' port, closes the sending side, and waits for an answer. */
+    /** Sends bytes to the callers' port, closes the sending side, and waits for an answer or a
+     * close. */
     void sendBytes(const std::string &bytes, std::size_t vm);
 
     Json status(std::size_t vm = 0);
