--- a/tools/capacity/src/Main.cpp
+++ b/tools/capacity/src/Main.cpp
@@ -346,28 +346,28 @@
 }
 
 /** A state update of one target, for measuring its encoded size. */
-v1::TargetNews targetNews(int slots)
-{
-    v1::TargetNews news;
-    news.set_target(~0ULL);
-    news.set_owner(~0ULL);
-    news.set_token(1ULL << 40U);
-    news.set_version(1 << 20);
-    news.set_running(12);
-    news.set_usable(true);
+v1::TargetNews targetUpdate(int slots)
+{
+    v1::TargetNews update;
+    update.set_target(~0ULL);
+    update.set_owner(~0ULL);
+    update.set_token(1ULL << 40U);
+    update.set_version(1 << 20);
+    update.set_running(12);
+    update.set_usable(true);
     for (int slot = 0; slot < slots; ++slot)
-        news.add_resident(~0ULL - static_cast<std::uint64_t>(slot));
+        update.add_resident(~0ULL - static_cast<std::uint64_t>(slot));
     for (int slot = 0; slot < slots / 2; ++slot)
-        news.add_pinned(~0ULL);
-    return news;
+        update.add_pinned(~0ULL);
+    return update;
 }
 
-LinearFit measureNewsBytes()
+LinearFit measureUpdateBytes()
 {
     std::vector<Point> points;
     for (const int slots : {4, 8, 16})
         points.push_back(
-            {static_cast<double>(slots), static_cast<double>(targetNews(slots).ByteSizeLong())});
+            {static_cast<double>(slots), static_cast<double>(targetUpdate(slots).ByteSizeLong())});
     return fitLine("news of one target, bytes", "slot", "B", points);
 }
 
@@ -381,14 +381,14 @@
 }
 
 /** Sends `count` empty state updates to a peer, one after the other. */
-void sendEmptyNews(PeerClient &client, const Endpoint &peer, int count)
+void sendEmptyUpdates(PeerClient &client, const Endpoint &peer, int count)
 {
     asio::io_context context(1);
     const auto sendAll = [&]() -> asio::awaitable<void> {
         for (int number = 0; number < count; ++number) {
-            v1::PeerNews news;
+            v1::PeerNews update;
             const Duration timeout = std::chrono::seconds(5);
-            co_await client.tell(peer, std::move(news), timeout);
+            co_await client.tell(peer, std::move(update), timeout);
         }
     };
     // The context has no work while a gRPC call is in progress; the guard keeps it running until
@@ -428,7 +428,7 @@
     std::vector<std::unique_ptr<PeerClient>> clients;
     const auto addOne = [&] {
         clients.push_back(std::make_unique<PeerClient>());
-        sendEmptyNews(*clients.back(), peer.endpoint(), 1);
+        sendEmptyUpdates(*clients.back(), peer.endpoint(), 1);
     };
     addOne(); // leaves out what gRPC allocates once per process
     double total = 0;
@@ -445,15 +445,15 @@
 /** Size of a membership probe that carries the state of three members. */
 double measureProbeBytes()
 {
-    v1::PeerNews news;
-    news.set_vm("zone-a-entry-101");
-    news.set_zone("zone-a");
-    news.set_incarnation(1ULL << 41U);
-    news.set_manifest_offset(1 << 24);
-    news.set_manifest_digest(std::string(32, 'f'));
-    news.set_highest_token(1 << 24);
+    v1::PeerNews update;
+    update.set_vm("zone-a-entry-101");
+    update.set_zone("zone-a");
+    update.set_incarnation(1ULL << 41U);
+    update.set_manifest_offset(1 << 24);
+    update.set_manifest_digest(std::string(32, 'f'));
+    update.set_highest_token(1 << 24);
     for (int index = 0; index < 3; ++index) {
-        v1::MemberNews *member = news.add_members();
+        v1::MemberNews *member = update.add_members();
         member->set_vm(~0ULL);
         member->set_name("zone-a-entry-101");
         member->set_zone("zone-a");
@@ -461,7 +461,7 @@
         member->set_port(8081);
         member->set_incarnation(1ULL << 41U);
     }
-    return static_cast<double>(news.ByteSizeLong());
+    return static_cast<double>(update.ByteSizeLong());
 }
 
 /** What one entry VM spends on a role at the planned size. */
@@ -500,7 +500,7 @@
     LinearFit membershipTick = measureMembershipTick();
     LinearFit ownershipTick = measureOwnershipTick();
     LinearFit keys = measureKeyMemory();
-    LinearFit news = measureNewsBytes();
+    LinearFit update = measureUpdateBytes();
     double request = measureRequestDecisionTime();
     LinearFit channel = measureChannelMemory();
     double idleDecide = measureIdleDecideTime();
@@ -523,8 +523,8 @@
     // A slot changes when a load begins and when it ends.
     const double slotChangesPerSecond = 2 * activationsPerSecond;
     const double restartedSlotsPerSecond = size.restartsPerDay / 86400 * size.slotsPerEngine;
-    const double newsPerSecond = slotChangesPerSecond + restartedSlotsPerSecond;
-    const double newsBytes = predict(measured.news, size.slotsPerEngine);
+    const double updatesPerSecond = slotChangesPerSecond + restartedSlotsPerSecond;
+    const double updateBytes = predict(measured.update, size.slotsPerEngine);
     // Frames and headers of a small gRPC message on an open connection; assumed, not measured.
     constexpr double framingBytes = 120;
     const double requestsPerEntryVm = size.requestsPerSecond / size.entryVms;
@@ -545,14 +545,15 @@
                      "the same for any number of VMs but for the tick"});
     costs.push_back({"directory, whole fleet", "news of every change to every node",
                      predict(measured.directory, size.engines),
-                     newsPerSecond * predict(measured.apply, size.slotsPerEngine) * us,
-                     newsPerSecond * (newsBytes + framingBytes), "changes only"});
+                     updatesPerSecond * predict(measured.apply, size.slotsPerEngine) * us,
+                     updatesPerSecond * (updateBytes + framingBytes), "changes only"});
     costs.push_back({"directory, loads and pins of the zone", "every 300 ms as today", 0,
                      enginesPerZone / 0.3 * predict(measured.apply, size.slotsPerEngine) * us,
-                     enginesPerZone / 0.3 * newsBytes, "BREAKS the budget if broadcast as today"});
+                     enginesPerZone / 0.3 * updateBytes,
+                     "BREAKS the budget if broadcast as today"});
     costs.push_back({"directory, loads and pins by need",
                      "to the coordinator only, every 2 s, batched by owner", 0, 0,
-                     enginesPerOwner / 2 * newsBytes, "what the growth needs instead"});
+                     enginesPerOwner / 2 * updateBytes, "what the growth needs instead"});
     costs.push_back({"load permits (coordinator)", "one a region, soft state",
                      predict(measured.demand, size.adapters) + size.engines / 3 * 200,
                      activationsPerSecond / 3 * predict(measured.decide, size.engines / 3) * us,
@@ -584,7 +585,7 @@
          {&measured.demand, &measured.manifest, &measured.delta, &measured.check,
           &measured.directory, &measured.route, &measured.apply, &measured.decide,
           &measured.membership, &measured.membershipTick, &measured.ownershipTick, &measured.keys,
-          &measured.news, &measured.channel})
+          &measured.update, &measured.channel})
         std::cout << fitRow(*fit);
     std::cout << "\nOne request's decisions (admission, life): " << std::setprecision(3)
               << measured.request << " us. A probe between peers: " << measured.probe
