--- a/libs/serving/include/serving/EngineChoice.h
+++ b/libs/serving/include/serving/EngineChoice.h
@@ -96,7 +96,7 @@
     double promptTokensPerMs = 38.4;
     /**
      * An engine that held the adapter recently is preferred if it costs at most this many load
-     * times more, because fetching the weights again has to be paid for.
+     * times more than the cheapest one, because fetching the weights again has to be paid for.
      */
     double maxWarmExtraLoads = 1.5;
     /** Cost of one more running call to the others, ms: it lengthens each step a little. */
@@ -116,7 +116,7 @@
     double pauseShare = 0.52;
     /** Cost per running stream, ms, if the prefill is twice as long as that share allows. */
     double pausePenaltyMs = 10;
-    /** A preferred engine is passed over if it costs more than this many load times extra. */
+    /** A preferred engine may cost at most this many load times more than the cheapest one. */
     double maxSpillLoads = 1.7;
     /** Share of the engine's KV cache that running calls may fill. */
     double memoryShare = 0.9;
--- a/libs/serving/include/serving/HostCopies.h
+++ b/libs/serving/include/serving/HostCopies.h
@@ -19,7 +19,10 @@
     auto operator<=>(const HostRetention &) const = default;
 };
 
-/** Adapters that an engine held, and how long ago they were loaded or evicted. */
+/**
+ * Adapters that an engine held, and how long ago each was last touched, that is, loaded into a slot
+ * or evicted from it.
+ */
 struct HostCopies
 {
     std::unordered_map<std::string, std::uint64_t> touchNumbers; ///< last touch, by adapter
--- a/libs/serving/include/serving/PrefixIndex.h
+++ b/libs/serving/include/serving/PrefixIndex.h
@@ -113,6 +113,6 @@
  * True if the time shows that the engine prefilled the whole prompt although a part of it was
  * assumed to be cached.
  */
-bool indicatesCacheMiss(const FirstEventTiming &trial, double promptTokensPerMs) noexcept;
+bool indicatesCacheMiss(const FirstEventTiming &timing, double promptTokensPerMs) noexcept;
 
 } // namespace monsoonbay
--- a/libs/serving/include/serving/ServingConfig.h
+++ b/libs/serving/include/serving/ServingConfig.h
@@ -56,12 +56,12 @@
     const Workspace *findWorkspace(const std::string &name) const;
 
     /**
-     * Smallest objective for the first event among the routes to a service; zero: none sets one.
+     * Shortest objective for the first event among the routes to a service; zero: none sets one.
      */
     Duration minObjective(const std::string &service) const;
 
     /**
-     * Smallest objective for the first event among the routes to a service that set one; nothing if
+     * Shortest objective for the first event among the routes to a service that set one; nothing if
      * all of them set the same.
      */
     std::optional<Duration> shortestObjective(const std::string &service) const;
@@ -70,7 +70,7 @@
     Duration maxResumableTimeout(const std::string &service) const;
 
 private:
-    /** Smallest and largest objective among the routes to a service. */
+    /** Shortest and longest objective among the routes to a service. */
     struct Objectives
     {
         Duration smallest{};
--- a/libs/serving/include/serving/TargetUsage.h
+++ b/libs/serving/include/serving/TargetUsage.h
@@ -17,7 +17,7 @@
                        ///< lease holder
     int failures = 0; ///< weighted recent failures, in tenths; see TargetHealth
     int successes = 0; ///< recent successful calls, in tenths
-    int shortObjectiveRuns = 0; ///< runs of the routes with the smallest latency objective, if
+    int shortObjectiveRuns = 0; ///< runs of the routes with the shortest latency objective, if
                                 ///< objectives differ
 
     bool operator==(const TargetUsage &) const = default;
--- a/libs/serving/src/CapacityQueue.cpp
+++ b/libs/serving/src/CapacityQueue.cpp
@@ -22,7 +22,7 @@
 /** A long prompt whose caller has this much time left is still useful if it is answered late. */
 constexpr Duration minLongTimeLeft = std::chrono::seconds(10);
 constexpr double longTimeLeftShare = 0.5;
-/** A prompt is long if its prefill takes this share of the smallest objective. */
+/** A prompt is long if its prefill takes this share of the shortest objective. */
 constexpr double longPromptShare = 0.25;
 
 /** Time constant of the decay of observations. */
--- a/libs/serving/src/PrefixIndex.cpp
+++ b/libs/serving/src/PrefixIndex.cpp
@@ -217,15 +217,15 @@
         divideLimit(index, index.engines.size());
 }
 
-bool indicatesCacheMiss(const FirstEventTiming &trial, double promptTokensPerMs) noexcept
+bool indicatesCacheMiss(const FirstEventTiming &timing, double promptTokensPerMs) noexcept
 {
-    if (trial.cachedPrefixTokens < minReportedTokens
-        || trial.cachedPrefixTokens < minCachedShare * trial.promptTokens)
+    if (timing.cachedPrefixTokens < minReportedTokens
+        || timing.cachedPrefixTokens < minCachedShare * timing.promptTokens)
         return false;
-    if (trial.aheadTokens > maxAheadShare * trial.cachedPrefixTokens)
+    if (timing.aheadTokens > maxAheadShare * timing.cachedPrefixTokens)
         return false;
-    const double waitedMs = 1000 * toSeconds(trial.untilFirst);
-    const double wholeMs = (trial.aheadTokens + trial.promptTokens) / promptTokensPerMs;
+    const double waitedMs = 1000 * toSeconds(timing.untilFirst);
+    const double wholeMs = (timing.aheadTokens + timing.promptTokens) / promptTokensPerMs;
     return waitedMs >= wholeMs && waitedMs <= maxPrefillTimes * wholeMs;
 }
 
--- a/libs/serving/tests/Declines.cpp
+++ b/libs/serving/tests/Declines.cpp
@@ -11,8 +11,8 @@
 
 const Instant start = Instant{} + 1000s;
 
-// Guards against a mark that stays when the holder of the lease changes, or that ends at once, so
-// that calls repeat a declined request for a load.
+// Guards against a backoff that stays when the holder of the lease changes, or that ends at once,
+// so that calls repeat a declined request for a load.
 Test(declines, marks_expire_at_the_forecast_or_after_a_second)
 {
     cr_assert(rc::check("marks", [] {
@@ -20,14 +20,14 @@
         const Duration retryIn = std::chrono::microseconds(*rc::gen::inRange(0, 3'000'000));
         const Duration after = std::chrono::milliseconds(*rc::gen::inRange(0, 2'000));
         const Duration begin = std::chrono::milliseconds(*rc::gen::inRange(20, 2'000));
-        const LoadBackoff mark = backoffAfter({reason, retryIn}, start);
+        const LoadBackoff backoff = backoffAfter({reason, retryIn}, start);
         // Reference: the announced time, limited to 20 ms to 1 s, or 250 ms if none was announced.
         Duration wait = retryIn == Duration::zero() ? Duration(250ms) : retryIn;
         wait = std::min<Duration>(std::max<Duration>(wait, 20ms), 1s);
         bool asked = after >= wait || reason == DeclineReason::NotHolder;
         if (reason == DeclineReason::QueueTooLong)
             asked = asked || after + begin >= wait;
-        RC_ASSERT(blocksLoadRequest(mark, start + after, begin) == !asked);
+        RC_ASSERT(blocksLoadRequest(backoff, start + after, begin) == !asked);
     }));
 }
 
