--- a/libs/quota/include/quota/UnitsByAge.h
+++ b/libs/quota/include/quota/UnitsByAge.h
@@ -19,7 +19,7 @@
 
 using WorkspaceUnits = std::unordered_map<std::string, UnitsByAge>; ///< by workspace
 
-UnitsByAge unitsByAge(UsageWindow &record, const QuotaPolicy &policy, Instant now);
+UnitsByAge unitsByAge(UsageWindow &usageWindow, const QuotaPolicy &policy, Instant now);
 
 /** Adds units that were reported `before` ago, which have aged since. */
 void addUnits(UnitsByAge &sum, const UnitsByAge &units, const QuotaPolicy &policy, Duration before);
--- a/libs/quota/include/quota/UsageWindow.h
+++ b/libs/quota/include/quota/UsageWindow.h
@@ -26,21 +26,22 @@
 };
 
 /** Records the demand of a call for `units`, whether it is admitted or not. */
-void recordRequested(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
+void recordRequested(UsageWindow &usageWindow, const QuotaPolicy &policy, std::int64_t units,
                      Instant now, CallClass callClass = CallClass::Rank2);
 
 /** Records the usage of an admitted call. */
-void recordUsage(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units, Instant now);
+void recordUsage(UsageWindow &usageWindow, const QuotaPolicy &policy, std::int64_t units,
+                 Instant now);
 
 /** Takes back the usage of a call that was admitted at `admittedAt` but has not run. */
-void giveBack(UsageWindow &record, const QuotaPolicy &policy, std::int64_t units,
+void giveBack(UsageWindow &usageWindow, const QuotaPolicy &policy, std::int64_t units,
               Instant admittedAt, Instant now);
 
 /** Advances the window to `now` and sums it up. */
-WorkspaceUse usageOf(UsageWindow &record, const QuotaPolicy &policy, Instant now);
+WorkspaceUse usageOf(UsageWindow &usageWindow, const QuotaPolicy &policy, Instant now);
 
 /** Units a second that were requested, as this VM reported them `before` ago. */
-double requestRateBefore(UsageWindow &record, const QuotaPolicy &policy, Duration before,
+double requestRateBefore(UsageWindow &usageWindow, const QuotaPolicy &policy, Duration before,
                          Instant now);
 
 } // namespace monsoonbay
--- a/libs/quota/src/UnitsByAge.cpp
+++ b/libs/quota/src/UnitsByAge.cpp
@@ -12,13 +12,13 @@
 
 } // namespace
 
-UnitsByAge unitsByAge(UsageWindow &record, const QuotaPolicy &policy, Instant now)
+UnitsByAge unitsByAge(UsageWindow &usageWindow, const QuotaPolicy &policy, Instant now)
 {
-    advance(record.used, policy.window, now);
+    advance(usageWindow.used, policy.window, now);
     UnitsByAge units{};
     for (std::int64_t age = 0; age < ages; ++age)
         units[static_cast<std::size_t>(age)] =
-            sumOf(record.used, age * partsPerAge, (age + 1) * partsPerAge - 1);
+            sumOf(usageWindow.used, age * partsPerAge, (age + 1) * partsPerAge - 1);
     return units;
 }
 
--- a/libs/quota/src/UsageSnapshot.cpp
+++ b/libs/quota/src/UsageSnapshot.cpp
@@ -59,16 +59,16 @@
     const Duration part = policy.window / ages;
     const std::int64_t halves = 2 * after / part;
     const std::int64_t starts = (permitLifetime + part - Duration(1)) / part;
-    std::int64_t least = std::numeric_limits<std::int64_t>::max();
+    std::int64_t lowest = std::numeric_limits<std::int64_t>::max();
     for (std::int64_t start = 0; start < starts; ++start) {
         const std::int64_t oldest = ages - ageUncertainty - 1 - start;
         const std::int64_t twiceYoungest = 2 * ages + 1 - 2 * start - halves;
         std::int64_t expired = 0;
         for (std::int64_t age = oldest; age >= 0 && 2 * age >= twiceYoungest; --age)
             expired += units[static_cast<std::size_t>(age)];
-        least = std::min(least, expired);
+        lowest = std::min(lowest, expired);
     }
-    return least;
+    return lowest;
 }
 
 WorkspaceUse assumedUsageAtStart(const std::string &workspace, const WorkspaceLimit &limit,
--- a/libs/quota/tests/UsageSnapshots.cpp
+++ b/libs/quota/tests/UsageSnapshots.cpp
@@ -163,7 +163,7 @@
     const FleetScenario scenario = scenarioOf(1);
     const double usable = usableInWindow(scenario.limit, scenario.policy);
     cr_assert_float_eq(assumedShare(StartupSnapshots(), 7s), 1.0, 0.001, "nothing was read");
-    cr_assert_float_eq(assumedShare(readSnapshots({}), 7s), 0.5, 0.001, "no note names it");
+    cr_assert_float_eq(assumedShare(readSnapshots({}), 7s), 0.5, 0.001, "no snapshot names it");
     SnapshotEntry entry;
     entry.percent = 80;
     cr_assert_float_eq(assumedShare(readSnapshots({{"a", entry}}), 7s), 0.8, 0.001);
