--- a/libs/access/src/Confirmation.cpp
+++ b/libs/access/src/Confirmation.cpp
@@ -11,7 +11,8 @@
 
 /**
  * Keys are accepted for this share of the bound only. The rest covers a read that reported no
- * change although there was one, as happens for about a second before a history is dropped.
+ * change although there was one, as happens for about a second before the store drops its history
+ * of changes.
  */
 constexpr double trustedShare = 0.8;
 
--- a/libs/config/include/config/Acceptance.h
+++ b/libs/config/include/config/Acceptance.h
@@ -72,7 +72,7 @@
  * Records that the first retained offset of the log is `first`. A reader that starts with an
  * untruncated log has a complete (empty) base; otherwise it needs a snapshot.
  */
-void noteLogStart(AcceptedManifest &state, std::uint64_t first);
+void recordLogStart(AcceptedManifest &state, std::uint64_t first);
 
 /** Body of a snapshot record of this state. */
 std::string writeSnapshot(const AcceptedManifest &state);
--- a/libs/config/src/Acceptance.cpp
+++ b/libs/config/src/Acceptance.cpp
@@ -187,7 +187,7 @@
     return judged;
 }
 
-void noteLogStart(AcceptedManifest &state, std::uint64_t first)
+void recordLogStart(AcceptedManifest &state, std::uint64_t first)
 {
     if (first <= 1 && state.readThrough == 0)
         state.based = true;
--- a/libs/config/tests/AcceptanceFold.cpp
+++ b/libs/config/tests/AcceptanceFold.cpp
@@ -67,7 +67,7 @@
     return content.dump();
 }
 
-RecordVerdict naiveJudge(NaiveState &state, const ManifestRecord &record)
+RecordVerdict evaluateNaively(NaiveState &state, const ManifestRecord &record)
 {
     const Json body = Json::parse(record.body);
     const std::uint64_t base = body["base"]["offset"];
@@ -118,7 +118,7 @@
 std::vector<ManifestRecord> makeLog(const std::vector<Draft> &drafts)
 {
     AcceptedManifest state;
-    noteLogStart(state, 1);
+    recordLogStart(state, 1);
     NaiveState naive;
     std::vector<ManifestRecord> log;
     std::vector<ManifestMark> marks{ManifestMark{}};
@@ -135,7 +135,7 @@
             body = log.back().body;
         log.push_back(ManifestRecord{offset, body});
         judge(state, log.back());
-        naiveJudge(naive, log.back());
+        evaluateNaively(naive, log.back());
         marks.push_back(state.mark);
     }
     return log;
@@ -144,7 +144,7 @@
 AcceptedManifest foldAll(const std::vector<ManifestRecord> &log)
 {
     AcceptedManifest state;
-    noteLogStart(state, 1);
+    recordLogStart(state, 1);
     for (const ManifestRecord &record : log)
         judge(state, record);
     return state;
@@ -160,16 +160,16 @@
 
 } // namespace
 
-Test(acceptance, agrees_with_the_naive_fold)
+Test(acceptance, agrees_with_the_naive_evaluation)
 {
     cr_assert(rc::check("naive fold", [] {
         const std::vector<ManifestRecord> log = makeLog(drawDrafts());
         AcceptedManifest state;
-        noteLogStart(state, 1);
+        recordLogStart(state, 1);
         NaiveState naive;
         for (const ManifestRecord &record : log) {
             const std::uint64_t before = state.mark.offset;
-            RC_ASSERT(judge(state, record).verdict == naiveJudge(naive, record));
+            RC_ASSERT(judge(state, record).verdict == evaluateNaively(naive, record));
             RC_ASSERT(state.mark.offset == naive.offset);
             RC_ASSERT(state.mark.offset >= before);
             RC_ASSERT(state.manifest.adapters.size() == naive.adapters.size());
@@ -200,12 +200,12 @@
     }));
 }
 
-Test(acceptance, old_news_never_moves_it_back)
+Test(acceptance, old_records_never_move_it_back)
 {
     cr_assert(rc::check("old snapshots and records", [] {
         const std::vector<ManifestRecord> log = makeLog(drawDrafts());
         AcceptedManifest state;
-        noteLogStart(state, 1);
+        recordLogStart(state, 1);
         std::vector<std::string> snapshots;
         for (const ManifestRecord &record : log) {
             judge(state, record);
@@ -223,10 +223,10 @@
 // Guards against a replaced configuration that comes back in force. B replaces A, and A' with the
 // contents of A replaces B. Then the pipeline, which lost the answer to B, appends B again. If a
 // base were identified by its contents alone, A' would match it as well as A.
-Test(acceptance, a_lost_append_sent_again_after_a_return_to_the_old_contents_is_not_taken)
+Test(acceptance, a_lost_append_sent_again_after_a_return_to_the_old_contents_is_not_accepted)
 {
     AcceptedManifest state;
-    noteLogStart(state, 1);
+    recordLogStart(state, 1);
     const std::string contentA = firstManifest(10);
     const std::string contentB = firstManifest(11);
     judge(state, {1, writePublication("manifest", {}, {}, contentA)});
@@ -239,10 +239,10 @@
     cr_assert_eq(state.mark.offset, 3);
 }
 
-Test(acceptance, a_blind_repeat_is_taken_once)
+Test(acceptance, a_blind_retry_is_accepted_once)
 {
     AcceptedManifest state;
-    noteLogStart(state, 1);
+    recordLogStart(state, 1);
     const std::string body = writePublication("manifest", {}, {}, firstManifest(3));
     cr_assert(judge(state, {1, body}).verdict == RecordVerdict::Accepted);
     cr_assert(judge(state, {2, body}).verdict == RecordVerdict::Duplicate);
@@ -251,10 +251,10 @@
 
 // Guards against merging the manifests of two operators who started from the same base, minutes
 // apart: the base of the second one has to be checked.
-Test(acceptance, the_second_of_two_racing_operators_is_told_conflict)
+Test(acceptance, the_second_of_two_racing_operators_gets_a_conflict)
 {
     AcceptedManifest state;
-    noteLogStart(state, 1);
+    recordLogStart(state, 1);
     judge(state, {1, writePublication("manifest", {}, {}, firstManifest(5))});
     const ManifestMark base = state.mark;
     judge(state, {2, writePublication("manifest", base, {}, firstManifest(6))});
@@ -267,13 +267,13 @@
 
 // Guards against a VM that applies a delta to the wrong state, because retention has removed
 // records that it had not read yet and it continues after the gap.
-Test(acceptance, over_a_gap_nothing_is_judged_before_a_snapshot)
+Test(acceptance, over_a_gap_nothing_is_evaluated_before_a_snapshot)
 {
     AcceptedManifest whole;
-    noteLogStart(whole, 1);
+    recordLogStart(whole, 1);
     judge(whole, {1, writePublication("manifest", {}, {}, firstManifest(5))});
     AcceptedManifest gapped;
-    noteLogStart(gapped, 40);
+    recordLogStart(gapped, 40);
     const std::string delta =
         R"({"putAdapters": [{"name": "x", "version": "1", "baseModel": "m"}]})";
     const ManifestRecord record{41, writePublication("delta", whole.mark, {}, delta)};
@@ -289,16 +289,16 @@
 Test(acceptance, a_delta_before_any_manifest_is_invalid)
 {
     AcceptedManifest state;
-    noteLogStart(state, 1);
+    recordLogStart(state, 1);
     const JudgedRecord judged = judge(state, {1, writePublication("delta", {}, {}, "{}")});
     cr_assert(judged.verdict == RecordVerdict::Invalid);
     cr_assert_eq(state.mark.offset, 0);
 }
 
-Test(acceptance, a_damaged_snapshot_is_not_taken)
+Test(acceptance, a_damaged_snapshot_is_not_adopted)
 {
     AcceptedManifest whole;
-    noteLogStart(whole, 1);
+    recordLogStart(whole, 1);
     judge(whole, {1, writePublication("manifest", {}, {}, firstManifest(5))});
     std::string snapshot = writeSnapshot(whole);
     const std::size_t at = snapshot.find("\"a3\"");
--- a/libs/config/tests/Documents.cpp
+++ b/libs/config/tests/Documents.cpp
@@ -38,7 +38,7 @@
     cr_assert(first.value.head == second.value.head);
 }
 
-Test(manifest, tells_every_problem_at_once_with_its_remedy)
+Test(manifest, reports_every_problem_at_once_with_its_remedy)
 {
     const Parsed<Manifest> parsed = parseManifest(R"({"format": 2, "baseModls": [],
       "adapters": [{"name": "a b", "version": "1", "baseModel": "x"}],
--- a/libs/core/src/Time.cpp
+++ b/libs/core/src/Time.cpp
@@ -4,7 +4,7 @@
 
 namespace monsoonbay {
 
-// CLOCK_MONOTONIC stops while a VM is suspended, so a suspended lease holder would resume with a
+// CLOCK_MONOTONIC stops while a VM is suspended, so a suspended owner would resume with a
 // lease that looks valid while its successor already sends commands. CLOCK_BOOTTIME keeps counting.
 BootClock::time_point BootClock::now() noexcept
 {
--- a/libs/daemon/src/Daemon.cpp
+++ b/libs/daemon/src/Daemon.cpp
@@ -23,7 +23,10 @@
 namespace {
 
 constexpr auto pollInterval = std::chrono::milliseconds(20);
-/** Time for the leave messages to reach the peers. */
+/**
+ * Time for the leave messages to reach the peers. It is waited before requests in flight are
+ * checked and again after the last of them has ended.
+ */
 constexpr auto leaveDelay = std::chrono::milliseconds(300);
 constexpr auto drainDelay = std::chrono::milliseconds(100);
 
--- a/libs/daemon/src/ManifestReader.cpp
+++ b/libs/daemon/src/ManifestReader.cpp
@@ -79,8 +79,8 @@
 }
 
 // Records come from the log loop and from peers at the same time, and an older state must not
-// replace a newer one: a record is judged under the lock of the accepted state, and that state is
-// put in force only if its offset is above that of the manifest in force.
+// replace a newer one: a record is evaluated under the lock of the accepted state, and that state
+// is put in force only if its offset is above that of the manifest in force.
 void applyManifestRecord(Node &node, const ManifestRecord &record)
 {
     JudgedRecord judged;
@@ -162,12 +162,12 @@
 }
 
 // Records between the last one read and the first one retained are lost, and there may be accepted
-// manifests among them. The manifest in force stays, but later deltas cannot be judged before a
+// manifests among them. The manifest in force stays, but later deltas cannot be evaluated before a
 // snapshot.
 void handleGap(Node &node, std::uint64_t position, std::uint64_t first)
 {
     node.manifest.with([&](AcceptedManifest &state) {
-        noteLogStart(state, first);
+        recordLogStart(state, first);
         const bool missed = position < first && first > 1;
         if (missed && state.readThrough + 1 < first)
             state.based = false;
--- a/libs/daemon/src/OwnerLoop.cpp
+++ b/libs/daemon/src/OwnerLoop.cpp
@@ -146,7 +146,7 @@
         const TargetClaim *before = findClaim(state, claim.target);
         const bool confirming = before != nullptr && before->phase == ClaimPhase::Confirming;
         recordEngineAccepted(state, claim.target, claim.token, askedAt, BootClock::now());
-        noteReachable(state, claim.target, BootClock::now());
+        recordReachable(state, claim.target, BootClock::now());
         const TargetClaim *after = findClaim(state, claim.target);
         return confirming && after != nullptr && after->phase == ClaimPhase::Owner;
     });
@@ -207,7 +207,7 @@
         co_await node.http.call(info->endpoint, std::move(call), commandTimeout);
     if (result.ok())
         node.ownership.with(
-            [&](OwnershipState &state) { noteReachable(state, target, BootClock::now()); });
+            [&](OwnershipState &state) { recordReachable(state, target, BootClock::now()); });
 }
 
 asio::awaitable<void> runLoad(Node &node, v1::LoadOrder order)
--- a/libs/daemon/src/PeerExchange.cpp
+++ b/libs/daemon/src/PeerExchange.cpp
@@ -354,7 +354,7 @@
     if (!state.based || state.readThrough <= request.read_through())
         return reply;
     const bool complete = node.history.with([&](const ManifestHistory &history) {
-        // A VM that has judged no record has no base to apply records to, however complete.
+        // A VM that has evaluated no record has no base to apply records to, however complete.
         if (request.read_through() == 0 || request.read_through() < history.completeAfter)
             return false;
         for (const ManifestRecord &record : history.records) {
--- a/libs/membership/src/Membership.cpp
+++ b/libs/membership/src/Membership.cpp
@@ -125,15 +125,15 @@
     silent.indirect = true;
     const std::size_t count = state.others.size();
     const std::size_t first = count == 0 ? 0 : nextRandom(state) % count;
-    int asked = 0;
-    for (std::size_t step = 0; step < count && asked < state.config.indirectProbes; ++step) {
+    int sent = 0;
+    for (std::size_t step = 0; step < count && sent < state.config.indirectProbes; ++step) {
         const Known &helper = state.others[(first + step) % count];
         const bool fit =
             helper.member.vm != silent.member.vm && helper.member.state == MemberState::Alive;
         if (!fit)
             continue;
         probes.push_back(Probe{silent.member.vm, helper.member.vm});
-        ++asked;
+        ++sent;
     }
 }
 
@@ -283,8 +283,8 @@
         alive.push_back(state.self);
     for (const Known &known : state.others) {
         // A seed that never sent anything is not a member yet: nothing may be assigned to it.
-        const bool heardOnce = known.member.incarnation > 0;
-        if (heardOnce && countsAsAlive(known.member.state))
+        const bool hasReported = known.member.incarnation > 0;
+        if (hasReported && countsAsAlive(known.member.state))
             alive.push_back(known.member);
     }
     std::sort(alive.begin(), alive.end(),
--- a/libs/observe/tests/Catalogue.cpp
+++ b/libs/observe/tests/Catalogue.cpp
@@ -62,7 +62,7 @@
     cr_assert(metrics.openMetrics().find("monsoonbay_bounces_total 3\n") != std::string::npos);
 }
 
-Test(traces, a_malformed_header_is_left_alone)
+Test(traces, a_malformed_header_is_ignored)
 {
     const std::string good = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     cr_assert(parseTraceparent(good).has_value());
@@ -73,7 +73,7 @@
         cr_assert_not(parseTraceparent(bad).has_value(), "%s", bad);
 }
 
-Test(events, a_kind_is_bounded_and_what_was_left_out_is_told)
+Test(events, events_of_a_kind_are_limited_and_those_left_out_are_counted)
 {
     EventLimiter limiter(3);
     const Instant start = Instant{} + std::chrono::seconds(100);
--- a/libs/ownership/include/ownership/Ownership.h
+++ b/libs/ownership/include/ownership/Ownership.h
@@ -120,13 +120,13 @@
 void setCandidates(OwnershipState &state, const std::vector<OwnerCandidate> &candidates);
 
 /** The target answered; only a reachable target is claimed. */
-void noteReachable(OwnershipState &state, TargetId target, Instant now);
+void recordReachable(OwnershipState &state, TargetId target, Instant now);
 
 /** All claims in the log were read; the read was started at `startedAt`. */
 void recordLogRead(OwnershipState &state, Instant startedAt);
 
-/** Every other entry VM of this zone had reported by `heardAt`. */
-void recordZonePeersContact(OwnershipState &state, Instant heardAt);
+/** Every other entry VM of this zone had reported by `reportedAt`. */
+void recordZonePeersContact(OwnershipState &state, Instant reportedAt);
 
 /** A claim of a VM, from the log or from a peer. `released`: the VM gives the target up. */
 void applyClaim(OwnershipState &state, TargetId target, VmId owner, const FencingToken &token,
--- a/libs/ownership/src/Ownership.cpp
+++ b/libs/ownership/src/Ownership.cpp
@@ -188,7 +188,7 @@
     state.candidates = candidates;
 }
 
-void noteReachable(OwnershipState &state, TargetId target, Instant now)
+void recordReachable(OwnershipState &state, TargetId target, Instant now)
 {
     TargetClaim *claim = claimOf(state, target);
     if (claim != nullptr)
@@ -201,9 +201,9 @@
     state.hasReadLog = true;
 }
 
-void recordZonePeersContact(OwnershipState &state, Instant heardAt)
+void recordZonePeersContact(OwnershipState &state, Instant reportedAt)
 {
-    state.zonePeersContactAt = std::max(state.zonePeersContactAt, heardAt);
+    state.zonePeersContactAt = std::max(state.zonePeersContactAt, reportedAt);
 }
 
 void applyClaim(OwnershipState &state, TargetId target, VmId owner, const FencingToken &token,
--- a/libs/ownership/tests/OwnershipSchedules.cpp
+++ b/libs/ownership/tests/OwnershipSchedules.cpp
@@ -229,7 +229,7 @@
     receiveReports(world, index);
     readLog(world, vm);
     if (vm.reachesEngine)
-        noteReachable(vm.state, target, world.now);
+        recordReachable(vm.state, target, world.now);
     const OwnershipActions actions = tick(vm.state, world.now);
     if (!actions.append.empty())
         append(world, vm, actions.append);
@@ -352,7 +352,7 @@
     setCandidates(state, {{VmId{1}, "zone"}});
     applyClaim(state, target, VmId{2}, FencingToken{500, 3}, false);
     const Instant now = Instant{} + std::chrono::seconds(10);
-    noteReachable(state, target, now);
+    recordReachable(state, target, now);
     const OwnershipActions actions = tick(state, now);
     cr_assert_eq(actions.append.size(), 1);
     finishAppend(state, actions.append, 7, now);
--- a/libs/residency/src/DemandTable.cpp
+++ b/libs/residency/src/DemandTable.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t firstCapacity = 64;
 constexpr double ticksPerSecond = 16;
 constexpr double minWindow = 5;
-/** Prior odds that an adapter stays in demand over one mean gap between its requests. */
+/** Prior probability that an adapter stays in demand over one mean gap between its requests. */
 const double stayProbability = 0.97;
 
 std::uint32_t tickOf(const DemandTable &table, Instant now)
--- a/libs/transfer/include/transfer/DocumentChange.h
+++ b/libs/transfer/include/transfer/DocumentChange.h
@@ -13,6 +13,6 @@
 std::string deltaBetween(std::string_view base, std::string_view document);
 
 /** The document; nothing if the delta is damaged or belongs to another base. */
-std::optional<std::string> applyDocumentDelta(std::string_view base, std::string_view change);
+std::optional<std::string> applyDocumentDelta(std::string_view base, std::string_view delta);
 
 } // namespace monsoonbay
--- a/libs/transfer/src/DocumentChange.cpp
+++ b/libs/transfer/src/DocumentChange.cpp
@@ -60,10 +60,10 @@
     std::size_t length = 0;
 };
 
-class ChangeWriter
+class DeltaWriter
 {
 public:
-    explicit ChangeWriter(std::string_view document)
+    explicit DeltaWriter(std::string_view document)
         : document(document)
     {
         this->addNumber(stableHash(document));
@@ -85,14 +85,14 @@
     std::string take()
     {
         this->flush();
-        return std::move(this->change);
+        return std::move(this->delta);
     }
 
 private:
     void addNumber(std::uint64_t number)
     {
         for (unsigned shift = 0; shift < 64; shift += 8)
-            this->change += static_cast<char>((number >> shift) & 0xFFU);
+            this->delta += static_cast<char>((number >> shift) & 0xFFU);
     }
 
     /**
@@ -106,20 +106,20 @@
         const std::uint64_t offset = this->last.fromBase ? this->last.offset + 1 : 0;
         this->addNumber(offset << 32U | this->last.length);
         if (!this->last.fromBase)
-            this->change += this->document.substr(this->last.offset, this->last.length);
+            this->delta += this->document.substr(this->last.offset, this->last.length);
         this->last = ByteRange();
     }
 
     std::string_view document;
-    std::string change;
+    std::string delta;
     ByteRange last;
 };
 
-class ChangeReader
+class DeltaReader
 {
 public:
-    explicit ChangeReader(std::string_view change)
-        : left(change)
+    explicit DeltaReader(std::string_view delta)
+        : left(delta)
     { }
 
     bool atEnd() const
@@ -161,7 +161,7 @@
         offsets.try_emplace(chunk, offset);
         offset += chunk.size();
     }
-    ChangeWriter writer(document);
+    DeltaWriter writer(document);
     std::size_t next = 0; // in the base, past the last copied range
     for (std::size_t offset = 0; offset < document.size();) {
         const std::string_view chunk = document.substr(offset, firstChunk(document.substr(offset)));
@@ -186,9 +186,9 @@
     return writer.take();
 }
 
-std::optional<std::string> applyDocumentDelta(std::string_view base, std::string_view change)
+std::optional<std::string> applyDocumentDelta(std::string_view base, std::string_view delta)
 {
-    ChangeReader reader(change);
+    DeltaReader reader(delta);
     const std::optional<std::uint64_t> digest = reader.number();
     const std::optional<std::uint64_t> length = reader.number();
     if (!digest || !length)
