--- a/libs/daemon/src/PeerExchange.cpp
+++ b/libs/daemon/src/PeerExchange.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Duration membershipTick = std::chrono::milliseconds(50);
-constexpr Duration newsTimeout = std::chrono::milliseconds(1000);
+constexpr Duration updateTimeout = std::chrono::milliseconds(1000);
 constexpr int maxGossipedMembers = 64;
 
 v1::MemberNews toMessage(const Member &member)
@@ -124,7 +124,7 @@
             });
         if (!news || node.stopped)
             co_return;
-        const bool sent = co_await sendNews(node, to, *news, newsTimeout);
+        const bool sent = co_await sendNews(node, to, *news, updateTimeout);
         if (sent)
             continue;
         // A load command that was not delivered would keep its permit until the load times out, and
@@ -153,7 +153,7 @@
     fillHeader(node, news);
     news.set_indirect_probe(to.value);
     const PeerResult<v1::PeerNewsReply> result =
-        co_await node.peers.tell(*endpoint, std::move(news), newsTimeout);
+        co_await node.peers.tell(*endpoint, std::move(news), updateTimeout);
     if (!result.ok)
         co_return;
     applyReply(node, via, result.reply);
--- a/libs/gateway/include/gateway/PlatformPort.h
+++ b/libs/gateway/include/gateway/PlatformPort.h
@@ -46,19 +46,19 @@
 };
 
 /** Properties of a configuration document that the reader of the store needs. */
-struct ConfigFacts
+struct ConfigProperties
 {
     std::int64_t version = 0;
     bool hasKeys = false; ///< calls need API keys
 
-    auto operator<=>(const ConfigFacts &) const = default;
+    auto operator<=>(const ConfigProperties &) const = default;
 };
 
 /** Callbacks for what the platform's feeds deliver. All run on the gateway's thread. */
 struct PlatformSink
 {
     /** A configuration document was read; returns nothing if it cannot be parsed. */
-    std::function<asio::awaitable<std::optional<ConfigFacts>>(std::string document)> config;
+    std::function<asio::awaitable<std::optional<ConfigProperties>>(std::string document)> config;
     /** A read that began at `readBegan` found no configuration newer than `version`. */
     std::function<void(std::int64_t version, Instant readBegan)> configConfirmed;
     std::function<void(std::string adapter, std::int64_t version)> adapterVersion;
--- a/libs/gateway/src/ConfigDownload.cpp
+++ b/libs/gateway/src/ConfigDownload.cpp
@@ -235,7 +235,7 @@
 
 namespace {
 
-/** The next part of the configuration that the requester has begun to download. */
+/** The next part of the configuration that the requesting VM has begun to download. */
 std::optional<DocumentPart> nextPart(GatewayNode &node, const PartRequest &wanted, Instant now)
 {
     if (wanted.version == 0)
@@ -252,7 +252,7 @@
 
 /**
  * The first part of the newest configuration that this VM has or is downloading; nothing: it is a
- * delta to a configuration that the requester does not have.
+ * delta to a configuration that the requesting VM does not have.
  */
 std::optional<DocumentPart> firstPart(GatewayNode &node, const PartRequest &wanted,
                                       std::int64_t expected, Instant now)
--- a/libs/gateway/src/ConfigReaders.cpp
+++ b/libs/gateway/src/ConfigReaders.cpp
@@ -30,7 +30,7 @@
     return found == readers.served.end() ? nullptr : &*found;
 }
 
-/** Another reader of the requester's zone, active or done; nothing if there is none. */
+/** Another reader of the requesting VM's zone, active or done; nothing if there is none. */
 std::optional<Endpoint> nextRedirectTarget(ConfigReaders &readers, const ConfigPartRequest &request,
                                            Instant now)
 {
--- a/libs/gateway/src/Feeds.cpp
+++ b/libs/gateway/src/Feeds.cpp
@@ -106,8 +106,8 @@
 }
 
 /** Decodes and applies a configuration that was read from the store. */
-asio::awaitable<std::optional<ConfigFacts>> applyStoredConfig(GatewayNode &node,
-                                                              std::string document)
+asio::awaitable<std::optional<ConfigProperties>> applyStoredConfig(GatewayNode &node,
+                                                                   std::string document)
 {
     ConfigDecode decode = [platform = node.platform, base = node.config.newest,
                            document = std::move(document)] {
@@ -118,7 +118,7 @@
     if (!decoded)
         co_return std::nullopt;
     const ServingConfig &config = decoded->routes->config();
-    const ConfigFacts facts{config.version, !config.workspaces.empty()};
+    const ConfigProperties facts{config.version, !config.workspaces.empty()};
     logEvent(EventId::ConfigRead,
              {{"version", std::to_string(config.version)},
               {"peer", "store"},
--- a/libs/gateway/src/LeaseKeeping.cpp
+++ b/libs/gateway/src/LeaseKeeping.cpp
@@ -329,10 +329,10 @@
 
 v1::Word answerLeaseConfirmation(GatewayNode &node, const v1::WordRequest &request)
 {
-    const Endpoint requester = decodeEndpoint(request.from());
-    if (requester != node.settings.peers) {
-        addPeer(node, requester, decodeVm(request.from()));
-        node.peers[requester].lastMessageAt = BootClock::now();
+    const Endpoint requestingVm = decodeEndpoint(request.from());
+    if (requestingVm != node.settings.peers) {
+        addPeer(node, requestingVm, decodeVm(request.from()));
+        node.peers[requestingVm].lastMessageAt = BootClock::now();
     }
     v1::Word confirmation;
     encodeSelf(node, *confirmation.mutable_from());
--- a/libs/gateway/src/PeerExchange.cpp
+++ b/libs/gateway/src/PeerExchange.cpp
@@ -210,16 +210,16 @@
     ++peer.failures;
 }
 
-void fillUsage(GatewayNode &node, const PeerState &requester, v1::Digest &digest)
+void fillUsage(GatewayNode &node, const PeerState &requestingVm, v1::Digest &digest)
 {
     digest.set_carries_use(true);
-    TargetUsages others = usagesExcept(node.reported, requester.endpoint.text());
+    TargetUsages others = usagesExcept(node.reported, requestingVm.endpoint.text());
     addUsages(others, node.relayState.others);
     addUsages(others, ownUsages(node));
     for (const auto &[target, usage] : others)
         encodeTargetUsage(target, usage, *digest.add_others());
     digest.set_vms(static_cast<std::uint32_t>(liveGateways(node)));
-    WorkspaceUses workspaces = workspacesExcept(node.reported, requester.endpoint.text());
+    WorkspaceUses workspaces = workspacesExcept(node.reported, requestingVm.endpoint.text());
     addUsages(workspaces, ownWorkspaceUsage(node, BootClock::now()));
     for (const auto &[workspace, usage] : workspaces)
         encodeWorkspaceUse(workspace, usage, *digest.add_other_workspaces());
@@ -256,11 +256,11 @@
     peer.boot = boot;
 }
 
-bool isChosenHolder(GatewayNode &node, const Endpoint &requester)
+bool isChosenHolder(GatewayNode &node, const Endpoint &requestingVm)
 {
     const ZonePeers zone = zonePeersOf(node, node.settings.zone);
     for (const std::size_t index : chooseLeaseHolders(zone.candidates, holdersPerZone - 1)) {
-        if (zone.peers[index]->endpoint == requester)
+        if (zone.peers[index]->endpoint == requestingVm)
             return true;
     }
     return false;
--- a/libs/gateway/src/UsageSnapshots.cpp
+++ b/libs/gateway/src/UsageSnapshots.cpp
@@ -124,7 +124,7 @@
         node.usageSnapshots.permits = permitsOf(node.usageSnapshots.writer);
     const Duration took = BootClock::now() - began;
     if (done)
-        node.metrics.record(Timing::NoteAge, toSeconds(took));
+        node.metrics.record(Timing::SnapshotAge, toSeconds(took));
     logEvent(done ? EventId::SpendNoted : EventId::SpendNoteFailed,
              {{"named", named},
               {"permitted", std::to_string(node.usageSnapshots.permits.percents.size())},
@@ -254,7 +254,7 @@
     for (const v1::NotedSpend &message : updates.noted_workspaces())
         permits.percents[message.workspace()] = decodePercent(message.percent());
     if (!permits.percents.empty())
-        node.metrics.record(Timing::NoteAge, toSeconds(BootClock::now() - permits.writtenAt));
+        node.metrics.record(Timing::SnapshotAge, toSeconds(BootClock::now() - permits.writtenAt));
     node.usageSnapshots.permits = std::move(permits);
 }
 
--- a/libs/gateway/tests/HarmfulWatches.cpp
+++ b/libs/gateway/tests/HarmfulWatches.cpp
@@ -47,21 +47,22 @@
     return findHarmful(node.harmful, call) != nullptr;
 }
 
-/** `requester` reports to `receiver` and applies the answers, until there are no more updates. */
-void exchange(GatewayNode &requester, GatewayNode &receiver, std::uint64_t &sequence)
+/** `requestingVm` reports to `receiver` and applies the answers, until there are no more updates.
+ */
+void exchange(GatewayNode &requestingVm, GatewayNode &receiver, std::uint64_t &sequence)
 {
-    const PeerState &known = requester.peers[receiver.settings.peers];
+    const PeerState &known = requestingVm.peers[receiver.settings.peers];
     do {
-        gateway::v1::Report report = reportOf(requester, ++sequence);
+        gateway::v1::Report report = reportOf(requestingVm, ++sequence);
         report.set_known_boot(known.seenBoot);
         report.set_known_change(known.seenChange);
         report.set_in_whole(known.fullSyncRunning);
-        for (const auto &[id, entry] : requester.shared.evidence.all()) {
+        for (const auto &[id, entry] : requestingVm.shared.evidence.all()) {
             if (entry.value.own)
                 encodeEvidence(id, entry.value.evidence, BootClock::now(), *report.add_evidence());
         }
         const gateway::v1::Digest digest = answerReport(receiver, report);
-        applyDigest(requester, receiver.settings.peers, digest, true);
+        applyDigest(requestingVm, receiver.settings.peers, digest, true);
     } while (known.hasMoreUpdates);
 }
 
--- a/libs/gateway/tests/Peers.cpp
+++ b/libs/gateway/tests/Peers.cpp
@@ -196,16 +196,16 @@
 
 namespace {
 
-/** One exchange: `requester` applies the answer of `relay`; true if there are more changes. */
-bool exchangeOnce(GatewayNode &requester, GatewayNode &relay, std::uint64_t sequence,
+/** One exchange: `requestingVm` applies the answer of `relay`; true if there are more changes. */
+bool exchangeOnce(GatewayNode &requestingVm, GatewayNode &relay, std::uint64_t sequence,
                   bool upstream = true)
 {
     const Endpoint endpoint = relay.settings.peers;
-    const PeerState &known = requester.peers[endpoint];
+    const PeerState &known = requestingVm.peers[endpoint];
     auto report = reportFrom("vm-7", known.seenBoot, known.seenChange, sequence);
     report.set_in_whole(known.fullSyncRunning);
-    applyDigest(requester, endpoint, answerReport(relay, report), upstream);
-    return requester.peers[endpoint].hasMoreUpdates;
+    applyDigest(requestingVm, endpoint, answerReport(relay, report), upstream);
+    return requestingVm.peers[endpoint].hasMoreUpdates;
 }
 
 GatewaySettings settingsOfVm7()
@@ -225,23 +225,24 @@
 {
     const auto relay = relayAtFullSize();
     recordListRead(relay->targetTable, BootClock::now());
-    GatewayNode requester(settingsOfVm7());
-    applyPeerTargets(requester, {listedTarget("gone-before", false)});
+    GatewayNode requestingVm(settingsOfVm7());
+    applyPeerTargets(requestingVm, {listedTarget("gone-before", false)});
     std::uint64_t sequence = 0;
-    cr_assert(exchangeOnce(requester, *relay, ++sequence));
-    cr_assert_eq(requester.targetTable.lastReadAt, Instant{}, "a part of the list is not the list");
-    const std::string first = requester.shared.targets.all().begin()->first;
+    cr_assert(exchangeOnce(requestingVm, *relay, ++sequence));
+    cr_assert_eq(requestingVm.targetTable.lastReadAt, Instant{},
+                 "a part of the list is not the list");
+    const std::string first = requestingVm.shared.targets.all().begin()->first;
     dropTargetByPeer(*relay, first, true);
     applyPeerTargets(*relay, {listedTarget("come-meanwhile", false)});
-    cr_assert_not_null(entryOf(requester, "gone-before"), "dropped only when all is received");
-    while (exchangeOnce(requester, *relay, ++sequence)) { }
-    cr_assert_null(entryOf(requester, first));
-    cr_assert_null(entryOf(requester, "gone-before"));
-    cr_assert_not_null(entryOf(requester, "come-meanwhile"));
-    cr_assert_eq(requester.targetTable.records.size(), relay->targetTable.records.size());
-    cr_assert_eq(requester.shared.engines.all().size(), relay->shared.engines.all().size());
-    cr_assert_neq(requester.targetTable.lastReadAt, Instant{});
-    cr_assert(!exchangeOnce(requester, *relay, ++sequence), "nothing is sent twice");
+    cr_assert_not_null(entryOf(requestingVm, "gone-before"), "dropped only when all is received");
+    while (exchangeOnce(requestingVm, *relay, ++sequence)) { }
+    cr_assert_null(entryOf(requestingVm, first));
+    cr_assert_null(entryOf(requestingVm, "gone-before"));
+    cr_assert_not_null(entryOf(requestingVm, "come-meanwhile"));
+    cr_assert_eq(requestingVm.targetTable.records.size(), relay->targetTable.records.size());
+    cr_assert_eq(requestingVm.shared.engines.all().size(), relay->shared.engines.all().size());
+    cr_assert_neq(requestingVm.targetTable.lastReadAt, Instant{});
+    cr_assert(!exchangeOnce(requestingVm, *relay, ++sequence), "nothing is sent twice");
 }
 
 // Guards against a VM that keeps outdated targets permanently, because its relay ends while it
@@ -249,15 +250,15 @@
 Test(peers, a_full_sync_restarts_with_another_boot)
 {
     const auto relay = relayAtFullSize();
-    GatewayNode requester(settingsOfVm7());
+    GatewayNode requestingVm(settingsOfVm7());
     std::uint64_t sequence = 0;
-    cr_assert(exchangeOnce(requester, *relay, ++sequence));
+    cr_assert(exchangeOnce(requestingVm, *relay, ++sequence));
     GatewayNode restarted(settingsOfVm1());
     recordListRead(restarted.targetTable, BootClock::now());
     applyPeerTargets(restarted, {listedTarget("only", false)});
-    cr_assert(!exchangeOnce(requester, restarted, ++sequence));
-    cr_assert_eq(requester.targetTable.records.size(), 1);
-    cr_assert_not_null(entryOf(requester, "only"));
+    cr_assert(!exchangeOnce(requestingVm, restarted, ++sequence));
+    cr_assert_eq(requestingVm.targetTable.records.size(), 1);
+    cr_assert_not_null(entryOf(requestingVm, "only"));
 }
 
 namespace {
@@ -278,13 +279,13 @@
 Test(peers, a_new_relay_is_asked_for_its_full_state)
 {
     const auto relay = relayWithTarget("stays");
-    GatewayNode requester(settingsOfVm7());
-    applyPeerTargets(requester, {listedTarget("stays", false), listedTarget("left", false)});
+    GatewayNode requestingVm(settingsOfVm7());
+    applyPeerTargets(requestingVm, {listedTarget("stays", false), listedTarget("left", false)});
     std::uint64_t sequence = 0;
-    exchangeOnce(requester, *relay, ++sequence, false);
-    while (exchangeOnce(requester, *relay, ++sequence)) { }
-    cr_assert_null(entryOf(requester, "left"));
-    cr_assert_not_null(entryOf(requester, "stays"));
+    exchangeOnce(requestingVm, *relay, ++sequence, false);
+    while (exchangeOnce(requestingVm, *relay, ++sequence)) { }
+    cr_assert_null(entryOf(requestingVm, "left"));
+    cr_assert_not_null(entryOf(requestingVm, "stays"));
 }
 
 // Guards against calls to a target that came and left while another VM was the relay.
@@ -297,13 +298,13 @@
     GatewayNode secondRelay(settings);
     recordListRead(secondRelay.targetTable, BootClock::now());
     applyPeerTargets(secondRelay, {listedTarget("stays", false), listedTarget("left", false)});
-    GatewayNode requester(settingsOfVm7());
+    GatewayNode requestingVm(settingsOfVm7());
     std::uint64_t sequence = 0;
-    while (exchangeOnce(requester, *relay, ++sequence)) { }
-    while (exchangeOnce(requester, secondRelay, ++sequence)) { }
-    cr_assert_not_null(entryOf(requester, "left"));
-    while (exchangeOnce(requester, *relay, ++sequence)) { }
-    cr_assert_null(entryOf(requester, "left"));
+    while (exchangeOnce(requestingVm, *relay, ++sequence)) { }
+    while (exchangeOnce(requestingVm, secondRelay, ++sequence)) { }
+    cr_assert_not_null(entryOf(requestingVm, "left"));
+    while (exchangeOnce(requestingVm, *relay, ++sequence)) { }
+    cr_assert_null(entryOf(requestingVm, "left"));
 }
 
 // Guards against a target that gets no calls for a moment, because this VM read of it just before
@@ -311,16 +312,16 @@
 Test(peers, a_list_older_than_the_own_read_removes_nothing)
 {
     const auto relay = relayWithTarget("stays");
-    GatewayNode requester(settingsOfVm7());
-    applyPeerTargets(requester, {listedTarget("stays", false), listedTarget("new", false)});
-    recordListRead(requester.targetTable, BootClock::now());
+    GatewayNode requestingVm(settingsOfVm7());
+    applyPeerTargets(requestingVm, {listedTarget("stays", false), listedTarget("new", false)});
+    recordListRead(requestingVm.targetTable, BootClock::now());
     std::uint64_t sequence = 0;
-    cr_assert(!exchangeOnce(requester, *relay, ++sequence));
-    cr_assert(!exchangeOnce(requester, *relay, ++sequence), "it is not sent again each time");
-    cr_assert_not_null(entryOf(requester, "new"));
+    cr_assert(!exchangeOnce(requestingVm, *relay, ++sequence));
+    cr_assert(!exchangeOnce(requestingVm, *relay, ++sequence), "it is not sent again each time");
+    cr_assert_not_null(entryOf(requestingVm, "new"));
     recordListRead(relay->targetTable, BootClock::now() + std::chrono::seconds(2));
-    while (exchangeOnce(requester, *relay, ++sequence)) { }
-    cr_assert_null(entryOf(requester, "new"));
+    while (exchangeOnce(requestingVm, *relay, ++sequence)) { }
+    cr_assert_null(entryOf(requestingVm, "new"));
 }
 
 // Guards against calls to a target that this VM has dropped, while its relay, which had an outage
@@ -336,12 +337,12 @@
     std::uint64_t sequence = 0;
     while (exchangeOnce(startingVm, *relay, ++sequence)) { }
     cr_assert_not_null(entryOf(startingVm, "left"), "a VM without a list waits, too");
-    GatewayNode requester(settingsOfVm7());
-    applyPeerTargets(requester, {listedTarget("left", false)});
-    dropTargetByPeer(requester, "left", true);
-    while (exchangeOnce(requester, *relay, ++sequence)) { }
-    cr_assert_null(entryOf(requester, "left"));
+    GatewayNode requestingVm(settingsOfVm7());
+    applyPeerTargets(requestingVm, {listedTarget("left", false)});
+    dropTargetByPeer(requestingVm, "left", true);
+    while (exchangeOnce(requestingVm, *relay, ++sequence)) { }
+    cr_assert_null(entryOf(requestingVm, "left"));
     applyPeerTargets(*relay, {listedTarget("left", false)});
-    while (exchangeOnce(requester, *relay, ++sequence)) { }
-    cr_assert_not_null(entryOf(requester, "left"), "it was listed again");
+    while (exchangeOnce(requestingVm, *relay, ++sequence)) { }
+    cr_assert_not_null(entryOf(requestingVm, "left"), "it was listed again");
 }
--- a/libs/gateway/tests/Workspaces.cpp
+++ b/libs/gateway/tests/Workspaces.cpp
@@ -149,14 +149,14 @@
 {
     ServedCall served(600);
     served.node.settings.firstStart = false;
-    GatewayNode requester(settingsOf("vm-2", "10.0.0.2"));
+    GatewayNode requestingVm(settingsOf("vm-2", "10.0.0.2"));
     served.node.vmListRead = false;
-    cr_assert_eq(answerReport(served.node, reportOf(requester, 1)).vms_in_touch(), 1,
-                 "the requester");
+    cr_assert_eq(answerReport(served.node, reportOf(requestingVm, 1)).vms_in_touch(), 1,
+                 "the requesting VM");
     served.node.vmListRead = true;
-    cr_assert_eq(answerReport(served.node, reportOf(requester, 2)).vms_in_touch(), 2);
+    cr_assert_eq(answerReport(served.node, reportOf(requestingVm, 2)).vms_in_touch(), 2);
     served.node.routes = std::make_shared<RouteTable>(ServingConfig());
-    cr_assert_eq(answerReport(served.node, reportOf(requester, 3)).vms_in_touch(), 1);
+    cr_assert_eq(answerReport(served.node, reportOf(requestingVm, 3)).vms_in_touch(), 1);
 }
 
 // Guards against workspaces that are refused for a minute after a common restart: VMs that took
--- a/libs/observe/include/observe/Metrics.h
+++ b/libs/observe/include/observe/Metrics.h
@@ -81,7 +81,7 @@
     BetweenPieces,
     Refusal, ///< seconds from arrival to a refusal
     ForecastError, ///< seconds by which a first event came earlier or later than expected
-    NoteAge, ///< seconds from a usage snapshot until a VM receives the permit based on it
+    SnapshotAge, ///< seconds from a usage snapshot until a VM receives the permit based on it
     Count, ///< number of timings, not one of them
 };
 
--- a/libs/serving/include/serving/PrefillQueue.h
+++ b/libs/serving/include/serving/PrefillQueue.h
@@ -41,7 +41,7 @@
 PrefillReply reservePrefill(PrefillQueue &queue, const PrefillRequest &request, double tokensPerMs,
                             Instant now) noexcept;
 
-/** Time budget of a call's first event, from which the tokens that may wait before it follow. */
+/** Time left for a call's first event, from which the tokens that may wait before it follow. */
 struct PrefillBudget
 {
     double objectiveLeftMs = 0; ///< until the first event misses its target
